--- a/settings/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,8 +3,8 @@
 
 mod check;
 
-use larchfall::interface::*;
-use larchfall::time::Span;
+use larchfall_policy::interface::*;
+use larchfall_policy::time::Span;
 use serde::Deserialize;
 
 #[derive(Deserialize, Default)]
--- a/rig/examples/cost.rs
+++ b/crates/fault-tests/examples/cost.rs
@@ -1,10 +1,10 @@
 //! Processor time a batch and memory of a front, of some builds in turn, so that a machine whose speed drifts is held against
 //! itself. cargo run --release -p larchfall-rig --example cost -- TIMES PROGRAM [PROGRAM ...]
 
-use larchfall_rig::load;
-use larchfall_rig::process::{Front, config};
-use larchfall_toy::board::Board;
-use larchfall_toy::engine::{Act, Engine};
+use larchfall_fault_tests::load;
+use larchfall_fault_tests::process::{Front, config};
+use larchfall_stub::board::Board;
+use larchfall_stub::engine::{Act, Engine};
 use std::time::Duration;
 
 const CLIENTS: usize = 24;
--- a/rig/examples/divide.rs
+++ b/crates/fault-tests/examples/divide.rs
@@ -2,11 +2,11 @@
 //! out, and by a divider that knows all at once. In one process, by seed.
 //! cargo run --release -p larchfall-rig --example divide [FRONTS ...]
 
-use larchfall::time::{At, Span};
-use larchfall_shares::divide::{Ask, divide};
-use larchfall_shares::holder::Holder;
-use larchfall_shares::keeper::Keeper;
-use larchfall_shares::{Terms, fair};
+use larchfall_policy::time::{At, Span};
+use larchfall_quotas::divide::{Ask, divide};
+use larchfall_quotas::holder::Holder;
+use larchfall_quotas::keeper::Keeper;
+use larchfall_quotas::{Terms, fair};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
--- a/rig/examples/holders.rs
+++ b/crates/fault-tests/examples/holders.rs
@@ -3,10 +3,10 @@
 //! cargo run --release -p larchfall-rig --example holders -- target/release/larchfall FRONTS TIMES
 
 use hdrhistogram::Histogram;
-use larchfall_rig::net::{Link, SOUND};
-use larchfall_rig::probed::Probed;
-use larchfall_rig::process::{Fleet, name, wait_for};
-use larchfall_rig::vault::Vault;
+use larchfall_fault_tests::net::{Link, SOUND};
+use larchfall_fault_tests::probed::Probed;
+use larchfall_fault_tests::process::{Fleet, name, wait_for};
+use larchfall_fault_tests::vault::Vault;
 use std::time::{Duration, Instant};
 
 fn main() {
--- a/rig/examples/leases.rs
+++ b/crates/fault-tests/examples/leases.rs
@@ -2,7 +2,7 @@
 //! cargo run --release -p larchfall-rig --example leases
 
 use hdrhistogram::Histogram;
-use larchfall_rig::duties::{Fleet, ms, settings};
+use larchfall_fault_tests::duties::{Fleet, ms, settings};
 use nanorand::Rng;
 
 const TIMES: u64 = 200;
--- a/rig/examples/shrink.rs
+++ b/crates/fault-tests/examples/shrink.rs
@@ -2,9 +2,9 @@
 //! those of the number in the settings: what was returned within the response goal of what was sent.
 //! cargo run --release -p larchfall-rig --example shrink -- target/release/larchfall SEEDS
 
-use larchfall_rig::load::{self, Ledger};
-use larchfall_rig::process::{Fleet, config_of, settings};
-use larchfall_toy::engine::Engine;
+use larchfall_fault_tests::load::{self, Ledger};
+use larchfall_fault_tests::process::{Fleet, config_of, settings};
+use larchfall_stub::engine::Engine;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/rig/examples/sighted.rs
+++ b/crates/fault-tests/examples/sighted.rs
@@ -1,8 +1,8 @@
 //! What it costs a fleet to find out that an engine is dead, to try it, and to have it back; and what a lie costs:
 //! cargo run --release -p larchfall-rig --example sighted [SIZE ...]
 
-use larchfall::time::Span;
-use larchfall_rig::sighted::{Seen, Setting, Sighted, Telling};
+use larchfall_fault_tests::sighted::{Seen, Setting, Sighted, Telling};
+use larchfall_policy::time::Span;
 
 const TURN: Span = Span::from_millis(1_000);
 const TELLINGS: [Telling; 4] = [Telling::Nothing, Telling::Verdicts, Telling::Counts, Telling::Turns(TURN)];
--- a/rig/examples/signals.rs
+++ b/crates/fault-tests/examples/signals.rs
@@ -2,9 +2,9 @@
 //! there any more but for trials, with signals and without.
 //! cargo run --release -p larchfall-rig --example signals -- target/release/larchfall SEEDS
 
-use larchfall_rig::load::{self, Ledger};
-use larchfall_rig::process::{Fleet, config_of, settings};
-use larchfall_toy::engine::{Act, Engine};
+use larchfall_fault_tests::load::{self, Ledger};
+use larchfall_fault_tests::process::{Fleet, config_of, settings};
+use larchfall_stub::engine::{Act, Engine};
 use nanorand::{Rng, WyRand};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/rig/examples/simulate.rs
+++ b/crates/fault-tests/examples/simulate.rs
@@ -2,9 +2,9 @@
 //! cargo run --release -p larchfall-rig --example simulate [SIZE ...]
 
 use hdrhistogram::Histogram;
-use larchfall::time::Span;
-use larchfall_members::claim::Standing;
-use larchfall_rig::fleet::{Fleet, Sight, ms, name};
+use larchfall_fault_tests::fleet::{Fleet, Sight, ms, name};
+use larchfall_membership::claim::Standing;
+use larchfall_policy::time::Span;
 
 const KILLS: usize = 8;
 const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
--- a/rig/examples/subsets.rs
+++ b/crates/fault-tests/examples/subsets.rs
@@ -2,11 +2,11 @@
 //! one front or engine goes. In one process, by seed.
 //! cargo run --release -p larchfall-rig --example subsets [FRONTS ENGINES LEAST]
 
-use larchfall::interface::Engine;
-use larchfall_rig::process::name;
-use larchfall_subsets::plan::{Plan, Settings};
-use larchfall_subsets::rank::order;
-use larchfall_subsets::{Front, Listed, needs};
+use larchfall_fault_tests::process::name;
+use larchfall_policy::interface::Engine;
+use larchfall_subsetting::plan::{Plan, Settings};
+use larchfall_subsetting::rank::order;
+use larchfall_subsetting::{Front, Listed, needs};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -113,11 +113,11 @@
 }
 
 fn bounded(fronts: &[Front], engines: &[Listed], least: usize) -> Chosen {
-    let group = larchfall::interface::ServiceGroup {
+    let group = larchfall_policy::interface::ServiceGroup {
         utility: 1.0,
-        goal: larchfall::time::Span::ZERO,
+        goal: larchfall_policy::time::Span::ZERO,
         goal_stretch: 0.0,
-        effect: larchfall::interface::Effect::Repeatable,
+        effect: larchfall_policy::interface::Effect::Repeatable,
         in_order: false,
         threads: 1.0,
         holds_data: false,
--- a/rig/examples/uneven.rs
+++ b/crates/fault-tests/examples/uneven.rs
@@ -3,9 +3,9 @@
 //! that has all engines and all traffic to itself.
 //! cargo run --release -p larchfall-rig --example uneven -- target/release/larchfall SEEDS
 
-use larchfall_rig::load::{self, Ledger};
-use larchfall_rig::process::{Fleet, config_of, name, settings};
-use larchfall_toy::engine::Engine;
+use larchfall_fault_tests::load::{self, Ledger};
+use larchfall_fault_tests::process::{Fleet, config_of, name, settings};
+use larchfall_stub::engine::Engine;
 use nanorand::{Rng, WyRand};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/rig/src/audit.rs
+++ b/crates/fault-tests/src/audit.rs
@@ -1,8 +1,8 @@
 //! The seven rules over all fronts, read after a run from what clients and engines noted. What a rule leaves open here is
 //! read the most careful way; rule 4 has its own proof (`rig/tests/shares.rs`), rule 6 that of the decisions.
 
-use larchfall_toy::client::Answer;
-use larchfall_toy::hall::Ledger;
+use larchfall_stub::client::Answer;
+use larchfall_stub::hall::Ledger;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
--- a/rig/src/bin/larchfall-faulty.rs
+++ b/crates/fault-tests/src/bin/larchfall-faulty.rs
@@ -2,10 +2,10 @@
 //! no way to. `FAULTY_CLOCK` is how many times as fast the steady clock runs, `FAULTY_WALL` a file that says by how many
 //! seconds the Unix clock is off just now, `FAULTY_DISK` one that says, at each step, what the disk does: nothing (it is sound), `full`, `read-only`, `lies`, `slow MS`, or `dies N` (the process ends at step N).
 
-use larchfall::time::{At, Span};
-use larchfall_duty::record::Disk;
-use larchfall_front::run::command::main_on;
-use larchfall_front::run::parts::{Folder, Parts, boot_time, unix_time};
+use larchfall_gateway::run::command::main_on;
+use larchfall_gateway::run::parts::{Folder, Parts, boot_time, unix_time};
+use larchfall_leases::record::Disk;
+use larchfall_policy::time::{At, Span};
 use std::io::{self, ErrorKind};
 use std::path::Path;
 use std::process::ExitCode;
--- a/rig/src/bin/larchfall-storm.rs
+++ b/crates/fault-tests/src/bin/larchfall-storm.rs
@@ -1,11 +1,11 @@
 //! The storm by hand: one, many side by side, one again from its script, with fewer faults, and a page of what was seen.
 
-use larchfall_rig::script::Script;
-use larchfall_rig::storm::play::{Played, keep, play};
-use larchfall_rig::storm::search::Search;
-use larchfall_rig::storm::setting::{Piece, Setting};
-use larchfall_rig::storm::shrink::{faults, shrink};
-use larchfall_rig::storm::{report, rows};
+use larchfall_fault_tests::script::Script;
+use larchfall_fault_tests::storm::play::{Played, keep, play};
+use larchfall_fault_tests::storm::search::Search;
+use larchfall_fault_tests::storm::setting::{Piece, Setting};
+use larchfall_fault_tests::storm::shrink::{faults, shrink};
+use larchfall_fault_tests::storm::{report, rows};
 use lexopt::prelude::*;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -129,7 +129,7 @@
     Ok(Script::read(&std::fs::read_to_string(file)?).map_err(|e| format!("{file}: {e}"))?)
 }
 
-fn summaries(folder: &Path) -> Result<(String, Vec<larchfall_rig::storm::play::Summary>), Failed> {
+fn summaries(folder: &Path) -> Result<(String, Vec<larchfall_fault_tests::storm::play::Summary>), Failed> {
     Ok((folder.display().to_string(), rows::read(&folder.join("results.csv"))?))
 }
 
--- a/rig/src/duties.rs
+++ b/crates/fault-tests/src/duties.rs
@@ -2,14 +2,14 @@
 //! cuts, and something that each holder acts on, which remembers the highest token. Time is true time; each front only
 //! ever sees its own clock.
 
-use larchfall::time::{At, Span};
-use larchfall_duty::bid::Terms;
-use larchfall_duty::duties::{Duties, Out, Settings, What, Why};
-use larchfall_duty::elector::Bounds;
-use larchfall_duty::permit::Fence;
-use larchfall_duty::quorum::Electors;
-use larchfall_duty::record::Record;
-use larchfall_duty::wire::{Matter, Who};
+use larchfall_leases::bid::Terms;
+use larchfall_leases::duties::{Duties, Out, Settings, What, Why};
+use larchfall_leases::elector::Bounds;
+use larchfall_leases::permit::Fence;
+use larchfall_leases::quorum::Electors;
+use larchfall_leases::record::Record;
+use larchfall_leases::wire::{Matter, Who};
+use larchfall_policy::time::{At, Span};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/rig/src/fleet.rs
+++ b/crates/fault-tests/src/fleet.rs
@@ -1,9 +1,9 @@
 //! A fleet in one process: members, a net between them that loses, delays and cuts, and one queue of what happens when.
 
-use larchfall::time::{At, Span};
-use larchfall_members::claim::{About, Standing};
-use larchfall_members::members::{Change, Member, Members, Reason, Settings};
-use larchfall_members::wire::Letter;
+use larchfall_membership::claim::{About, Standing};
+use larchfall_membership::members::{Change, Member, Members, Reason, Settings};
+use larchfall_membership::wire::Letter;
+use larchfall_policy::time::{At, Span};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/rig/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -1,8 +1,8 @@
 //! Load on a fleet of processes: clients that send batches at a steady pace over some time, and count what comes back.
 
 use crate::process::Front;
-use larchfall_toy::client::{Answer, Client};
-use larchfall_toy::engine::{Act, Engine};
+use larchfall_stub::client::{Answer, Client};
+use larchfall_stub::engine::{Act, Engine};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
--- a/rig/src/probed.rs
+++ b/crates/fault-tests/src/probed.rs
@@ -4,7 +4,7 @@
 use crate::load::{self, Ledger};
 use crate::net::Net;
 use crate::process::{Fleet, config_of, name, settings};
-use larchfall_toy::engine::{Act, Engine};
+use larchfall_stub::engine::{Act, Engine};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/rig/src/process.rs
+++ b/crates/fault-tests/src/process.rs
@@ -3,9 +3,9 @@
 
 use crate::net::Net;
 use crate::relay::{Relays, Way};
-use larchfall_toy::board::{Board, Listed, frame};
-use larchfall_toy::client::Client;
-use larchfall_toy::rest::RestClient;
+use larchfall_stub::board::{Board, Listed, frame};
+use larchfall_stub::client::Client;
+use larchfall_stub::rest::RestClient;
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::process::{Child, Command, ExitStatus, Stdio};
--- a/rig/src/sighted.rs
+++ b/crates/fault-tests/src/sighted.rs
@@ -1,13 +1,13 @@
 //! A fleet in one process for what fronts see of engines: the real decisions and the real desks of each front, a net between
 //! them that loses letters, engines of which one stops working and comes back, and fronts that lie. Seeded.
 
-use larchfall::interface::*;
-use larchfall::policy::{Policy, TICK};
-use larchfall::time::{At, Span};
-use larchfall_signals::desk::{Bounds, Desk};
-use larchfall_signals::sights::{Saw, Sights};
-use larchfall_signals::wire::MOST_ENGINES;
-use larchfall_signals::{Counts, Process, weigh};
+use larchfall_health_gossip::desk::{Bounds, Desk};
+use larchfall_health_gossip::sights::{Saw, Sights};
+use larchfall_health_gossip::wire::MOST_ENGINES;
+use larchfall_health_gossip::{Counts, Process, weigh};
+use larchfall_policy::interface::*;
+use larchfall_policy::policy::{Policy, TICK};
+use larchfall_policy::time::{At, Span};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -244,7 +244,7 @@
         let (now, front) = (self.now, &mut self.fronts[i]);
         let outcome = if good { Outcome::Returned } else { Outcome::Errored };
         Saw::of(outcome).into_iter().for_each(|saw| front.sights.see(process(engine), saw, now));
-        let seen = larchfall::interface::Seen { last: Last::Ended, same: true };
+        let seen = larchfall_policy::interface::Seen { last: Last::Ended, same: true };
         let answer = Answer { over: good, took: TAKES, ..Answer::bare(outcome, seen) };
         if front.policy.after(now, b, number, &answer) == Next::Ask {
             self.place(i, b, number + 1);
--- a/rig/src/storm/engines.rs
+++ b/crates/fault-tests/src/storm/engines.rs
@@ -4,8 +4,8 @@
 use crate::process::list;
 use crate::relay::{Relays, Way};
 use crate::storm::load::lock;
-use larchfall_toy::board::Board;
-use larchfall_toy::hall::Hall;
+use larchfall_stub::board::Board;
+use larchfall_stub::hall::Hall;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
--- a/rig/src/storm/health.rs
+++ b/crates/fault-tests/src/storm/health.rs
@@ -4,7 +4,7 @@
 use crate::process::name;
 use crate::storm::rows::{Row, What, row};
 use crate::storm::setting::{Piece, Setting};
-use larchfall_front::fronts::ask::{self, ask};
+use larchfall_gateway::fronts::ask::{self, ask};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::mpsc::channel;
--- a/rig/src/storm/load.rs
+++ b/crates/fault-tests/src/storm/load.rs
@@ -2,8 +2,8 @@
 //! which so many are open at a time; and the book of what was sent and how it ended.
 
 use crate::audit::{End, Sent};
-use larchfall_toy::client::Client;
-use larchfall_toy::hall::Fate;
+use larchfall_stub::client::Client;
+use larchfall_stub::hall::Fate;
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/rig/src/storm/play.rs
+++ b/crates/fault-tests/src/storm/play.rs
@@ -11,7 +11,7 @@
 use crate::storm::rows::{self, Row, What, row};
 use crate::storm::setting::{Piece, Setting};
 use crate::vault::{Action, Vault};
-use larchfall_toy::hall::{Fate, Hall};
+use larchfall_stub::hall::{Fate, Hall};
 use nanorand::WyRand;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
--- a/rig/src/vault.rs
+++ b/crates/fault-tests/src/vault.rs
@@ -1,7 +1,7 @@
 //! Something that holders of duties act on, and that checks tokens: datagrams of the words duty, token and process, each
 //! taken or refused by the highest token seen, and all of them kept in a ledger.
 
-use larchfall_duty::permit::Fence;
+use larchfall_leases::permit::Fence;
 use std::io;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/rig/tests/duties.rs
+++ b/crates/fault-tests/tests/duties.rs
@@ -1,8 +1,8 @@
 //! Duties between several processes of the front, with a net, disks and clocks that break, and a vault that they act on.
 
-use larchfall_rig::net::{Link, SOUND};
-use larchfall_rig::process::{Fleet, Front, fronts_table, name, wait_for};
-use larchfall_rig::vault::Vault;
+use larchfall_fault_tests::net::{Link, SOUND};
+use larchfall_fault_tests::process::{Fleet, Front, fronts_table, name, wait_for};
+use larchfall_fault_tests::vault::Vault;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -117,7 +117,7 @@
         let command = vault.command(acts);
         let programs: String = duties.iter().map(|duty| program(duty, &command)).collect();
         let electors: Vec<usize> = (0..electors).collect();
-        let more = |_: &larchfall_rig::net::Net, i: usize| {
+        let more = |_: &larchfall_fault_tests::net::Net, i: usize| {
             edit(duties_table(&electors, Some(&folder.record(i)))) + &programs
         };
         let files: Vec<[String; 2]> =
@@ -249,7 +249,7 @@
 
     let (vault, folder) = (Vault::start().unwrap(), Folder::new("deaf"));
     let deaf = vault.command(Duration::from_millis(15)).replace("while", "trap '' TERM; while");
-    let more = |_: &larchfall_rig::net::Net, i: usize| {
+    let more = |_: &larchfall_fault_tests::net::Net, i: usize| {
         duties_table(&[0, 1, 2], Some(&folder.record(i))) + &program("writer0", &deaf)
     };
     let fleet = Fleet::new(PROGRAM, 4, 34, more, |_| Vec::new()).begun();
--- a/rig/tests/probing.rs
+++ b/crates/fault-tests/tests/probing.rs
@@ -1,7 +1,7 @@
 //! One front asks the engines for all: several processes, engines that count who asks, a holder that is killed.
 
-use larchfall_rig::probed::Probed;
-use larchfall_rig::process::wait_for;
+use larchfall_fault_tests::probed::Probed;
+use larchfall_fault_tests::process::wait_for;
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall-faulty");
--- a/rig/tests/rules.rs
+++ b/crates/fault-tests/tests/rules.rs
@@ -1,11 +1,11 @@
 //! The rules over a fleet with everything on (members, duties, probing, shares) while its processes and the net between
 //! them break, drawn by seed: fronts killed and started again, stopped, cut off; engines replaced at their addresses.
 
-use larchfall_rig::audit::{End, Ration, Run, Sent};
-use larchfall_rig::script::{self, Script, Step, plain_kinds};
-use larchfall_rig::storm;
-use larchfall_rig::storm::setting::{Piece, Setting};
-use larchfall_toy::hall::{Came, Ledger, Ran};
+use larchfall_fault_tests::audit::{End, Ration, Run, Sent};
+use larchfall_fault_tests::script::{self, Script, Step, plain_kinds};
+use larchfall_fault_tests::storm;
+use larchfall_fault_tests::storm::setting::{Piece, Setting};
+use larchfall_stub::hall::{Came, Ledger, Ran};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
--- a/rig/tests/shares.rs
+++ b/crates/fault-tests/tests/shares.rs
@@ -1,9 +1,9 @@
 //! A cold engine's allowance over several processes: handed out by one keeper, used by all, whoever is cut off or dies.
 
-use larchfall_rig::load;
-use larchfall_rig::net::{Link, SOUND};
-use larchfall_rig::process::{Fleet, config_of, settings, wait_for};
-use larchfall_toy::engine::{Act, Engine};
+use larchfall_fault_tests::load;
+use larchfall_fault_tests::net::{Link, SOUND};
+use larchfall_fault_tests::process::{Fleet, config_of, settings, wait_for};
+use larchfall_stub::engine::{Act, Engine};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/rig/tests/signals.rs
+++ b/crates/fault-tests/tests/signals.rs
@@ -1,10 +1,10 @@
 //! Signals between several processes: what one finds out others know, and neither a front with a broken way nor one with a
 //! broken net has others leave sound engines out.
 
-use larchfall_rig::load;
-use larchfall_rig::process::{Fleet, config_of, settings, wait_for};
-use larchfall_rig::relay::{Relays, Way};
-use larchfall_toy::engine::Engine;
+use larchfall_fault_tests::load;
+use larchfall_fault_tests::process::{Fleet, config_of, settings, wait_for};
+use larchfall_fault_tests::relay::{Relays, Way};
+use larchfall_stub::engine::Engine;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -172,7 +172,7 @@
     tried.fleet.front(2).stop();
     tried.fleet.net.set(
         |a, b| (a == 3) != (b == 3),
-        larchfall_rig::net::Link { cut: true, ..larchfall_rig::net::SOUND },
+        larchfall_fault_tests::net::Link { cut: true, ..larchfall_fault_tests::net::SOUND },
     );
     tried.all_have_it_back(2, &[3, 4, 5]);
     tried.fleet.front(2).signal("-CONT");
@@ -187,10 +187,10 @@
     let all: Vec<usize> = (0..FRONTS).collect();
     tried.load(&all, Duration::from_millis(600));
     tried.leaves_out(1, &all);
-    tried
-        .fleet
-        .net
-        .set(|a, b| a / 3 != b / 3, larchfall_rig::net::Link { cut: true, ..larchfall_rig::net::SOUND });
+    tried.fleet.net.set(
+        |a, b| a / 3 != b / 3,
+        larchfall_fault_tests::net::Link { cut: true, ..larchfall_fault_tests::net::SOUND },
+    );
     let apart = |i: usize| {
         (0..FRONTS).filter(|j| j / 3 != i / 3).all(|j| tried.fleet.held(i, j).as_deref() == Some("dead"))
     };
--- a/rig/tests/storm.rs
+++ b/crates/fault-tests/tests/storm.rs
@@ -1,14 +1,14 @@
 //! The storm: fixed seeds of it, and its own parts: what is drawn, what is shrunk, what is plain, what is reported.
 
-use larchfall_rig::script::{Does, Kind, Script, Step, Timed};
-use larchfall_rig::storm::health::{Rows, Views};
-use larchfall_rig::storm::play::{Summary, keep, out_of_order, play};
-use larchfall_rig::storm::rows::{What, read, row, write};
-use larchfall_rig::storm::search::{Spread, spread};
-use larchfall_rig::storm::setting::{Piece, Setting};
-use larchfall_rig::storm::shrink::{faults, shrink};
-use larchfall_rig::storm::{load::lock, report};
-use larchfall_rig::vault::Action;
+use larchfall_fault_tests::script::{Does, Kind, Script, Step, Timed};
+use larchfall_fault_tests::storm::health::{Rows, Views};
+use larchfall_fault_tests::storm::play::{Summary, keep, out_of_order, play};
+use larchfall_fault_tests::storm::rows::{What, read, row, write};
+use larchfall_fault_tests::storm::search::{Spread, spread};
+use larchfall_fault_tests::storm::setting::{Piece, Setting};
+use larchfall_fault_tests::storm::shrink::{faults, shrink};
+use larchfall_fault_tests::storm::{load::lock, report};
+use larchfall_fault_tests::vault::Action;
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 use std::thread;
@@ -219,7 +219,7 @@
     ];
     let file = std::env::temp_dir().join(format!("larchfall-rows-{}.csv", std::process::id()));
     write(&file, &rows).unwrap();
-    assert_eq!(read::<larchfall_rig::storm::rows::Row>(&file).unwrap(), rows);
+    assert_eq!(read::<larchfall_fault_tests::storm::rows::Row>(&file).unwrap(), rows);
     std::fs::remove_file(&file).unwrap();
     let page = report::page(&[("one".into(), rows.clone()), ("two".into(), rows)]).unwrap();
     assert_eq!(page.matches("<svg").count(), 8, "four charts a run");
--- a/rig/tests/subsets.rs
+++ b/crates/fault-tests/tests/subsets.rs
@@ -1,10 +1,10 @@
 //! Subsets of engines over several processes: few connections, every engine in use, and what fronts do when engines fail,
 //! fronts die and lists change.
 
-use larchfall_rig::load::{self, Ledger};
-use larchfall_rig::process::{self, Fleet, config_of, settings, wait_for};
-use larchfall_toy::board::Board;
-use larchfall_toy::engine::Engine;
+use larchfall_fault_tests::load::{self, Ledger};
+use larchfall_fault_tests::process::{self, Fleet, config_of, settings, wait_for};
+use larchfall_stub::board::Board;
+use larchfall_stub::engine::Engine;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/front/src/batch.rs
+++ b/crates/gateway/src/batch.rs
@@ -4,8 +4,8 @@
 use crate::engines::attempt::{Attempt, not_sent};
 use crate::state::State;
 use crate::task::{Ended, Final, Task};
-use larchfall::interface::{Answer, Next, Outcome, Place};
-use larchfall::time::Span;
+use larchfall_policy::interface::{Answer, Next, Outcome, Place};
+use larchfall_policy::time::Span;
 use slog::warn;
 use std::sync::Arc;
 
--- a/front/src/board.rs
+++ b/crates/gateway/src/board.rs
@@ -3,7 +3,7 @@
 use crate::state::State;
 use crate::state::clock::wait;
 use crate::wire::board::{self, Event, Frame};
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 use may::net::TcpStream;
 use nanorand::{Rng, WyRand};
 use slog::{info, warn};
--- a/front/src/engines/link.rs
+++ b/crates/gateway/src/engines/link.rs
@@ -3,7 +3,7 @@
 use crate::state::clock::Clock;
 use crate::state::engines::Home;
 use crate::wire::http::{self, Reply};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use may::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
--- a/front/src/engines/result.rs
+++ b/crates/gateway/src/engines/result.rs
@@ -4,8 +4,8 @@
 use crate::engines::link::Link;
 use crate::task::Ended;
 use crate::wire::http::{self, Reply};
-use larchfall::interface::{Last, Note, Outcome, Report};
-use larchfall::time::Span;
+use larchfall_policy::interface::{Last, Note, Outcome, Report};
+use larchfall_policy::time::Span;
 use slog::warn;
 
 /// Nothing is held back of a page.
--- a/front/src/fronts/duties.rs
+++ b/crates/gateway/src/fronts/duties.rs
@@ -5,22 +5,22 @@
 use crate::engines::attempt;
 use crate::run::parts::{self, Parts, boot_time};
 use crate::state::{State, lock};
-use larchfall::interface::{ColdRule, Report, ServiceGroup};
-use larchfall::time::{At, Span};
-use larchfall_duty::duties::{Change, Duties, Out, Settings, View, What};
-use larchfall_duty::elector::Bounds;
-use larchfall_duty::fitness::{Fitness, Lines, Sight};
-use larchfall_duty::permit::{Permit, Stamped};
-use larchfall_duty::probing::{Probe, Reading, duty, duty_of, keeper};
-use larchfall_duty::record::{Record, find};
-use larchfall_duty::wire::{Letter, Matter, Unreadable, Who, pages};
-use larchfall_members::members::Member;
-use larchfall_shares::Terms;
-use larchfall_shares::capacity::Capacity;
-use larchfall_shares::demand::{Demand, Wanted};
-use larchfall_shares::keeper::Fairness;
-use larchfall_shares::shares::{self, Asking, Shares};
-use larchfall_site::{Duties as Site, Keepers, Kinds};
+use larchfall_leases::duties::{Change, Duties, Out, Settings, View, What};
+use larchfall_leases::elector::Bounds;
+use larchfall_leases::fitness::{Fitness, Lines, Sight};
+use larchfall_leases::permit::{Permit, Stamped};
+use larchfall_leases::probing::{Probe, Reading, duty, duty_of, keeper};
+use larchfall_leases::record::{Record, find};
+use larchfall_leases::wire::{Letter, Matter, Unreadable, Who, pages};
+use larchfall_membership::members::Member;
+use larchfall_operator_config::{Duties as Site, Keepers, Kinds};
+use larchfall_policy::interface::{ColdRule, Report, ServiceGroup};
+use larchfall_policy::time::{At, Span};
+use larchfall_quotas::Terms;
+use larchfall_quotas::capacity::Capacity;
+use larchfall_quotas::demand::{Demand, Wanted};
+use larchfall_quotas::keeper::Fairness;
+use larchfall_quotas::shares::{self, Asking, Shares};
 use slog::{info, warn};
 use std::collections::BTreeMap;
 use std::io;
@@ -477,7 +477,7 @@
         let now = self.now();
         let leases = lock(&self.leases);
         let row = |view: View| {
-            let told = |k: &larchfall_duty::duties::Known| (k.holder.name.clone(), k.token, k.until);
+            let told = |k: &larchfall_leases::duties::Known| (k.holder.name.clone(), k.token, k.until);
             let here = view.held.map(|(token, until)| (self.me.name.clone(), token, until));
             let held = here.or(view.known.map(told));
             let left = |until: At| until.since(now).micros() / 1000;
@@ -563,7 +563,7 @@
 
 /// The thread that keeps records, before it runs.
 pub struct Keeper {
-    disk: Box<dyn larchfall_duty::record::Disk>,
+    disk: Box<dyn larchfall_leases::record::Disk>,
     taken: Receiver<Record>,
 }
 
--- a/front/src/fronts/mind.rs
+++ b/crates/gateway/src/fronts/mind.rs
@@ -3,7 +3,7 @@
 //! until when the lease lasts, and needs nobody for the end.
 
 use crate::run::parts::boot_time;
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use rustix::process::{Pid, Signal, kill_process_group};
 use std::io::{self, BufRead};
 use std::os::unix::process::CommandExt;
--- a/front/src/fronts/mod.rs
+++ b/crates/gateway/src/fronts/mod.rs
@@ -12,11 +12,11 @@
 use crate::state::facade::Verdict;
 use crate::state::lock;
 use duties::Duty;
-use larchfall::time::{At, Span};
-use larchfall_members::claim::Standing;
-use larchfall_members::count::Count;
-use larchfall_members::members::{Members, Out, Refused, Settings};
-use larchfall_members::wire::{Letter, MOST_BYTES, Unreadable};
+use larchfall_membership::claim::Standing;
+use larchfall_membership::count::Count;
+use larchfall_membership::members::{Members, Out, Refused, Settings};
+use larchfall_membership::wire::{Letter, MOST_BYTES, Unreadable};
+use larchfall_policy::time::{At, Span};
 use may::net::UdpSocket;
 use signals::Signals;
 use slog::{info, warn};
@@ -102,7 +102,7 @@
     }
 
     /// Seeds, periods and duties from a file that was read again.
-    pub fn set(&self, state: &State, settings: Settings, duties: Option<larchfall_site::Duties>) {
+    pub fn set(&self, state: &State, settings: Settings, duties: Option<larchfall_operator_config::Duties>) {
         // Which fleet it belongs to changes with the next start only.
         lock(&self.members).set(Settings { cluster: self.cluster.clone(), ..settings });
         match (&self.duties, duties) {
@@ -180,7 +180,7 @@
     /// By front: its name, standing, generation, address, zone, since when it stands so and when it was heard, in seconds.
     fn rows(&self, now: At) -> Vec<Vec<String>> {
         let members = lock(&self.members);
-        let row = |(name, m): (&String, &larchfall_members::members::Member)| {
+        let row = |(name, m): (&String, &larchfall_membership::members::Member)| {
             let heard = m.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
             let since = format!("{:.1}", now.since(m.since).secs());
             let (generation, address) = (m.claim.generation.to_string(), m.about.address.to_string());
@@ -227,12 +227,12 @@
     fn hear(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
         one(&self.counters.heard);
         if let Some(signals) =
-            self.signals.as_ref().filter(|_| bytes.first() == Some(&larchfall_signals::wire::VERSION))
+            self.signals.as_ref().filter(|_| bytes.first() == Some(&larchfall_health_gossip::wire::VERSION))
         {
             return signals.hear(state, self, bytes, from);
         }
         match (bytes.first(), &self.duties) {
-            (Some(&larchfall_duty::wire::VERSION), Some(duties)) => {
+            (Some(&larchfall_leases::wire::VERSION), Some(duties)) => {
                 return duties.hear(state, self, bytes, from);
             }
             (Some(&ask::VERSION), _) => return self.answer(state, bytes, from),
--- a/front/src/fronts/programs.rs
+++ b/crates/gateway/src/fronts/programs.rs
@@ -1,8 +1,8 @@
 //! The operator's programs that run while this front holds their duties, each behind a minder. Processes are started and
 //! waited for on a thread of its own.
 
-use larchfall::time::{At, Span};
-use larchfall_site::Program;
+use larchfall_operator_config::Program;
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 use std::process::{Child, Command, Stdio};
--- a/front/src/fronts/signals.rs
+++ b/crates/gateway/src/fronts/signals.rs
@@ -3,11 +3,11 @@
 
 use super::Fronts;
 use crate::state::{State, lock};
-use larchfall::time::{At, Span};
-use larchfall_signals::Process;
-use larchfall_signals::desk::{Bounds, Desk};
-use larchfall_signals::wire::{Letter, MOST_ENGINES};
-use larchfall_site::Signals as Site;
+use larchfall_health_gossip::Process;
+use larchfall_health_gossip::desk::{Bounds, Desk};
+use larchfall_health_gossip::wire::{Letter, MOST_ENGINES};
+use larchfall_operator_config::Signals as Site;
+use larchfall_policy::time::{At, Span};
 use nanorand::{Rng, WyRand};
 use slog::info;
 use std::collections::{BTreeMap, HashSet};
--- a/front/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -6,8 +6,8 @@
 use crate::task::{Reader, Task};
 use crate::wire::request::Request;
 use crate::wire::statement::table_group;
-use larchfall::interface::{Batch, Place};
-use larchfall::time::{At, Span};
+use larchfall_policy::interface::{Batch, Place};
+use larchfall_policy::time::{At, Span};
 use std::sync::Arc;
 
 /// The way of a batch to here and of its answer back, in a busy moment: what is owed leaves this much before
--- /dev/null
+++ b/crates/gateway/src/main.rs
@@ -0,0 +1,3 @@
+fn main() -> std::process::ExitCode {
+    larchfall_gateway::run::command::main()
+}
--- a/front/src/protocols/rest.rs
+++ b/crates/gateway/src/protocols/rest.rs
@@ -1,5 +1,5 @@
 //! A client connection of the paged REST protocol: one coroutine that reads calls and answers them one after the
-//! other. Which page is whose, and until when, is decided by `larchfall_rest`; where a batch goes, by the module.
+//! other. Which page is whose, and until when, is decided by `larchfall_paged_rest`; where a batch goes, by the module.
 
 use super::Reason;
 use crate::intake::{self, Refused};
@@ -9,14 +9,14 @@
 use crate::state::pages::{Found, Pages};
 use crate::task::{Final, Reader};
 use crate::wire::request::{self, Request};
-use larchfall::time::{At, Span};
-use larchfall_rest::call::{self, Call, Read as Got, Verb};
-use larchfall_rest::cursor::{End, Page, Settled};
-use larchfall_rest::document::{self, Addresses, Body, Fault};
-use larchfall_rest::results::Name;
-use larchfall_rest::slug::{self, Key, Place};
-use larchfall_rest::words::{self, Worded};
-use larchfall_site::Rest;
+use larchfall_operator_config::Rest;
+use larchfall_paged_rest::call::{self, Call, Read as Got, Verb};
+use larchfall_paged_rest::cursor::{End, Page, Settled};
+use larchfall_paged_rest::document::{self, Addresses, Body, Fault};
+use larchfall_paged_rest::results::Name;
+use larchfall_paged_rest::slug::{self, Key, Place};
+use larchfall_paged_rest::words::{self, Worded};
+use larchfall_policy::time::{At, Span};
 use may::net::{TcpListener, TcpStream};
 use nanorand::{Rng, WyRand};
 use slog::{info, warn};
--- a/front/src/protocols/rpc.rs
+++ b/crates/gateway/src/protocols/rpc.rs
@@ -7,7 +7,7 @@
 use crate::task::{Final, Reader};
 use crate::wire::request::Request;
 use crate::wire::rpc::{self, Message, Scan};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use may::io::WaitIo;
 use may::net::TcpStream;
 use slog::info;
--- a/front/src/run/command.rs
+++ b/crates/gateway/src/run/command.rs
@@ -3,7 +3,7 @@
 use super::parts::Parts;
 use super::{config as files, serve, stop, survey};
 use crate::fronts::{ask, mind};
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 use lexopt::prelude::*;
 use std::process::ExitCode;
 
@@ -165,7 +165,8 @@
                 .and_then(|file| files::read(&file).map(|c| (file, c)))
                 .and_then(|(file, config)| {
                     let read = |path: String| {
-                        larchfall_site::read(&path, &config.settings.names).map(|site| (path, site))
+                        larchfall_operator_config::read(&path, &config.settings.names)
+                            .map(|site| (path, site))
                     };
                     let site = site.map(read).transpose()?;
                     Ok((file, config, site))
@@ -202,7 +203,7 @@
 /// What the operator's `[subsets]` comes to.
 fn surveyed(
     config: &files::Config,
-    site: Option<larchfall_site::Subsets>,
+    site: Option<larchfall_operator_config::Subsets>,
     fronts: usize,
     chart: Option<String>,
 ) -> ExitCode {
@@ -221,7 +222,7 @@
     ExitCode::SUCCESS
 }
 
-fn asked(what: ask::What, fronts: Option<larchfall_site::Fronts>) -> ExitCode {
+fn asked(what: ask::What, fronts: Option<larchfall_operator_config::Fronts>) -> ExitCode {
     let Some(fronts) = fronts else {
         eprintln!("larchfall: the site file has no [fronts] table; give --site FILE");
         return ExitCode::from(2);
--- a/front/src/run/config.rs
+++ b/crates/gateway/src/run/config.rs
@@ -2,7 +2,7 @@
 
 use crate::state::limits::Limits;
 use crate::wire::board::{self, Event, Known};
-use larchfall_settings::{self as settings, Settings};
+use larchfall_config::{self as settings, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddrV4;
--- a/front/src/run/parts.rs
+++ b/crates/gateway/src/run/parts.rs
@@ -1,8 +1,8 @@
 //! What of the machine fronts among themselves stand on: a steady clock that also runs in sleep, the Unix clock, and a
 //! folder. A test's program puts others in their place; the shipped one has no way to.
 
-use larchfall::time::{At, Span};
-use larchfall_duty::record::{Disk, keep};
+use larchfall_leases::record::{Disk, keep};
+use larchfall_policy::time::{At, Span};
 use rustix::time::{ClockId, clock_gettime};
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
@@ -64,7 +64,7 @@
 /// Keeps records as they come, on a thread of its own: a disk may be slow or hang, and no batch waits for it.
 pub fn keeper(
     mut disk: Box<dyn Disk>,
-    records: std::sync::mpsc::Receiver<larchfall_duty::record::Record>,
+    records: std::sync::mpsc::Receiver<larchfall_leases::record::Record>,
     mut kept: impl FnMut(io::Result<()>) + Send + 'static,
 ) -> io::Result<()> {
     std::thread::Builder::new()
--- a/front/src/run/reload.rs
+++ b/crates/gateway/src/run/reload.rs
@@ -6,8 +6,8 @@
 use crate::fronts::Fronts;
 use crate::protocols::rest::RestService;
 use crate::state::State;
-use larchfall::time::Span;
-use larchfall_site::Site;
+use larchfall_operator_config::Site;
+use larchfall_policy::time::Span;
 use may::io::CoIo;
 use may::sync::mpsc;
 use slog::{info, warn};
@@ -71,7 +71,8 @@
         let files = files.clone();
         let started = std::thread::Builder::new().spawn(move || {
             let both = config::read(&files.config).and_then(|config| {
-                let site = files.site.map(|file| larchfall_site::read(&file, &config.settings.names));
+                let site =
+                    files.site.map(|file| larchfall_operator_config::read(&file, &config.settings.names));
                 let (config, site) = (Box::new(config), Box::new(site.transpose()?.unwrap_or_default()));
                 Ok(Read { config, site })
             });
--- a/front/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -19,16 +19,16 @@
 use crate::state::stalls::Stalls;
 use crate::subset::{self, Subset};
 use crate::{board, timer};
-use larchfall::interface::{Caps, Effect, Given};
-use larchfall::policy::Policy;
-use larchfall::time::{At, Span};
-use larchfall_duty::probing::Probing;
-use larchfall_duty::wire::Who;
-use larchfall_members::claim::About;
-use larchfall_members::count::Count;
-use larchfall_members::members::Members;
-use larchfall_shares::capacity::Capacity;
-use larchfall_site::{Kinds, Site};
+use larchfall_leases::probing::Probing;
+use larchfall_leases::wire::Who;
+use larchfall_membership::claim::About;
+use larchfall_membership::count::Count;
+use larchfall_membership::members::Members;
+use larchfall_operator_config::{Kinds, Site};
+use larchfall_policy::interface::{Caps, Effect, Given};
+use larchfall_policy::policy::Policy;
+use larchfall_policy::time::{At, Span};
+use larchfall_quotas::capacity::Capacity;
 use may::net::TcpListener;
 use slog::{info, warn};
 use std::net::SocketAddrV4;
@@ -176,8 +176,11 @@
 /// settings name.
 fn join_fronts(
     state: &State,
-    site: larchfall_site::Fronts,
-    (duties, signals): (Option<larchfall_site::Duties>, Option<larchfall_site::Signals>),
+    site: larchfall_operator_config::Fronts,
+    (duties, signals): (
+        Option<larchfall_operator_config::Duties>,
+        Option<larchfall_operator_config::Signals>,
+    ),
     shared: Shared,
     seed: u64,
     parts: Parts,
@@ -205,11 +208,11 @@
 }
 
 fn start(
-    s: larchfall_settings::Settings,
+    s: larchfall_config::Settings,
     limits: crate::state::limits::Limits,
     seed: u64,
     log: slog::Logger,
-    probing: Option<larchfall_duty::probing::Settings>,
+    probing: Option<larchfall_leases::probing::Settings>,
     clock: Clock,
 ) -> State {
     let in_order = s.given.groups.iter().map(|g| g.in_order).collect();
--- a/front/src/run/stop.rs
+++ b/crates/gateway/src/run/stop.rs
@@ -4,7 +4,7 @@
 use crate::fronts::Fronts;
 use crate::protocols::rest::RestService;
 use crate::state::State;
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 use may::io::CoIo;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::low_level::pipe;
--- a/front/src/run/survey.rs
+++ b/crates/gateway/src/run/survey.rs
@@ -3,9 +3,9 @@
 use super::config::Config;
 use crate::fronts::ask::table;
 use crate::state::engines::Engines;
-use larchfall_site::Subsets;
-use larchfall_subsets::survey::{Survey, survey};
-use larchfall_subsets::{Front, Listed};
+use larchfall_operator_config::Subsets;
+use larchfall_subsetting::survey::{Survey, survey};
+use larchfall_subsetting::{Front, Listed};
 use plotters::prelude::*;
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64;
--- a/front/src/state/alarms.rs
+++ b/crates/gateway/src/state/alarms.rs
@@ -10,7 +10,7 @@
 use super::clock::Clock;
 use super::due::Due;
 use super::lock;
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use may::sync::Blocker;
 use slab::Slab;
 use std::sync::{Arc, Mutex};
--- a/front/src/state/clock.rs
+++ b/crates/gateway/src/state/clock.rs
@@ -1,6 +1,6 @@
 //! A steady clock, set once against the Unix clock: a step of that one moves no time limit.
 
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy)]
--- a/front/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -2,7 +2,7 @@
 
 use super::lock;
 use crate::task::Final;
-use larchfall::interface::Outcome;
+use larchfall_policy::interface::Outcome;
 use std::sync::Mutex;
 
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/front/src/state/due.rs
+++ b/crates/gateway/src/state/due.rs
@@ -1,6 +1,6 @@
 //! Due times in order, one for each batch that waits.
 
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeSet;
 
 #[derive(Default)]
--- a/front/src/state/engines.rs
+++ b/crates/gateway/src/state/engines.rs
@@ -1,9 +1,9 @@
 //! Engines by their ids on the notice board, as the small indices that decisions use.
 
 use crate::wire::board::{Entry, Event};
-use larchfall::interface::{Engine, EngineState};
-use larchfall::time::At;
-use larchfall_signals::Process;
+use larchfall_health_gossip::Process;
+use larchfall_policy::interface::{Engine, EngineState};
+use larchfall_policy::time::At;
 use slab::Slab;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
--- a/front/src/state/facade.rs
+++ b/crates/gateway/src/state/facade.rs
@@ -6,19 +6,19 @@
 use super::engines::{Engines, Home};
 use super::lock;
 use crate::wire::board::Event;
-use larchfall::interface::*;
-use larchfall::policy::Policy;
-use larchfall::time::At;
-use larchfall_shares::capacity::Capacity;
-use larchfall_shares::demand::Came;
-use larchfall_signals::sights::{Saw, Sights};
-use larchfall_signals::{Counts, Process};
+use larchfall_health_gossip::sights::{Saw, Sights};
+use larchfall_health_gossip::{Counts, Process};
+use larchfall_policy::interface::*;
+use larchfall_policy::policy::Policy;
+use larchfall_policy::time::At;
+use larchfall_quotas::capacity::Capacity;
+use larchfall_quotas::demand::Came;
 use may::sync::Blocker;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::{Arc, Mutex};
 
-pub use larchfall::policy::TICK;
+pub use larchfall_policy::policy::TICK;
 
 /// Why a batch was not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/front/src/state/pages.rs
+++ b/crates/gateway/src/state/pages.rs
@@ -4,11 +4,11 @@
 use super::alarms::Alarms;
 use super::clock::Clock;
 use super::lock;
-use larchfall::time::{At, Span};
-use larchfall_rest::cursor::{Ask, End, Page, Settled};
-use larchfall_rest::document::Body;
-use larchfall_rest::results::{Caps, Left, Name, Results};
-use larchfall_rest::slug::Place;
+use larchfall_paged_rest::cursor::{Ask, End, Page, Settled};
+use larchfall_paged_rest::document::Body;
+use larchfall_paged_rest::results::{Caps, Left, Name, Results};
+use larchfall_paged_rest::slug::Place;
+use larchfall_policy::time::{At, Span};
 use may::sync::Blocker;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
--- a/front/src/state/peer.rs
+++ b/crates/gateway/src/state/peer.rs
@@ -3,7 +3,7 @@
 
 use super::lock;
 use crate::wire::rpc::{self, Answer};
-use larchfall::time::At;
+use larchfall_policy::time::At;
 use may::io::WaitIoWaker;
 use slab::Slab;
 use std::collections::BTreeMap;
--- a/front/src/state/permits.rs
+++ b/crates/gateway/src/state/permits.rs
@@ -4,7 +4,7 @@
 
 use super::alarms::Alarms;
 use super::lock;
-use larchfall::time::At;
+use larchfall_policy::time::At;
 use may::sync::Blocker;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/front/src/state/pool.rs
+++ b/crates/gateway/src/state/pool.rs
@@ -6,7 +6,7 @@
 use super::lock;
 use super::permits::Permits;
 use crate::engines::link::Link;
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
--- a/front/src/state/stalls.rs
+++ b/crates/gateway/src/state/stalls.rs
@@ -2,7 +2,7 @@
 //! some of that time already.
 
 use super::lock;
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::sync::Mutex;
 
 /// The timer comes by this often.
--- a/front/src/subset.rs
+++ b/crates/gateway/src/subset.rs
@@ -3,11 +3,11 @@
 
 use crate::fronts::Fronts;
 use crate::state::State;
-use larchfall::interface::{Fleet, ServiceGroup};
-use larchfall_site::Subsets;
-use larchfall_subsets::aperture::{Aperture, Sight};
-use larchfall_subsets::plan::Plan;
-use larchfall_subsets::{Front, Listed, needs};
+use larchfall_operator_config::Subsets;
+use larchfall_policy::interface::{Fleet, ServiceGroup};
+use larchfall_subsetting::aperture::{Aperture, Sight};
+use larchfall_subsetting::plan::Plan;
+use larchfall_subsetting::{Front, Listed, needs};
 use slog::info;
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/front/src/task.rs
+++ b/crates/gateway/src/task.rs
@@ -1,7 +1,7 @@
 //! A batch on its way, in no protocol's words: what is sent, who reads its rows, and how it ends.
 
-use larchfall::interface::{Outcome, Report, Seen};
-use larchfall::time::{At, Span};
+use larchfall_policy::interface::{Outcome, Report, Seen};
+use larchfall_policy::time::{At, Span};
 use std::sync::Arc;
 
 /// What a batch needs to be sent, and who reads it.
--- a/front/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -8,7 +8,7 @@
 use crate::state::clock::wait;
 use crate::state::facade::TICK;
 use crate::state::stalls::TIMER_PERIOD;
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 use may::os::unix::net::UnixStream;
 use may::sync::Blocker;
 use slog::{info, warn};
--- a/front/src/wire/board.rs
+++ b/crates/gateway/src/wire/board.rs
@@ -1,7 +1,7 @@
 //! The notice board: numbered changes of the list of engines, as JSON in the configuration and as frames.
 
-use larchfall::interface::EngineState;
-use larchfall_settings::Names;
+use larchfall_config::Names;
+use larchfall_policy::interface::EngineState;
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/front/src/wire/http.rs
+++ b/crates/gateway/src/wire/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as it is spoken to query engines.
 
-use larchfall::interface::{Note, Report};
-use larchfall::time::Span;
+use larchfall_policy::interface::{Note, Report};
+use larchfall_policy::time::Span;
 use std::fmt::Display;
 
 /// No head of an engine is longer, and none has more lines.
--- a/front/src/wire/request.rs
+++ b/crates/gateway/src/wire/request.rs
@@ -1,6 +1,6 @@
 //! One batch as its client words it, in any protocol: texts become figures here, once.
 
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 
 /// No wait or work of a day and no memory of a terabyte is meant: what is beyond is no figure of ours, and would
 /// only reach an engine that can't use it.
--- a/front/src/wire/rpc.rs
+++ b/crates/gateway/src/wire/rpc.rs
@@ -1,7 +1,7 @@
 //! MessagePack-RPC as clients speak it.
 
 use super::request::{self, Request};
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 use rmp::Marker;
 use rmpv::ValueRef;
 use rmpv::decode::read_value_ref_with_max_depth;
--- a/front/tests/front/codecs.rs
+++ b/crates/gateway/tests/front/codecs.rs
@@ -1,13 +1,13 @@
 //! Bytes to typed values and back: tables of cases, each input also cut at every byte.
 
-use larchfall::interface::{EngineState, Note, Report};
-use larchfall::time::Span;
-use larchfall_front::wire::http::{self, Reply, Start};
-use larchfall_front::wire::rpc::{self, Answer, Message, Scan};
-use larchfall_front::wire::{board, statement};
-use larchfall_settings::Names;
-use larchfall_toy::board::{Listed, frame};
-use larchfall_toy::client::request;
+use larchfall_config::Names;
+use larchfall_gateway::wire::http::{self, Reply, Start};
+use larchfall_gateway::wire::rpc::{self, Answer, Message, Scan};
+use larchfall_gateway::wire::{board, statement};
+use larchfall_policy::interface::{EngineState, Note, Report};
+use larchfall_policy::time::Span;
+use larchfall_stub::board::{Listed, frame};
+use larchfall_stub::client::request;
 use rmpv::Value;
 
 fn bytes(value: &Value) -> Vec<u8> {
--- a/front/tests/front/common.rs
+++ b/crates/gateway/tests/front/common.rs
@@ -1,14 +1,14 @@
 //! One front as a program of its own, with toy engines and a toy board around it.
 
-use larchfall_rig::process;
-use larchfall_toy::board::Board;
-use larchfall_toy::engine::Engine;
+use larchfall_fault_tests::process;
+use larchfall_stub::board::Board;
+use larchfall_stub::engine::Engine;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
 use std::time::Duration;
 
-pub use larchfall_rig::process::{config, config_of, settings, site, wait_for};
+pub use larchfall_fault_tests::process::{config, config_of, settings, site, wait_for};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall");
 
@@ -103,6 +103,6 @@
 }
 
 /// An engine that is seen to have come this far.
-pub fn until_seen(engine: &Engine, what: &str, seen: impl Fn(&larchfall_toy::engine::Seen) -> bool) {
+pub fn until_seen(engine: &Engine, what: &str, seen: impl Fn(&larchfall_stub::engine::Seen) -> bool) {
     wait_for(what, || seen(&engine.seen()).then_some(()));
 }
--- a/front/tests/front/cost.rs
+++ b/crates/gateway/tests/front/cost.rs
@@ -2,11 +2,11 @@
 //! `cargo test --release -p larchfall-front --test front cost -- --ignored --nocapture`.
 
 use crate::common::{Front, config, site};
-use larchfall_rest::document::Document;
-use larchfall_toy::board::Board;
-use larchfall_toy::client::Answer;
-use larchfall_toy::engine::{Act, Engine};
-use larchfall_toy::rest::path;
+use larchfall_paged_rest::document::Document;
+use larchfall_stub::board::Board;
+use larchfall_stub::client::Answer;
+use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::rest::path;
 use std::time::{Duration, Instant};
 
 const REST: &str = "results = 2100
--- a/front/tests/front/crossings.rs
+++ b/crates/gateway/tests/front/crossings.rs
@@ -2,10 +2,10 @@
 //! a marked point. The list of them is docs/races.md.
 
 use crate::common::{Front, Full, PROGRAM, config, config_of, settings, wait_for};
-use larchfall_rig::relay::{Relays, Way};
-use larchfall_toy::board::Board;
-use larchfall_toy::client::{Answer, Client, request};
-use larchfall_toy::engine::{Act, Engine};
+use larchfall_fault_tests::relay::{Relays, Way};
+use larchfall_stub::board::Board;
+use larchfall_stub::client::{Answer, Client, request};
+use larchfall_stub::engine::{Act, Engine};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Stdio};
--- a/front/tests/front/fronts.rs
+++ b/crates/gateway/tests/front/fronts.rs
@@ -1,8 +1,8 @@
 //! Several fronts as programs of their own, and a net between them that breaks. Each failure names the seed.
 
 use crate::common::{PROGRAM, wait_for};
-use larchfall_rig::net::{Link, SOUND};
-use larchfall_rig::process::{Fleet, PERIOD, fronts_table, name};
+use larchfall_fault_tests::net::{Link, SOUND};
+use larchfall_fault_tests::process::{Fleet, PERIOD, fronts_table, name};
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
--- a/front/tests/front/rest.rs
+++ b/crates/gateway/tests/front/rest.rs
@@ -1,11 +1,11 @@
 //! The paged protocol on loopback sockets: a front with its site file, toy engines and toy clients of both kinds.
 
 use crate::common::{Front, config, site, until_seen, wait_for};
-use larchfall_rest::document::{Document, State};
-use larchfall_toy::board::Board;
-use larchfall_toy::client::Answer as Whole;
-use larchfall_toy::engine::{Act, Engine};
-use larchfall_toy::rest::{Answer, RestClient, path};
+use larchfall_paged_rest::document::{Document, State};
+use larchfall_stub::board::Board;
+use larchfall_stub::client::Answer as Whole;
+use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::rest::{Answer, RestClient, path};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/front/tests/front/sockets.rs
+++ b/crates/gateway/tests/front/sockets.rs
@@ -1,11 +1,11 @@
 //! The program on loopback sockets, between toy engines, a toy board and toy clients.
 
 use crate::common::{Front, Full, config, config_of, nobody, settings, until_seen, wait_for};
-use larchfall_rig::relay::{Relays, Way};
-use larchfall_toy::board::{Board, Listed, frame};
-use larchfall_toy::client::{Answer, Client, request};
-use larchfall_toy::engine::{Act, Engine};
-use larchfall_toy::hall::{Fate, Hall, RUNS_ON};
+use larchfall_fault_tests::relay::{Relays, Way};
+use larchfall_stub::board::{Board, Listed, frame};
+use larchfall_stub::client::{Answer, Client, request};
+use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::hall::{Fate, Hall, RUNS_ON};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/front/tests/front/together.rs
+++ b/crates/gateway/tests/front/together.rs
@@ -3,12 +3,12 @@
 //! of what really ran; the seed of a run stands in each failure.
 
 use crate::common::{Front, config_of, settings, site, wait_for};
-use larchfall_rest::document::Document;
-use larchfall_rig::audit::{End, Ration, Run, Sent};
-use larchfall_toy::board::{Board, Listed, frame};
-use larchfall_toy::client::{Answer, Client};
-use larchfall_toy::hall::{Fate, Hall, Ledger};
-use larchfall_toy::rest::{RestClient, path};
+use larchfall_fault_tests::audit::{End, Ration, Run, Sent};
+use larchfall_paged_rest::document::Document;
+use larchfall_stub::board::{Board, Listed, frame};
+use larchfall_stub::client::{Answer, Client};
+use larchfall_stub::hall::{Fate, Hall, Ledger};
+use larchfall_stub::rest::{RestClient, path};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/signals/src/books.rs
+++ b/crates/health-gossip/src/books.rs
@@ -2,7 +2,7 @@
 //! two words for one engine the later letter's counts. What comes twice, late or out of order changes nothing.
 
 use crate::{Counts, Process};
-use larchfall::time::At;
+use larchfall_policy::time::At;
 use std::collections::BTreeMap;
 
 /// Of one engine, by one front: the counts of its latest letter that named it, and what of them was weighed already.
--- a/signals/src/desk.rs
+++ b/crates/health-gossip/src/desk.rs
@@ -5,7 +5,7 @@
 use crate::turns::Turns;
 use crate::weigh::{self, Weigher, tells_of_own_net};
 use crate::{Counts, Process};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many fronts and processes are noted at most.
--- a/signals/src/lib.rs
+++ b/crates/health-gossip/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod weigh;
 pub mod wire;
 
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 use serde::{Deserialize, Serialize};
 
 /// A process of an engine: its id, and when the list says that it started. Another process at its address is another one.
--- a/signals/src/sights.rs
+++ b/crates/health-gossip/src/sights.rs
@@ -2,8 +2,8 @@
 //! then, since letters are lost.
 
 use crate::{Counts, Lately, Process, faded};
-use larchfall::interface::Outcome;
-use larchfall::time::At;
+use larchfall_policy::interface::Outcome;
+use larchfall_policy::time::At;
 use std::collections::BTreeMap;
 
 /// What happened to a dispatch, as far as it tells of its engine.
--- a/signals/src/turns.rs
+++ b/crates/health-gossip/src/turns.rs
@@ -5,7 +5,7 @@
 //! and it is one again.
 
 use crate::{Counts, Process};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
--- a/signals/src/weigh.rs
+++ b/crates/health-gossip/src/weigh.rs
@@ -6,7 +6,7 @@
 
 use crate::books::New;
 use crate::{Process, faded};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/signals/tests/model.rs
+++ b/crates/health-gossip/tests/model.rs
@@ -1,9 +1,9 @@
 //! Three fronts that take turns at an engine that was left out, while they die, believe others dead, lose what others tell,
 //! and the engine comes back: nobody is tried out of turn, and in the end all that live have it back.
 
-use larchfall::time::{At, Span};
-use larchfall_signals::turns::Turns;
-use larchfall_signals::{Counts, Process};
+use larchfall_health_gossip::turns::Turns;
+use larchfall_health_gossip::{Counts, Process};
+use larchfall_policy::time::{At, Span};
 use stateright::{Checker, Model, Property};
 
 const EVERY: Span = Span::from_millis(1_000);
--- a/signals/tests/signals.rs
+++ b/crates/health-gossip/tests/signals.rs
@@ -1,11 +1,11 @@
 //! Letters in any order, lost and doubled; fronts that lie or whose own net is broken; turns over a fleet that changes.
 
-use larchfall::time::{At, Span};
-use larchfall_signals::books::{Books, New};
-use larchfall_signals::sights::{Saw, Sights};
-use larchfall_signals::turns::{Turns, place, slot};
-use larchfall_signals::weigh::{Evidence, Settings, Weigher};
-use larchfall_signals::{Counts, Lately, Process};
+use larchfall_health_gossip::books::{Books, New};
+use larchfall_health_gossip::sights::{Saw, Sights};
+use larchfall_health_gossip::turns::{Turns, place, slot};
+use larchfall_health_gossip::weigh::{Evidence, Settings, Weigher};
+use larchfall_health_gossip::{Counts, Lately, Process};
+use larchfall_policy::time::{At, Span};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/duty/src/bid.rs
+++ b/crates/leases/src/bid.rs
@@ -2,7 +2,7 @@
 //! before it was asked for, less a margin for clocks that run unevenly, so that it ends here before it ends there.
 
 use crate::quorum::Electors;
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeMap;
 
 /// How long leases are.
--- a/duty/src/duties.rs
+++ b/crates/leases/src/duties.rs
@@ -11,7 +11,7 @@
 use crate::record::Record;
 use crate::spread;
 use crate::wire::{Leased, Letter, Matter, Vote, Want, Who, pages, size};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/duty/src/elector.rs
+++ b/crates/leases/src/elector.rs
@@ -4,7 +4,7 @@
 
 use crate::record::Record;
 use crate::wire::{Leased, Vote, Want, Who};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/duty/src/fitness.rs
+++ b/crates/leases/src/fitness.rs
@@ -1,7 +1,7 @@
 //! Whether a front may hold duties at all: it needs engines within reach, a list that it knows freshly, and health of its
 //! own. One that is slow itself does its duty late, and keeps others from doing it in time.
 
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 
 /// What is looked at by the operator's file; lines that are absent are not.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/duty/src/permit.rs
+++ b/crates/leases/src/permit.rs
@@ -1,7 +1,7 @@
 //! What a holder may do, and how what it does is checked. An action towards what can check tokens carries one and is
 //! refused there once a newer was seen; towards what can't, only what states that a second, late one does no harm.
 
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/duty/src/probing.rs
+++ b/crates/leases/src/probing.rs
@@ -3,7 +3,7 @@
 //! few such duties by a hash of their id, so that one holder does not ask all.
 
 use crate::permit::{Fence, Harmless, Stamped};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
--- a/duty/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Whole fleets of duties in one process, by seed: what is held, by whom, and how long nobody holds it.
 
-use larchfall::time::Span;
-use larchfall_duty::duties::Why;
-use larchfall_rig::duties::{DiskDoes, Fleet, ms, name, settings};
+use larchfall_fault_tests::duties::{DiskDoes, Fleet, ms, name, settings};
+use larchfall_leases::duties::Why;
+use larchfall_policy::time::Span;
 use nanorand::Rng;
 
 const BOUND: Span = Span::from_millis(12_000);
--- a/duty/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,12 +1,12 @@
 //! Electors and two askers of one duty under everything that may come between them: letters lost, doubled, late and out
 //! of order, an elector whose clock runs twice as fast, electors that start anew with and without what they knew.
 
-use larchfall::time::{At, Span};
-use larchfall_duty::bid::{Bid, Terms};
-use larchfall_duty::elector::{Bounds, Elector};
-use larchfall_duty::quorum::Electors;
-use larchfall_duty::record::Record;
-use larchfall_duty::wire::{Vote, Want, Who};
+use larchfall_leases::bid::{Bid, Terms};
+use larchfall_leases::elector::{Bounds, Elector};
+use larchfall_leases::quorum::Electors;
+use larchfall_leases::record::Record;
+use larchfall_leases::wire::{Vote, Want, Who};
+use larchfall_policy::time::{At, Span};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/duty/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -1,15 +1,15 @@
 //! The parts one by one, as tables.
 
-use larchfall::time::{At, Span};
-use larchfall_duty::bid::{Bid, Terms};
-use larchfall_duty::elector::{Bounds, Elector};
-use larchfall_duty::fitness::{Fitness, Lines, Sight};
-use larchfall_duty::permit::Fence;
-use larchfall_duty::probing::{Probing, Reading, Settings, duty, duty_of};
-use larchfall_duty::quorum::Electors;
-use larchfall_duty::record::{BEFORE, CURRENT, Damage, Disk, Found, NEW, Record, find, keep};
-use larchfall_duty::spread;
-use larchfall_duty::wire::{Letter, Matter, Unreadable, Want, Who, pages};
+use larchfall_leases::bid::{Bid, Terms};
+use larchfall_leases::elector::{Bounds, Elector};
+use larchfall_leases::fitness::{Fitness, Lines, Sight};
+use larchfall_leases::permit::Fence;
+use larchfall_leases::probing::{Probing, Reading, Settings, duty, duty_of};
+use larchfall_leases::quorum::Electors;
+use larchfall_leases::record::{BEFORE, CURRENT, Damage, Disk, Found, NEW, Record, find, keep};
+use larchfall_leases::spread;
+use larchfall_leases::wire::{Letter, Matter, Unreadable, Want, Who, pages};
+use larchfall_policy::time::{At, Span};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::io;
@@ -219,7 +219,8 @@
     let told = holder.to_tell(1, at(60));
     assert_eq!(told, [Reading { age_us: 50_000, ..reading }]);
     assert_eq!(holder.to_tell(1, at(60)), [], "told once");
-    let stamped = |duty: String, token| larchfall_duty::permit::Stamped { duty, token, action: told.clone() };
+    let stamped =
+        |duty: String, token| larchfall_leases::permit::Stamped { duty, token, action: told.clone() };
     // (duty, token, when, readings taken; none: refused)
     let cases = [
         (duty(1), 5, 70, Some(1)),
--- a/members/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -3,7 +3,7 @@
 //! once, down slowly, and not at all while those who fell silent might as well be a side of a split that this front
 //! can't see.
 
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/members/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -2,7 +2,7 @@
 //! for More Accurate Failure Detection", 2018, section IV.A). One that is slow would find everybody else silent: the
 //! worse its own health, the longer it waits before it blames another.
 
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 
 /// The paper's bound.
 const WORST: u32 = 8;
--- a/members/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -8,7 +8,7 @@
 use crate::rumours::Rumours;
 use crate::suspicion::Suspicion;
 use crate::wire::{Letter, Matter, size};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/members/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,7 +1,7 @@
 //! How long a suspected front has to refute it, after Lifeguard (section IV.B): long while one front alone finds it
 //! silent, which may be that one's own fault, and shorter with each further one that does.
 
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 
 /// So many that find it silent on their own bring the time down to the least.
 const ENOUGH: usize = 3;
--- a/members/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Fleets of members in one process, by seed: joins, deaths, stalls, splits, loss. Each failure names its seed.
 
-use larchfall::time::At;
-use larchfall_members::claim::{About, Standing};
-use larchfall_members::members::{Members, Refused, Settings};
-use larchfall_rig::fleet::{self as sim, Fleet, ms, name};
+use larchfall_fault_tests::fleet::{self as sim, Fleet, ms, name};
+use larchfall_membership::claim::{About, Standing};
+use larchfall_membership::members::{Members, Refused, Settings};
+use larchfall_policy::time::At;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
--- a/members/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,7 +1,7 @@
 //! Every order in which a few fronts suspect, bury, refute, start anew and tell each other, over a net that loses,
 //! doubles and reorders.
 
-use larchfall_members::claim::{Claim, Standing, refuted};
+use larchfall_membership::claim::{Claim, Standing, refuted};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/members/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -1,12 +1,12 @@
 //! The parts by tables of cases, and what must hold of any letters.
 
-use larchfall::time::{At, Span};
-use larchfall_members::claim::{About, Claim, Rumour, Standing, refuted};
-use larchfall_members::count::{Count, Fleet, Settings};
-use larchfall_members::health::{Health, Sign};
-use larchfall_members::rumours::Rumours;
-use larchfall_members::suspicion::Suspicion;
-use larchfall_members::wire::{Letter, MOST_BYTES, Matter, Unreadable};
+use larchfall_membership::claim::{About, Claim, Rumour, Standing, refuted};
+use larchfall_membership::count::{Count, Fleet, Settings};
+use larchfall_membership::health::{Health, Sign};
+use larchfall_membership::rumours::Rumours;
+use larchfall_membership::suspicion::Suspicion;
+use larchfall_membership::wire::{Letter, MOST_BYTES, Matter, Unreadable};
+use larchfall_policy::time::{At, Span};
 use proptest::prelude::*;
 
 fn s(n: u64) -> Span {
--- a/site/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,22 +1,22 @@
 //! The operator's own settings in TOML, beside the configuration that the platform hands out. A file is taken whole
 //! or not at all; what it does not name is off. Faults are said with the line and the field.
 
-use larchfall::time::Span;
-use larchfall_duty::bid::Terms;
-use larchfall_duty::duties::Settings as DutySettings;
-use larchfall_duty::elector::Bounds;
-use larchfall_duty::fitness::Lines;
-use larchfall_duty::probing;
-use larchfall_duty::quorum::Electors;
-use larchfall_members::claim::LONGEST;
-use larchfall_members::count::Settings as Count;
-use larchfall_members::members::Settings as Members;
-use larchfall_rest::cursor::Window;
-use larchfall_rest::results::Caps;
-use larchfall_rest::words::{Family, Source, Sources};
-use larchfall_settings::Names;
-use larchfall_signals::weigh;
-use larchfall_subsets::{aperture, plan};
+use larchfall_config::Names;
+use larchfall_health_gossip::weigh;
+use larchfall_leases::bid::Terms;
+use larchfall_leases::duties::Settings as DutySettings;
+use larchfall_leases::elector::Bounds;
+use larchfall_leases::fitness::Lines;
+use larchfall_leases::probing;
+use larchfall_leases::quorum::Electors;
+use larchfall_membership::claim::LONGEST;
+use larchfall_membership::count::Settings as Count;
+use larchfall_membership::members::Settings as Members;
+use larchfall_paged_rest::cursor::Window;
+use larchfall_paged_rest::results::Caps;
+use larchfall_paged_rest::words::{Family, Source, Sources};
+use larchfall_policy::time::Span;
+use larchfall_subsetting::{aperture, plan};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -561,7 +561,7 @@
     }
     let probing = probe.map(|duties| probing::Settings { duties, every, fresh });
     let mut names: BTreeSet<String> =
-        (0..probe.unwrap_or_default()).map(larchfall_duty::probing::duty).collect();
+        (0..probe.unwrap_or_default()).map(larchfall_leases::probing::duty).collect();
     let keepers = raw.keepers.as_ref().map(|n| table.number(n, "keepers", 1, 64)).transpose()?;
     let lasts = table.time(&raw.share_ms, "share-ms", 100, 60_000)?;
     let out = |kind| raw.hand_out.contains(&kind);
@@ -571,7 +571,7 @@
         customers: out(RawKind::Customers),
     };
     let keepers = keepers.map(|keepers| Keepers { keepers, length: lasts, kinds });
-    names.extend((0..keepers.map_or(0, |k| k.keepers)).map(larchfall_duty::probing::keeper));
+    names.extend((0..keepers.map_or(0, |k| k.keepers)).map(larchfall_leases::probing::keeper));
     let of_program = Table { text, name: "duty" };
     let mut taken = Vec::new();
     for program in programs {
--- a/site/tests/site.rs
+++ b/crates/operator-config/tests/site.rs
@@ -1,9 +1,9 @@
 //! The operator's file: what is refused, with line and field, and the example that is handed out.
 
-use larchfall::time::Span;
-use larchfall_rest::words::{Family, Source};
-use larchfall_settings::Names;
-use larchfall_site::parse;
+use larchfall_config::Names;
+use larchfall_operator_config::parse;
+use larchfall_paged_rest::words::{Family, Source};
+use larchfall_policy::time::Span;
 
 fn names() -> Names {
     let text = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
@@ -21,7 +21,7 @@
     assert_eq!((rest.headers, rest.base, rest.poll), (Family::Trino, None, Span::from_millis(1000)));
     assert_eq!((rest.connections, rest.caps.results, rest.caps.window.pages), (32, 256, 4));
     assert_eq!(rest.batch.group, [Source::Value("look".into())]);
-    let example = parse(include_str!("../../deploy/site-example.toml"), &names()).unwrap();
+    let example = parse(include_str!("../../../deploy/site-example.toml"), &names()).unwrap();
     let (rest, fronts) = (example.rest.unwrap(), example.fronts.unwrap());
     assert_eq!((rest.headers, rest.batch.group.len()), (Family::Both, 2));
     assert_eq!((fronts.told, fronts.settings.networks[0].1), (fronts.address, 8));
--- a/rest/benches/codecs.rs
+++ b/crates/paged-rest/benches/codecs.rs
@@ -1,10 +1,10 @@
 //! What reading a call and writing a page cost.
 
 use criterion::{Criterion, black_box, criterion_group, criterion_main};
-use larchfall_rest::call::read;
-use larchfall_rest::document::{Addresses, Body, json};
-use larchfall_rest::results::Name;
-use larchfall_rest::slug::{Key, Place};
+use larchfall_paged_rest::call::read;
+use larchfall_paged_rest::document::{Addresses, Body, json};
+use larchfall_paged_rest::results::Name;
+use larchfall_paged_rest::slug::{Key, Place};
 
 fn codecs(c: &mut Criterion) {
     let call = b"POST /v1/statement HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nX-Trino-User: acme\r\nX-Trino-Source: look\r\nContent-Length: 8\r\n\r\nselect 1";
--- a/rest/src/cursor.rs
+++ b/crates/paged-rest/src/cursor.rs
@@ -2,7 +2,7 @@
 //! for a token says that all before it have come. What stands under a token never changes, so a page asked for
 //! again after a dropped line, or by two connections at once, is the same page.
 
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::VecDeque;
 
 /// Bounds of one result: pages and bytes that wait for their client, and how long they do.
--- a/rest/src/results.rs
+++ b/crates/paged-rest/src/results.rs
@@ -2,7 +2,7 @@
 //! page at a time beyond, so that none stands still for what others keep.
 
 use crate::cursor::{Ask, Cursor, End, Settled, Window};
-use larchfall::time::At;
+use larchfall_policy::time::At;
 use slab::Slab;
 use std::collections::{BTreeSet, VecDeque};
 
--- a/rest/tests/cursor.rs
+++ b/crates/paged-rest/tests/cursor.rs
@@ -1,10 +1,10 @@
 //! The cursor of a result and all results together against a plain model: any order of asks, engine pages, losses,
 //! ends and time.
 
-use larchfall::time::{At, Span};
-use larchfall_rest::cursor::{Ask, Cursor, End, Settled, Window};
-use larchfall_rest::results::{Caps, Name, Results};
-use larchfall_rest::slug::{Key, Place};
+use larchfall_paged_rest::cursor::{Ask, Cursor, End, Settled, Window};
+use larchfall_paged_rest::results::{Caps, Name, Results};
+use larchfall_paged_rest::slug::{Key, Place};
+use larchfall_policy::time::{At, Span};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/rest/tests/wire.rs
+++ b/crates/paged-rest/tests/wire.rs
@@ -1,9 +1,9 @@
 //! Calls, the words of a batch and documents, as tables of cases.
 
-use larchfall_rest::call::{Call, Malformed, Read, Verb, read};
-use larchfall_rest::cursor::End;
-use larchfall_rest::document::{Addresses, Body, Document, Fault, State, json};
-use larchfall_rest::words::{Family, Source, Sources, Worded, read as words};
+use larchfall_paged_rest::call::{Call, Malformed, Read, Verb, read};
+use larchfall_paged_rest::cursor::End;
+use larchfall_paged_rest::document::{Addresses, Body, Document, Fault, State, json};
+use larchfall_paged_rest::words::{Family, Source, Sources, Worded, read as words};
 use proptest::prelude::*;
 
 const LONGEST: usize = 64;
--- a/tests/account.rs
+++ b/crates/policy/tests/account.rs
@@ -1,9 +1,9 @@
 //! The account of a key against a plain world of engines that run what came to them until it is known not to:
 //! every order of two batches by model checking, longer ones by chance.
 
-use larchfall::interface::{Last, Seen};
-use larchfall::policy::account::{Account, proves_over};
-use larchfall::time::{At, Span};
+use larchfall_policy::interface::{Last, Seen};
+use larchfall_policy::policy::account::{Account, proves_over};
+use larchfall_policy::time::{At, Span};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
--- a/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A front with a few engines, driven call by call.
 
-use larchfall::interface::*;
-use larchfall::policy::Policy;
-use larchfall::time::{At, Span};
+use larchfall_policy::interface::*;
+use larchfall_policy::policy::Policy;
+use larchfall_policy::time::{At, Span};
 
 /// The engine itself said the end.
 pub const SAID: Seen = Seen { last: Last::Ended, same: true };
--- a/tests/policy.rs
+++ b/crates/policy/tests/policy.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use larchfall::interface::*;
-use larchfall::time::Span;
+use larchfall_policy::interface::*;
+use larchfall_policy::time::Span;
 
 #[test]
 fn rule_1_every_dispatch_ends_before_the_time_limit() {
--- a/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::*;
-use larchfall::interface::*;
-use larchfall::time::{At, Span};
+use larchfall_policy::interface::*;
+use larchfall_policy::time::{At, Span};
 use nanorand::{Rng, WyRand};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::{iter, thread};
--- a/shares/src/demand.rs
+++ b/crates/quotas/src/demand.rs
@@ -2,7 +2,7 @@
 //! was pushed back counts as what was served: a front that gets little must not seem to want little.
 
 use crate::capacity::Capacity;
-use larchfall::interface::{Engine, ServiceGroup};
+use larchfall_policy::interface::{Engine, ServiceGroup};
 
 /// How much of what came lately still counts a look later.
 const FADE: f64 = 0.7;
--- a/shares/src/holder.rs
+++ b/crates/quotas/src/holder.rs
@@ -1,7 +1,7 @@
 //! A front's side: the share that it has, until its end as counted from before it asked, and its own part else.
 
 use crate::Terms;
-use larchfall::time::At;
+use larchfall_policy::time::At;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Holder {
--- a/shares/src/keeper.rs
+++ b/crates/quotas/src/keeper.rs
@@ -9,7 +9,7 @@
 use crate::Terms;
 use crate::divide::{Ask, Level, level};
 use crate::fair;
-use larchfall::time::At;
+use larchfall_policy::time::At;
 use std::collections::BTreeMap;
 
 /// A share grows to so many times itself at once, and by a careful share; it shrinks at once.
--- a/shares/src/lib.rs
+++ b/crates/quotas/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod keeper;
 pub mod shares;
 
-use larchfall::time::Span;
+use larchfall_policy::time::Span;
 
 /// What holds for one kind of capacity, the same at all fronts of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/shares/src/shares.rs
+++ b/crates/quotas/src/shares.rs
@@ -6,7 +6,7 @@
 use crate::demand::{Came, Demand, Wanted};
 use crate::holder::Holder;
 use crate::keeper::{Fairness, Keeper};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Shares are asked for so many times within their length.
--- a/shares/tests/shares.rs
+++ b/crates/quotas/tests/shares.rs
@@ -1,15 +1,15 @@
 //! Division as a table; keepers and fronts under what may come between them, by seed.
 
-use larchfall::interface::{Effect, Engine, ServiceGroup};
-use larchfall::time::{At, Span};
-use larchfall_shares::Terms;
-use larchfall_shares::capacity::Capacity;
-use larchfall_shares::demand::{Came, Demand};
-use larchfall_shares::divide::{Ask, divide};
-use larchfall_shares::fair;
-use larchfall_shares::holder::Holder;
-use larchfall_shares::keeper::Keeper;
-use larchfall_shares::shares::{Asking, Settings, Shares};
+use larchfall_policy::interface::{Effect, Engine, ServiceGroup};
+use larchfall_policy::time::{At, Span};
+use larchfall_quotas::Terms;
+use larchfall_quotas::capacity::Capacity;
+use larchfall_quotas::demand::{Came, Demand};
+use larchfall_quotas::divide::{Ask, divide};
+use larchfall_quotas::fair;
+use larchfall_quotas::holder::Holder;
+use larchfall_quotas::keeper::Keeper;
+use larchfall_quotas::shares::{Asking, Settings, Shares};
 use nanorand::{Rng, WyRand};
 use proptest::prelude::*;
 
--- a/adapter/src/front.rs
+++ b/crates/simulator-adapter/src/front.rs
@@ -1,10 +1,10 @@
 //! One front: its decisions, the batches in hand, its timers, and the door where ids become small indices.
 
 use crate::wire::Reply;
-use larchfall::interface::*;
-use larchfall::policy::{Policy, TICK};
-use larchfall::time::{At, Span};
-use larchfall_settings as settings;
+use larchfall_config as settings;
+use larchfall_policy::interface::*;
+use larchfall_policy::policy::{Policy, TICK};
+use larchfall_policy::time::{At, Span};
 use std::collections::{BTreeSet, HashMap};
 
 const TICK_TAG: u64 = 0;
--- a/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,8 +5,8 @@
 mod wire;
 
 use front::Front;
-use larchfall::interface::*;
-use larchfall::time::{At, Span};
+use larchfall_policy::interface::*;
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use wire::{Reader, Reply};
--- a/subsets/src/aperture.rs
+++ b/crates/subsetting/src/aperture.rs
@@ -4,7 +4,7 @@
 use crate::plan::Plan;
 use crate::rank::order;
 use crate::{Front, Listed};
-use larchfall::time::{At, Span};
+use larchfall_policy::time::{At, Span};
 use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/subsets/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod rank;
 pub mod survey;
 
-use larchfall::interface::{Engine, ServiceGroup};
+use larchfall_policy::interface::{Engine, ServiceGroup};
 use std::collections::BTreeSet;
 
 /// An engine that is ready, by its id.
--- a/subsets/src/survey.rs
+++ b/crates/subsetting/src/survey.rs
@@ -3,7 +3,7 @@
 
 use crate::plan::{Plan, Settings};
 use crate::{Front, Listed, needs};
-use larchfall::interface::ServiceGroup;
+use larchfall_policy::interface::ServiceGroup;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many goings of each kind are worked out at most: of 1,000 fronts not every one.
--- a/subsets/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,10 +1,10 @@
 //! What must hold of every subset, whichever fronts and engines there are; how little moves; how wide a front goes.
 
-use larchfall::interface::{Effect, Engine, ServiceGroup};
-use larchfall::time::{At, Span};
-use larchfall_subsets::aperture::{self, Aperture, Sight};
-use larchfall_subsets::plan::{Plan, Settings};
-use larchfall_subsets::{Front, Listed, needs};
+use larchfall_policy::interface::{Effect, Engine, ServiceGroup};
+use larchfall_policy::time::{At, Span};
+use larchfall_subsetting::aperture::{self, Aperture, Sight};
+use larchfall_subsetting::plan::{Plan, Settings};
+use larchfall_subsetting::{Front, Listed, needs};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -169,7 +169,7 @@
 /// What operators are shown before they switch it on agrees with the plan, and little moves.
 #[test]
 fn a_survey_says_what_the_plan_comes_to() {
-    use larchfall_subsets::survey::survey;
+    use larchfall_subsetting::survey::survey;
     let front = |i: u64| Front { number: i * 7919 + 3, zone: Some(i as usize % 3) };
     let engine = |id: u32| Listed {
         id,
--- a/examples/toy/src/main.rs
+++ b/examples/stub-engine/src/main.rs
@@ -1,8 +1,8 @@
 //! The toy as a program: `serve` is a query engine and a notice board in one, `send` a client.
 
-use larchfall_toy::board::{Board, Listed, frame};
-use larchfall_toy::client::{Answer, Client};
-use larchfall_toy::engine::{Act, Engine};
+use larchfall_stub::board::{Board, Listed, frame};
+use larchfall_stub::client::{Answer, Client};
+use larchfall_stub::engine::{Act, Engine};
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/front/src/main.rs
+++ /dev/null
@@ -1,3 +0,0 @@
-fn main() -> std::process::ExitCode {
-    larchfall_front::run::command::main()
-}
