--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,7 +1,7 @@
-//! What no front can serve by: settings that are missing, out of range or contradict each other, each named by its
+//! What no gateway can serve by: settings that are missing, out of range or contradict each other, each named by its
 //! field. Keys that are not known are passed over, as the wire's page asks.
 
-use crate::{Raw, RawDomain, RawGroup, RawSafety};
+use crate::{Raw, RawClass, RawDomain, RawSafety};
 use std::collections::HashSet;
 
 type Checked = Result<(), String>;
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-fn check_class(raw: &Raw, class: &RawGroup, at: &str) -> Checked {
+fn check_class(raw: &Raw, class: &RawClass, at: &str) -> Checked {
     let field = |name: &str| format!("{at}.{name}");
     at_least_zero(&field("worth"), class.worth)?;
     at_least_zero(&field("aim_stretch"), class.aim_stretch)?;
@@ -113,10 +113,10 @@
 
 fn check_safety(safety: &RawSafety) -> Checked {
     at_least_zero("safety.fall_multiple", safety.fall_multiple)?;
-    if !(0.0..=1.0).contains(&safety.cold_from) {
+    if !(0.0..=1.0).contains(&safety.slow_start_from) {
         return refuse("safety.cold_from", "no share between 0 and 1");
     }
-    if safety.fall > 0 && safety.fall_multiple > 0.0 && safety.cold_from <= 0.0 {
+    if safety.fall > 0 && safety.fall_multiple > 0.0 && safety.slow_start_from <= 0.0 {
         return refuse(
             "safety.cold_from",
             "missing or zero where an engine in slow start falls at a multiple of it",
--- a/crates/fault-tests/examples/cost.rs
+++ b/crates/fault-tests/examples/cost.rs
@@ -1,15 +1,15 @@
-//! Processor time a batch and memory of a front, of some builds in turn, so that a machine whose speed drifts is held against
-//! itself. cargo run --release -p larchfall-rig --example cost -- TIMES PROGRAM [PROGRAM ...]
+//! Processor time a request and memory of a gateway, of some builds in turn, so that a machine whose speed drifts is held against
+//! itself. cargo run --release -p larchfall-fault-tests --example cost -- TIMES PROGRAM [PROGRAM ...]
 
 use larchfall_fault_tests::load;
-use larchfall_fault_tests::process::{Front, config};
-use larchfall_stub::board::Board;
+use larchfall_fault_tests::process::{Gateway, config};
+use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::{Act, Engine};
 use std::time::Duration;
 
 const CLIENTS: usize = 24;
 const PACE: Duration = Duration::from_millis(20);
-const SPAN: Duration = Duration::from_secs(6);
+const DURATION: Duration = Duration::from_secs(6);
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
@@ -31,18 +31,20 @@
     }
 }
 
-/// Microseconds of processor time a batch, and megabytes held after it.
+/// Microseconds of processor time a request, and megabytes held after it.
 fn play(program: &str) -> (f64, f64) {
     let serve = |_: &_| Act::Serve(Duration::from_millis(2), vec![b"1\n".to_vec()]);
     let engine = Engine::start("127.0.0.1:0", serve).expect("a port");
-    let board = Board::start("127.0.0.1:0").expect("a port");
-    let text = config("127.0.0.1:0", board.address, Some(engine.address), 512);
-    let front = Front::start(program, board, &text, None, &[]);
-    let load = |span| load::run(std::iter::repeat_n(&front, CLIENTS), |_| PACE, Duration::from_secs(1), span);
+    let discovery = Discovery::start("127.0.0.1:0").expect("a port");
+    let text = config("127.0.0.1:0", discovery.address, Some(engine.address), 512);
+    let gateway = Gateway::start(program, discovery, &text, None, &[]);
+    let load = |duration| {
+        load::run(std::iter::repeat_n(&gateway, CLIENTS), |_| PACE, Duration::from_secs(1), duration)
+    };
     load(Duration::from_secs(1));
-    let before = front.used().0;
-    let ledger = load(SPAN);
-    let (after, memory) = front.used();
+    let before = gateway.used().0;
+    let ledger = load(DURATION);
+    let (after, memory) = gateway.used();
     assert_eq!(ledger.wrong, 0, "{ledger:?}");
     ((after - before).as_micros() as f64 / ledger.sent.max(1) as f64, memory as f64 / 1e6)
 }
--- a/crates/fault-tests/examples/divide.rs
+++ b/crates/fault-tests/examples/divide.rs
@@ -1,8 +1,8 @@
-//! One capacity divided among many fronts with uneven demand that moves: with even parts, with parts that a keeper hands
+//! One capacity divided among many gateways with uneven demand that moves: with even parts, with parts that a keeper hands
 //! out, and by a divider that knows all at once. In one process, by seed.
-//! cargo run --release -p larchfall-rig --example divide [FRONTS ...]
+//! cargo run --release -p larchfall-fault-tests --example divide [Gateways ...]
 
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::divide::{Ask, divide};
 use larchfall_quotas::holder::Holder;
 use larchfall_quotas::keeper::Keeper;
@@ -10,13 +10,13 @@
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-const STEP: Span = Span::from_millis(10);
+const STEP: Duration = Duration::from_millis(10);
 /// How long shares last, and how often they are asked for: lost one in a hundred each way, and on the way up to so long.
 const LENGTHS: [u64; 2] = [1000, 400];
 const ASKS: f64 = 0.25;
 const LOST: f64 = 0.01;
 const WAY: u64 = 20_000;
-/// The keeper begins, then all is steady; then one front comes to have half of all demand.
+/// The keeper begins, then all is steady; then one gateway comes to have half of all demand.
 const BEGINS: u64 = 800;
 const MOVES: u64 = 2_000;
 const ENDS: u64 = 3_000;
@@ -60,7 +60,7 @@
             let mut shown: [Shown; 3] = Default::default();
             let (mut follows, mut letters) = ([0.0; 2], 0.0);
             for seed in 0..SEEDS {
-                let (moved, sent) = day(n, demand, Span::from_millis(length), seed, &mut shown);
+                let (moved, sent) = day(n, demand, Duration::from_millis(length), seed, &mut shown);
                 letters += sent / SEEDS as f64;
                 follows.iter_mut().zip(moved).for_each(|(all, ms)| *all += ms / SEEDS as f64);
             }
@@ -85,18 +85,18 @@
     wants
 }
 
-/// How long until the front that demand moves to has half and nine tenths of what it is to have; letters a front and second.
-fn day(n: usize, all: f64, length: Span, seed: u64, shown: &mut [Shown; 3]) -> ([f64; 2], f64) {
+/// How long until the gateway that demand moves to has half and nine tenths of what it is to have; letters a gateway and second.
+fn day(n: usize, all: f64, length: Duration, seed: u64, shown: &mut [Shown; 3]) -> ([f64; 2], f64) {
     let mut chance = WyRand::new_seed(seed);
-    let terms = Terms { fronts: n, length, margin: 60, window: Span::ZERO, strict: false };
-    let from = At::from_micros(1_000_000);
+    let terms = Terms { gateways: n, length, margin: 60, window: Duration::ZERO, strict: false };
+    let from = Timestamp::from_micros(1_000_000);
     let mut keeper = Keeper::new(terms, from);
     let mut holders = vec![Holder::new(terms); n];
     let mut demand = wants(n, all, &mut chance);
-    let mut next: Vec<At> = (0..n).map(|_| from + length * ASKS * chance.generate::<f64>()).collect();
+    let mut next: Vec<Timestamp> = (0..n).map(|_| from + length * ASKS * chance.generate::<f64>()).collect();
     // By when they come: asks (none granted yet) and answers.
-    type Letter = (usize, At, Option<f64>);
-    let mut under_way: BTreeMap<(At, u64), Letter> = BTreeMap::new();
+    type Letter = (usize, Timestamp, Option<f64>);
+    let mut under_way: BTreeMap<(Timestamp, u64), Letter> = BTreeMap::new();
     let (mut number, mut sent) = (0_u64, 0.0);
     let (mut half, mut most) = (None, None);
     let to = chance.generate_range(0..n);
@@ -109,7 +109,7 @@
         }
         let mut post = |letter: Letter, chance: &mut WyRand| {
             (number, sent) = (number + 1, sent + 1.0);
-            let comes = now + Span::from_micros(chance.generate_range(1_000..WAY));
+            let comes = now + Duration::from_micros(chance.generate_range(1_000..WAY));
             if chance.generate::<f64>() >= LOST {
                 under_way.insert((comes, number), letter);
             }
@@ -118,7 +118,7 @@
             *next = *next + length * ASKS;
             post((i, now, None), &mut chance);
         }
-        let later = under_way.split_off(&(now + Span::from_micros(1), 0));
+        let later = under_way.split_off(&(now + Duration::from_micros(1), 0));
         for (_, (i, asked, granted)) in std::mem::replace(&mut under_way, later) {
             match granted {
                 Some(share) => drop(holders[i].granted(share, 1, asked, now)),
@@ -126,7 +126,7 @@
                     if let Some(share) = keeper.ask(&format!("{i:04}"), demand[i], 1.0, now) {
                         number += 1;
                         sent += 1.0;
-                        let comes = now + Span::from_micros(chance.generate_range(1_000..WAY));
+                        let comes = now + Duration::from_micros(chance.generate_range(1_000..WAY));
                         under_way.insert((comes, number), (i, asked, Some(share)));
                     }
                 }
--- a/crates/fault-tests/examples/holders.rs
+++ b/crates/fault-tests/examples/holders.rs
@@ -1,6 +1,6 @@
 //! Holders that fall out, as processes: how long nobody acts, and whether anything was taken out of token order; then what
-//! asking engines costs with one front that asks for all and without.
-//! cargo run --release -p larchfall-rig --example holders -- target/release/larchfall FRONTS TIMES
+//! asking engines costs with one gateway that asks for all and without.
+//! cargo run --release -p larchfall-fault-tests --example holders -- target/release/larchfall Gateways TIMES
 
 use hdrhistogram::Histogram;
 use larchfall_fault_tests::net::{Link, SOUND};
@@ -12,24 +12,24 @@
 fn main() {
     let mut arguments = std::env::args().skip(1);
     let program: &'static str = arguments.next().expect("the front's program").leak();
-    let fronts = arguments.next().and_then(|n| n.parse().ok()).unwrap_or(5);
+    let gateways = arguments.next().and_then(|n| n.parse().ok()).unwrap_or(5);
     let times = arguments.next().and_then(|n| n.parse().ok()).unwrap_or(20);
-    falls(program, fronts, times);
+    falls(program, gateways, times);
     for duties in [0, 1, 10, 64] {
         costs(program, duties);
     }
-    for fronts in [6, 12, 24] {
+    for gateways in [6, 12, 24] {
         for shared in [false, true] {
-            let probed = Probed::start(program, fronts, 6, Duration::from_millis(10), shared, 5);
+            let probed = Probed::start(program, gateways, 6, Duration::from_millis(10), shared, 5);
             std::thread::sleep(Duration::from_secs(4));
             let (pace, goal) = (Duration::from_millis(40), Duration::from_millis(200));
             let shown = probed.load(pace, goal, Duration::from_secs(8));
             let l = &shown.ledger;
-            // A front that asks by itself at random times knows an engine as old, in the mean, as the time between two looks.
-            let alone = 1000.0 * fronts as f64 / shown.probes;
+            // A gateway that asks by itself at random times knows an engine as old, in the mean, as the time between two looks.
+            let alone = 1000.0 * gateways as f64 / shown.probes;
             let age = if shared { told_age(&probed.fleet) } else { alone };
             println!(
-                "{fronts} fronts, shared {shared}: probes an engine and second {:.1}, age of what is known {age:.0} ms, in time {:.3} of {} sent, wrong {}",
+                "{gateways} fronts, shared {shared}: probes an engine and second {:.1}, age of what is known {age:.0} ms, in time {:.3} of {} sent, wrong {}",
                 shown.probes,
                 l.in_time as f64 / l.sent as f64,
                 l.sent,
@@ -39,7 +39,7 @@
     }
 }
 
-fn falls(program: &'static str, fronts: usize, times: usize) {
+fn falls(program: &'static str, gateways: usize, times: usize) {
     let vault = Vault::start().expect("a port");
     let electors: Vec<String> = (0..5).map(|i| format!("\"{}\"", name(i))).collect();
     let table = format!(
@@ -48,7 +48,7 @@
         electors.join(", "),
         vault.command(Duration::from_millis(10))
     );
-    let mut fleet = Fleet::new(program, fronts, 17, |_, _| table.clone(), |_| Vec::new()).begun();
+    let mut fleet = Fleet::new(program, gateways, 17, |_, _| table.clone(), |_| Vec::new()).begun();
     for what in ["killed", "stopped", "cut off", "told to end"] {
         let mut gaps = Histogram::<u64>::new(3).expect("bounds that it knows");
         for _ in 0..times {
@@ -56,29 +56,29 @@
             let (holder, token) = wait_for("a holder", || {
                 let token = vault.last("writer")?.token;
                 let line = format!("duties: holds writer, token: {token}");
-                Some((fleet.up().find(|i| fleet.front(*i).log.last(&line).is_some())?, token))
+                Some((fleet.up().find(|i| fleet.gateway(*i).log.last(&line).is_some())?, token))
             });
             let from = Instant::now();
             match what {
-                "killed" => fleet.fronts[holder] = None,
-                "stopped" => fleet.front(holder).signal("-STOP"),
+                "killed" => fleet.gateways[holder] = None,
+                "stopped" => fleet.gateway(holder).signal("-STOP"),
                 "cut off" => {
                     fleet.net.set(|a, b| (a == holder) != (b == holder), Link { cut: true, ..SOUND });
                 }
-                _ => fleet.front(holder).signal("-TERM"),
+                _ => fleet.gateway(holder).signal("-TERM"),
             }
             wait_for("another to act", || vault.last("writer").filter(|a| a.token > token));
             let gap = vault.longest_gap("writer", from);
             gaps.record(gap.as_millis() as u64).expect("within bounds");
             match what {
-                "stopped" => fleet.front(holder).signal("-CONT"),
+                "stopped" => fleet.gateway(holder).signal("-CONT"),
                 "cut off" => fleet.net.heal(),
                 _ => fleet.begin(holder),
             }
         }
         let at = |q| gaps.value_at_quantile(q);
         println!(
-            "{fronts} fronts, {what} {times} times: nobody acted for {} ms (p50), {} (p99), {} at most; out of order {}",
+            "{gateways} fronts, {what} {times} times: nobody acted for {} ms (p50), {} (p99), {} at most; out of order {}",
             at(0.5),
             at(0.99),
             gaps.max(),
@@ -87,14 +87,14 @@
     }
 }
 
-/// How old, in the mean over fronts, what they know of engines is: each is asked some times.
+/// How old, in the mean over gateways, what they know of engines is: each is asked some times.
 fn told_age(fleet: &Fleet) -> f64 {
     let (mut sum, mut n) = (0.0, 0.0);
     for _ in 0..10 {
         for i in fleet.up() {
-            let log = &fleet.front(i).log;
+            let log = &fleet.gateway(i).log;
             let before = log.count("duties: counters");
-            fleet.front(i).signal("-USR1");
+            fleet.gateway(i).signal("-USR1");
             wait_for("the counters", || (log.count("duties: counters") > before).then_some(()));
             let line = log.last("duties: counters").unwrap_or_default();
             let age =
@@ -106,7 +106,7 @@
     sum / n
 }
 
-/// Processor time of a front a second, with so many duties that ask for nothing beside.
+/// Processor time of a gateway a second, with so many duties that ask for nothing beside.
 fn costs(program: &'static str, duties: usize) {
     let electors: Vec<String> = (0..3).map(|i| format!("\"{}\"", name(i))).collect();
     let table =
@@ -115,7 +115,7 @@
     let fleet = Fleet::new(program, 5, 19, more, |_| Vec::new()).begun();
     fleet.joined();
     std::thread::sleep(Duration::from_secs(8));
-    let used = |fleet: &Fleet| (0..5).map(|i| fleet.front(i).used().0).sum::<Duration>();
+    let used = |fleet: &Fleet| (0..5).map(|i| fleet.gateway(i).used().0).sum::<Duration>();
     let (before, from) = (used(&fleet), Instant::now());
     std::thread::sleep(Duration::from_secs(10));
     let spent = (used(&fleet) - before).as_secs_f64() / from.elapsed().as_secs_f64() / 5.0;
--- a/crates/fault-tests/examples/leases.rs
+++ b/crates/fault-tests/examples/leases.rs
@@ -1,5 +1,5 @@
-//! How long nobody holds a duty when its holder falls out, and what duties cost between fronts, in one process by seed:
-//! cargo run --release -p larchfall-rig --example leases
+//! How long nobody holds a duty when its holder falls out, and what duties cost between gateways, in one process by seed:
+//! cargo run --release -p larchfall-fault-tests --example leases
 
 use hdrhistogram::Histogram;
 use larchfall_fault_tests::duties::{Fleet, ms, settings};
@@ -36,8 +36,8 @@
     for seed in 0..TIMES {
         let mut fleet = Fleet::start(n, settings(5, 1, true), seed);
         fleet.until(ms(20_000), Fleet::all_held);
-        let span = ms(fleet.chance().generate_range(6_000..9_000));
-        fleet.run(span);
+        let duration = ms(fleet.chance().generate_range(6_000..9_000));
+        fleet.run(duration);
         let Some(holder) = fleet.holders("duty:000").first().copied() else { continue };
         fleet.gaps.clear();
         match what {
--- a/crates/fault-tests/examples/shrink.rs
+++ b/crates/fault-tests/examples/shrink.rs
@@ -1,6 +1,6 @@
-//! A fleet that shrinks from 12 fronts to 5 under load and grows back, with even shares that follow the living and with
+//! A fleet that shrinks from 12 gateways to 5 under load and grows back, with even shares that follow the living and with
 //! those of the number in the settings: what was returned within the response goal of what was sent.
-//! cargo run --release -p larchfall-rig --example shrink -- target/release/larchfall SEEDS
+//! cargo run --release -p larchfall-fault-tests --example shrink -- target/release/larchfall SEEDS
 
 use larchfall_fault_tests::load::{self, Ledger};
 use larchfall_fault_tests::process::{Fleet, config_of, settings};
@@ -10,7 +10,7 @@
 
 const MOST: usize = 12;
 const LEAST: usize = 5;
-/// Batches a second that the whole fleet is sent, whoever is there to take them.
+/// Requests a second that the whole fleet is sent, whoever is there to take them.
 const RATE: f64 = 255.0;
 const CLIENTS: usize = 8;
 const TAKES: Duration = Duration::from_millis(20);
@@ -50,20 +50,21 @@
     let settings = settings()
         .replace("\"instances\":1", &format!("\"instances\":{MOST}"))
         .replace("\"size_cores\":[64]", "\"size_cores\":[2]");
-    fleet.config = Box::new(move |_, board| config_of("127.0.0.1:0", board, &addresses, 256, &settings));
+    fleet.config =
+        Box::new(move |_, discovery| config_of("127.0.0.1:0", discovery, &addresses, 256, &settings));
     fleet.shares = shares;
     let mut fleet = fleet.begun();
     fleet.joined();
     let mut ledger = Ledger::default();
-    let mut load = |fleet: &Fleet, span: Duration| {
+    let mut load = |fleet: &Fleet, duration: Duration| {
         let clients = fleet.up().count() * CLIENTS;
         let pace = Duration::from_secs_f64(clients as f64 / RATE);
-        let fronts = fleet.up().flat_map(|i| [i; CLIENTS]).map(|i| fleet.front(i));
-        ledger.add(&load::run(fronts, |_| pace, GOAL, span));
+        let gateways = fleet.up().flat_map(|i| [i; CLIENTS]).map(|i| fleet.gateway(i));
+        ledger.add(&load::run(gateways, |_| pace, GOAL, duration));
     };
     load(&fleet, STEP * 2);
     for i in (LEAST..MOST).rev() {
-        fleet.fronts[i] = None;
+        fleet.gateways[i] = None;
         load(&fleet, STEP);
     }
     load(&fleet, STEP * 6);
--- a/crates/fault-tests/examples/sighted.rs
+++ b/crates/fault-tests/examples/sighted.rs
@@ -1,14 +1,14 @@
 //! What it costs a fleet to find out that an engine is dead, to try it, and to have it back; and what a lie costs:
-//! cargo run --release -p larchfall-rig --example sighted [SIZE ...]
+//! cargo run --release -p larchfall-fault-tests --example sighted [SIZE ...]
 
 use larchfall_fault_tests::sighted::{Seen, Setting, Sighted, Telling};
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 
-const TURN: Span = Span::from_millis(1_000);
+const TURN: Duration = Duration::from_millis(1_000);
 const TELLINGS: [Telling; 4] = [Telling::Nothing, Telling::Verdicts, Telling::Counts, Telling::Turns(TURN)];
 
-fn s(n: u64) -> Span {
-    Span::from_millis(n * 1000)
+fn s(n: u64) -> Duration {
+    Duration::from_millis(n * 1000)
 }
 
 fn main() {
@@ -18,9 +18,9 @@
         "| fronts | told | loss | dispatches that met the dead engine, first 10 s | a second, the 20 s after | all have it back, s | by one liar left out, of all fronts' time | by a third of one zone |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for fronts in sizes {
+    for gateways in sizes {
         for (telling, loss) in TELLINGS.into_iter().map(|t| (t, 0.0)).chain([(Telling::Turns(TURN), 0.5)]) {
-            let setting = Setting { fronts, telling, pace: 4.0, loss, liars: 0 };
+            let setting = Setting { gateways, telling, pace: 4.0, loss, liars: 0 };
             row(&setting);
         }
     }
@@ -37,9 +37,9 @@
     let later = std::mem::take(&mut fleet.seen).met;
     fleet.works = true;
     let from = fleet.now;
-    // All but one in a hundred: a front with next to no traffic tries nothing.
-    while fleet.leave_out() > setting.fronts / 100 && fleet.now.since(from) < s(120) {
-        fleet.run(Span::from_millis(250));
+    // All but one in a hundred: a gateway with next to no traffic tries nothing.
+    while fleet.leave_out() > setting.gateways / 100 && fleet.now.since(from) < s(120) {
+        fleet.run(Duration::from_millis(250));
     }
     let back = fleet.now.since(from).secs();
     let lied = |liars| {
@@ -47,15 +47,15 @@
         fleet.run(s(10));
         fleet.seen = Seen::default();
         fleet.run(s(20));
-        fleet.seen.left_out.secs() / (20.0 * (setting.fronts - liars) as f64) * 100.0
+        fleet.seen.left_out.secs() / (20.0 * (setting.gateways - liars) as f64) * 100.0
     };
     println!(
         "| {} | {:?} | {:.0}% | {first} | {:.1} | {back:.1} | {:.2}% | {:.2}% |",
-        setting.fronts,
+        setting.gateways,
         setting.telling,
         setting.loss * 100.0,
         later as f64 / 20.0,
         lied(1),
-        lied((setting.fronts / 9).max(1))
+        lied((setting.gateways / 9).max(1))
     );
 }
--- a/crates/fault-tests/examples/signals.rs
+++ b/crates/fault-tests/examples/signals.rs
@@ -1,6 +1,6 @@
-//! An engine that begins to fail, over twelve fronts with thin and uneven traffic: how many batches met it until nobody sent
+//! An engine that begins to fail, over twelve gateways with thin and uneven traffic: how many requests met it until nobody sent
 //! there any more but for trials, with signals and without.
-//! cargo run --release -p larchfall-rig --example signals -- target/release/larchfall SEEDS
+//! cargo run --release -p larchfall-fault-tests --example signals -- target/release/larchfall SEEDS
 
 use larchfall_fault_tests::load::{self, Ledger};
 use larchfall_fault_tests::process::{Fleet, config_of, settings};
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-const FRONTS: usize = 12;
+const GATEWAYS: usize = 12;
 const ENGINES: usize = 6;
 const GOAL: Duration = Duration::from_millis(200);
 const LASTS: Duration = Duration::from_secs(8);
@@ -56,19 +56,20 @@
     let engines: Vec<Engine> = (0..ENGINES).map(engine).collect();
     let addresses: Vec<SocketAddr> = engines.iter().map(|e| e.address).collect();
     let table = if told { "[signals]\n" } else { "" };
-    let mut fleet = Fleet::new(program, FRONTS, seed, |_, _| table.to_owned(), |_| Vec::new());
-    let settings = settings().replace("\"instances\":1", &format!("\"instances\":{FRONTS}"));
-    fleet.config = Box::new(move |_, board| config_of("127.0.0.1:0", board, &addresses, 256, &settings));
+    let mut fleet = Fleet::new(program, GATEWAYS, seed, |_, _| table.to_owned(), |_| Vec::new());
+    let settings = settings().replace("\"instances\":1", &format!("\"instances\":{GATEWAYS}"));
+    fleet.config =
+        Box::new(move |_, discovery| config_of("127.0.0.1:0", discovery, &addresses, 256, &settings));
     fleet.zone = Box::new(|i| ["east", "west", "north"][i % 3].to_owned());
     let fleet = fleet.begun();
     fleet.joined();
     let mut chance = WyRand::new_seed(seed);
-    // Each front has six clients; a batch in 20 ms at two fronts, in 300 ms to a second at all others.
+    // Each gateway has six clients; a request in 20 ms at two gateways, in 300 ms to a second at all others.
     let paces: Vec<u64> =
-        (0..FRONTS).map(|i| if i < 2 { 120 } else { chance.generate_range(2_000..6_000) }).collect();
-    let load = |span| {
-        let fronts = (0..FRONTS).flat_map(|i| [i; 6]).map(|i| fleet.front(i));
-        load::run(fronts, |c| Duration::from_millis(paces[c / 6]), GOAL, span)
+        (0..GATEWAYS).map(|i| if i < 2 { 120 } else { chance.generate_range(2_000..6_000) }).collect();
+    let load = |duration| {
+        let gateways = (0..GATEWAYS).flat_map(|i| [i; 6]).map(|i| fleet.gateway(i));
+        load::run(gateways, |c| Duration::from_millis(paces[c / 6]), GOAL, duration)
     };
     load(Duration::from_secs(3));
     // The one that most go to.
--- a/crates/fault-tests/examples/simulate.rs
+++ b/crates/fault-tests/examples/simulate.rs
@@ -1,16 +1,16 @@
-//! How fast deaths are found, how often a living front is buried, and what that costs, by size of the fleet and loss:
-//! cargo run --release -p larchfall-rig --example simulate [SIZE ...]
+//! How fast deaths are found, how often a living gateway is buried, and what that costs, by size of the fleet and loss:
+//! cargo run --release -p larchfall-fault-tests --example simulate [SIZE ...]
 
 use hdrhistogram::Histogram;
 use larchfall_fault_tests::fleet::{Fleet, Sight, ms, name};
 use larchfall_membership::claim::Standing;
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 
 const KILLS: usize = 8;
 const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
 
-fn millis(times: &mut Histogram<u64>, span: Span) {
-    times.record(span.micros() / 1000).expect("within bounds");
+fn millis(times: &mut Histogram<u64>, duration: Duration) {
+    times.record(duration.micros() / 1000).expect("within bounds");
 }
 
 fn main() {
@@ -57,7 +57,7 @@
             .into_iter()
             .zip(&mut times)
             // One that was under suspicion as it died has no first sight of that later.
-            .for_each(|(span, times)| millis(times, span.unwrap_or_default()));
+            .for_each(|(duration, times)| millis(times, duration.unwrap_or_default()));
     }
     let p = |t: &Histogram<u64>| format!("{}, {}", t.value_at_quantile(0.5), t.value_at_quantile(0.99));
     println!(
--- a/crates/fault-tests/examples/subsets.rs
+++ b/crates/fault-tests/examples/subsets.rs
@@ -1,17 +1,17 @@
-//! Ways to choose subsets of engines for fronts, held against each other: how even engines' loads are, and what moves when
-//! one front or engine goes. In one process, by seed.
-//! cargo run --release -p larchfall-rig --example subsets [FRONTS ENGINES LEAST]
+//! Ways to choose subsets of engines for gateways, held against each other: how even engines' loads are, and what moves when
+//! one gateway or engine goes. In one process, by seed.
+//! cargo run --release -p larchfall-fault-tests --example subsets [Gateways ENGINES LEAST]
 
 use larchfall_fault_tests::process::name;
 use larchfall_policy::interface::Engine;
 use larchfall_subsetting::plan::{Plan, Settings};
 use larchfall_subsetting::rank::order;
-use larchfall_subsetting::{Front, Listed, needs};
+use larchfall_subsetting::{Gateway, Listed, needs};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
 
 type Chosen = BTreeMap<u64, BTreeSet<u32>>;
-type Way = (&'static str, fn(&[Front], &[Listed], usize) -> Chosen);
+type Way = (&'static str, fn(&[Gateway], &[Listed], usize) -> Chosen);
 
 const WAYS: [Way; 5] = [
     ("random", random),
@@ -24,7 +24,7 @@
 fn main() {
     let given: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
     let sizes = match given[..] {
-        [fronts, engines, least] => vec![(fronts, engines, least)],
+        [gateways, engines, least] => vec![(gateways, engines, least)],
         _ => vec![(12, 12, 4), (300, 80, 12), (1000, 200, 20)],
     };
     println!(
@@ -32,42 +32,42 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (n, m, least) in sizes {
-        let fronts: Vec<Front> = (0..n)
-            .map(|i| Front { number: xxhash_rust::xxh3::xxh3_64(name(i).as_bytes()), zone: None })
+        let gateways: Vec<Gateway> = (0..n)
+            .map(|i| Gateway { number: xxhash_rust::xxh3::xxh3_64(name(i).as_bytes()), zone: None })
             .collect();
         let engines: Vec<Listed> = (0..m as u32)
             .map(|id| Listed { id, told: Engine { cell: id as usize % 4, ..Engine::default() } })
             .collect();
         for (how, way) in WAYS {
-            let all = way(&fronts, &engines, least);
+            let all = way(&gateways, &engines, least);
             let mut users = vec![0_usize; m];
             all.values().flatten().for_each(|id| users[*id as usize] += 1);
             let mean = users.iter().sum::<usize>() as f64 / m as f64;
-            let (mut by_front, mut by_engine, mut times) = (0.0, 0.0, 0.0);
+            let (mut by_gateway, mut by_engine, mut times) = (0.0, 0.0, 0.0);
             for gone in (0..10).map(|i| i * 7919) {
-                let front = fronts[gone % n];
-                let rest: Vec<Front> = fronts.iter().copied().filter(|f| *f != front).collect();
-                by_front += moved(&all, &way(&rest, &engines, least)) / least as f64;
+                let gateway = gateways[gone % n];
+                let rest: Vec<Gateway> = gateways.iter().copied().filter(|f| *f != gateway).collect();
+                by_gateway += moved(&all, &way(&rest, &engines, least)) / least as f64;
                 let engine = gone % m;
                 let rest: Vec<Listed> = engines.iter().copied().filter(|x| x.id != engine as u32).collect();
-                by_engine += moved(&all, &way(&fronts, &rest, least)) / users[engine].max(1) as f64;
+                by_engine += moved(&all, &way(&gateways, &rest, least)) / users[engine].max(1) as f64;
                 times += 1.0;
             }
             println!(
                 "| {n} | {m} | {least} | {how} | {}, {mean:.1}, {} | {:.2} | {:.2} |",
                 users.iter().min().unwrap_or(&0),
                 users.iter().max().unwrap_or(&0),
-                by_front / times,
+                by_gateway / times,
                 by_engine / times
             );
         }
     }
 }
 
-/// Pairs that are new, of the fronts that both have.
+/// Pairs that are new, of the gateways that both have.
 fn moved(a: &Chosen, b: &Chosen) -> f64 {
-    let new = |(front, chosen): (&u64, &BTreeSet<u32>)| {
-        a.get(front).map_or(0, |was| chosen.difference(was).count())
+    let new = |(gateway, chosen): (&u64, &BTreeSet<u32>)| {
+        a.get(gateway).map_or(0, |was| chosen.difference(was).count())
     };
     b.iter().map(new).sum::<usize>() as f64
 }
@@ -77,54 +77,57 @@
 }
 
 /// Each by its own chance, in the list's order of the day.
-fn random(fronts: &[Front], engines: &[Listed], least: usize) -> Chosen {
-    let pick = |f: &Front| {
+fn random(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+    let pick = |f: &Gateway| {
         let mut ids = ids(engines);
         WyRand::new_seed(f.number).shuffle(&mut ids);
         (f.number, ids.into_iter().take(least).collect())
     };
-    fronts.iter().map(pick).collect()
+    gateways.iter().map(pick).collect()
 }
 
-/// Fronts by their place, in rounds that each deal the whole shuffled list out (Beyer et al.: "Site Reliability
+/// Gateways by their place, in rounds that each deal the whole shuffled list out (Beyer et al.: "Site Reliability
 /// Engineering", 2016, chapter 20).
-fn rounds(fronts: &[Front], engines: &[Listed], least: usize) -> Chosen {
+fn rounds(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
     let each = (engines.len() / least).max(1);
-    let pick = |(place, f): (usize, &Front)| {
+    let pick = |(place, f): (usize, &Gateway)| {
         let mut ids = ids(engines);
         WyRand::new_seed((place / each) as u64).shuffle(&mut ids);
         let from = place % each * least;
         (f.number, ids[from..(from + least).min(ids.len())].iter().copied().collect())
     };
-    fronts.iter().enumerate().map(pick).collect()
+    gateways.iter().enumerate().map(pick).collect()
 }
 
-/// Fronts and engines spread evenly on one ring; each takes what follows its place.
-fn ring(fronts: &[Front], engines: &[Listed], least: usize) -> Chosen {
-    let pick = |(place, f): (usize, &Front)| {
-        let from = place * engines.len() / fronts.len();
+/// Gateways and engines spread evenly on one ring; each takes what follows its place.
+fn ring(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+    let pick = |(place, f): (usize, &Gateway)| {
+        let from = place * engines.len() / gateways.len();
         (f.number, (0..least).map(|i| engines[(from + i) % engines.len()].id).collect())
     };
-    fronts.iter().enumerate().map(pick).collect()
+    gateways.iter().enumerate().map(pick).collect()
 }
 
-fn plain(fronts: &[Front], engines: &[Listed], least: usize) -> Chosen {
-    fronts.iter().map(|f| (f.number, order(*f, engines).iter().take(least).map(|x| x.id).collect())).collect()
+fn plain(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+    gateways
+        .iter()
+        .map(|f| (f.number, order(*f, engines).iter().take(least).map(|x| x.id).collect()))
+        .collect()
 }
 
-fn bounded(fronts: &[Front], engines: &[Listed], least: usize) -> Chosen {
-    let group = larchfall_policy::interface::ServiceGroup {
-        utility: 1.0,
-        goal: larchfall_policy::time::Span::ZERO,
-        goal_stretch: 0.0,
-        effect: larchfall_policy::interface::Effect::Repeatable,
+fn bounded(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+    let class = larchfall_policy::interface::RequestClass {
+        priority_weight: 1.0,
+        latency_objective: larchfall_policy::time::Duration::ZERO,
+        objective_stretch: 0.0,
+        effect: larchfall_policy::interface::Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
-        holds_data: false,
-        waits_for_holder: false,
+        locks_data_set: false,
+        waits_for_data_lock: false,
         zones: None,
         kinds: None,
     };
     let settings = Settings { least, slack: 0.25 };
-    Plan::make(settings, &fronts.iter().copied().collect(), engines, &needs(engines, &[group])).chosen
+    Plan::make(settings, &gateways.iter().copied().collect(), engines, &needs(engines, &[class])).chosen
 }
--- a/crates/fault-tests/src/audit.rs
+++ b/crates/fault-tests/src/audit.rs
@@ -1,4 +1,4 @@
-//! The seven rules over all fronts, read after a run from what clients and engines noted. What a rule leaves open here is
+//! The seven rules over all gateways, read after a run from what clients and engines noted. What a rule leaves open here is
 //! read the most careful way; rule 4 has its own proof (`rig/tests/shares.rs`), rule 6 that of the decisions.
 
 use larchfall_stub::client::Answer;
@@ -8,16 +8,16 @@
 
 /// Between a statement's end at the engine and the ledger's note of it.
 const SLACK: Duration = Duration::from_millis(5);
-/// What a board has to tell counts as told so long after, whether or not it arrived.
+/// What a discovery service has to tell counts as told so long after, whether or not it arrived.
 const TOLD_WITHIN: Duration = Duration::from_secs(7);
 
-/// The protocol's slack for the ration, beside one dispatch.
+/// The protocol's slack for the retry budget, beside one attempt.
 const WIDER: f64 = 1.15;
 /// What is under way as a way begins to stand still is held up with it; what stood on it comes in within so long after it
 /// goes on again.
 const COMES_IN: Duration = Duration::from_millis(500);
 
-/// How a batch ended for its client.
+/// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
     Returned,
@@ -25,8 +25,8 @@
     Errored(String),
     /// The client took it back, or left.
     Left,
-    /// The front's process was killed, or cut the connection as it ended.
-    FrontGone,
+    /// The gateway's process was killed, or cut the connection as it ended.
+    GatewayGone,
 }
 
 impl From<Answer> for End {
@@ -39,49 +39,49 @@
     }
 }
 
-/// A batch as its client sent it.
+/// A request as its client sent it.
 #[derive(Clone, Debug)]
 pub struct Sent {
     /// The process that it went to.
-    pub front: usize,
-    pub group: &'static str,
+    pub gateway: usize,
+    pub class: &'static str,
     pub at: Instant,
     pub ends: Vec<End>,
 }
 
-/// The ration of further dispatches, by front.
+/// The retry budget of retries, by gateway.
 #[derive(Clone, Copy, Debug)]
-pub struct Ration {
+pub struct RetryBudget {
     pub free: f64,
-    pub per_batch: f64,
+    pub per_request: f64,
     pub window: Duration,
 }
 
-/// Everything that was noted. The statement of a batch is its group, key and number in its key; a fourth word is its
-/// id where the front made another for the engines.
+/// Everything that was noted. The statement of a request is its class, key and number in its key; a fourth word is its
+/// id where the gateway made another for the engines.
 pub struct Run<'a> {
     pub ledger: &'a Ledger,
     pub sent: &'a HashMap<String, Sent>,
-    /// Engines' processes and when all fronts had been told that they drain, and the grace after that.
+    /// Engines' processes and when all gateways had been told that they drain, and the grace after that.
     pub drained: &'a [(usize, Instant)],
-    /// Fronts' processes, and from when till when they could not hear their boards.
+    /// Gateways' processes, and from when till when they could not hear their discovery services.
     pub unheard: &'a [(usize, Instant, Instant)],
-    /// Fronts' and engines' processes between which the way stood still, and from when till when: what had been sent there
+    /// Gateways' and engines' processes between which the way stood still, and from when till when: what had been sent there
     /// came in after it.
     pub stood: &'a [(usize, usize, Instant, Instant)],
     pub grace: Duration,
-    pub ration: Ration,
+    pub retry_budget: RetryBudget,
 }
 
 /// What was seen of it, so that a run that tried little can be told.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tried {
     pub further: usize,
-    /// Batches of the key with the most.
+    /// Requests of the key with the most.
     pub longest_key: usize,
 }
 
-/// The greatest value so far and the greatest of another id than its: a batch may run twice beside itself.
+/// The greatest value so far and the greatest of another id than its: a request may run twice beside itself.
 struct Greatest<'a, T>([Option<(T, &'a str)>; 2]);
 
 impl<T> Default for Greatest<'_, T> {
@@ -126,13 +126,13 @@
         for r in &self.ledger.ran {
             *ran.entry(r.statement.split(' ').nth(3).unwrap_or(&r.id)).or_default() += 1;
         }
-        for (id, Sent { group, ends, .. }) in self.sent {
+        for (id, Sent { class, ends, .. }) in self.sent {
             if ends.len() != 1 {
-                faults.push(format!("answers to {id} of {group}: {ends:?}"));
+                faults.push(format!("answers to {id} of {class}: {ends:?}"));
             }
             let times = ran.get(&id[..]).copied().unwrap_or(0);
             let pushed_back = ends.contains(&End::PushedBack);
-            if *group == "once" && (times > 1 || pushed_back && times > 0) {
+            if *class == "once" && (times > 1 || pushed_back && times > 0) {
                 faults.push(format!("{id} ran {times} times and ended {ends:?}"));
             }
         }
@@ -176,15 +176,18 @@
         for (process, at) in self.drained {
             let there = self.ledger.came.iter().filter(|c| c.process == *process);
             let late = there.into_iter().find(|c| {
-                let front = self.sent.get(&c.id).map(|sent| sent.front);
+                let gateway = self.sent.get(&c.id).map(|sent| sent.gateway);
                 // Told just before it was cut, it may not have been heard.
                 let cut = self
                     .unheard
                     .iter()
-                    .find(|(f, from, to)| Some(*f) == front && *from <= *at + COMES_IN && at < to);
+                    .find(|(f, from, to)| Some(*f) == gateway && *from <= *at + COMES_IN && at < to);
                 let last = cut.map_or(*at, |(_, _, to)| (*at + TOLD_WITHIN).min(*to)) + self.grace;
                 let was_sent_before = self.stood.iter().any(|(f, e, from, to)| {
-                    (Some(*f), e) == (front, process) && *from <= last && c.at >= *to && c.at < *to + COMES_IN
+                    (Some(*f), e) == (gateway, process)
+                        && *from <= last
+                        && c.at >= *to
+                        && c.at < *to + COMES_IN
                 });
                 c.at > last && !was_sent_before
             });
@@ -198,34 +201,34 @@
         }
     }
 
-    /// Rule 7, by front, in the window that ends with each further dispatch. How many there were in all.
+    /// Rule 7, by gateway, in the window that ends with each retry. How many there were in all.
     fn rations(&self, faults: &mut Vec<String>) -> usize {
         let mut firsts = HashSet::new();
         let mut further: BTreeMap<usize, Vec<Instant>> = BTreeMap::new();
         for came in self.ledger.came.iter().filter(|c| !firsts.insert(&c.id)) {
-            // What the front named by itself is told by nothing here: it counts with the first front.
-            let front = self.sent.get(&came.id).map_or(0, |sent| sent.front);
-            further.entry(front).or_default().push(came.at);
+            // What the gateway named by itself is told by nothing here: it counts with the first gateway.
+            let gateway = self.sent.get(&came.id).map_or(0, |sent| sent.gateway);
+            further.entry(gateway).or_default().push(came.at);
         }
-        let mut batches: BTreeMap<usize, Vec<Instant>> = BTreeMap::new();
-        self.sent.values().for_each(|s| batches.entry(s.front).or_default().push(s.at));
-        batches.values_mut().for_each(|at| at.sort());
+        let mut requests: BTreeMap<usize, Vec<Instant>> = BTreeMap::new();
+        self.sent.values().for_each(|s| requests.entry(s.gateway).or_default().push(s.at));
+        requests.values_mut().for_each(|at| at.sort());
         further.values_mut().for_each(|at| at.sort());
-        for (front, at) in &further {
-            let taken = batches.get(front).map_or(&[][..], Vec::as_slice);
+        for (gateway, at) in &further {
+            let taken = requests.get(gateway).map_or(&[][..], Vec::as_slice);
             for last in at {
                 // At most a window before it, and not after it.
                 let within = |times: &[Instant]| {
-                    let from =
-                        times.partition_point(|t| last.saturating_duration_since(*t) >= self.ration.window);
+                    let from = times
+                        .partition_point(|t| last.saturating_duration_since(*t) >= self.retry_budget.window);
                     (times.partition_point(|t| t <= last) - from) as f64
                 };
-                // What is seen is when it came in, not when it was sent: the ration on sockets is wider by so much.
-                let ration = self.ration.free + self.ration.per_batch * within(taken);
-                let (used, allowed) = (within(at), ration * WIDER + 1.0);
+                // What is seen is when it came in, not when it was sent: the retry budget on sockets is wider by so much.
+                let retry_budget = self.retry_budget.free + self.retry_budget.per_request * within(taken);
+                let (used, allowed) = (within(at), retry_budget * WIDER + 1.0);
                 if used > allowed {
                     faults.push(format!(
-                        "front {front}: {used} further dispatches in a window, {allowed} allowed"
+                        "front {gateway}: {used} further dispatches in a window, {allowed} allowed"
                     ));
                 }
             }
--- a/crates/fault-tests/src/bin/larchfall-faulty.rs
+++ b/crates/fault-tests/src/bin/larchfall-faulty.rs
@@ -1,16 +1,16 @@
-//! The front's own library with a clock and a disk that can be told to be wrong, for tests alone: the shipped program has
+//! The gateway's own library with a clock and a disk that can be told to be wrong, for tests alone: the shipped program has
 //! no way to. `FAULTY_CLOCK` is how many times as fast the steady clock runs, `FAULTY_WALL` a file that says by how many
 //! seconds the Unix clock is off just now, `FAULTY_DISK` one that says, at each step, what the disk does: nothing (it is sound), `full`, `read-only`, `lies`, `slow MS`, or `dies N` (the process ends at step N).
 
 use larchfall_gateway::run::command::main_on;
 use larchfall_gateway::run::parts::{Folder, Parts, boot_time, unix_time};
 use larchfall_leases::record::Disk;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::io::{self, ErrorKind};
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 struct Faulty {
     folder: Folder,
@@ -30,7 +30,7 @@
             Some("read-only") => Err(ErrorKind::ReadOnlyFilesystem.into()),
             Some("lies") => Ok(false),
             Some("slow") => {
-                std::thread::sleep(Duration::from_millis(number(words.next())));
+                std::thread::sleep(StdDuration::from_millis(number(words.next())));
                 Ok(true)
             }
             Some("dies") if self.steps as u64 >= number(words.next()) => std::process::abort(),
@@ -59,12 +59,12 @@
 
 fn main() -> ExitCode {
     let rate: f64 = std::env::var("FAULTY_CLOCK").ok().and_then(|rate| rate.parse().ok()).unwrap_or(1.0);
-    let clock = move || At::from_micros((boot_time().micros() as f64 * rate) as u64);
+    let clock = move || Timestamp::from_micros((boot_time().micros() as f64 * rate) as u64);
     let wall = || {
         let file = std::env::var("FAULTY_WALL").ok();
         let off = file.and_then(|file| std::fs::read_to_string(file).ok()?.trim().parse::<i64>().ok());
         let now = unix_time().micros().saturating_add_signed(off.unwrap_or_default() * 1_000_000);
-        Span::from_micros(now)
+        Duration::from_micros(now)
     };
     let disk =
         |folder: &Path| -> Box<dyn Disk> { Box::new(Faulty { folder: Folder(folder.to_owned()), steps: 0 }) };
--- a/crates/fault-tests/src/bin/larchfall-storm.rs
+++ b/crates/fault-tests/src/bin/larchfall-storm.rs
@@ -119,7 +119,7 @@
     let s = &played.summary;
     println!(
         "seed {}: {} batches, in time {:.3}, pushed back {:.3}, {} further dispatches, plain after {} ms, longest gap {} ms",
-        s.seed, s.batches, s.in_time, s.pushed_back, s.further, s.plain_ms, s.gap_ms
+        s.seed, s.requests, s.in_time, s.pushed_back, s.further, s.plain_ms, s.gap_ms
     );
     played.faults.iter().for_each(|fault| println!("  {fault}"));
     Ok(played)
@@ -166,9 +166,9 @@
             let out = asked.out.as_deref().ok_or("--out DIR is missing")?;
             // Said before the first is played.
             setting(asked, file)?;
-            let (storm, front) = (std::env::current_exe()?, program(asked)?);
+            let (storm, gateway) = (std::env::current_exe()?, program(asked)?);
             let (setting, without, beside) = (Path::new(file), &asked.without[..], asked.beside);
-            let search = Search { storm: &storm, front, setting, without, seeds, beside, out };
+            let search = Search { storm: &storm, gateway, setting, without, seeds, beside, out };
             let all = search.run(|s| {
                 if s.faults > 0 {
                     println!("seed {}: {} faults, first: {}", s.seed, s.faults, s.first);
--- a/crates/fault-tests/src/duties.rs
+++ b/crates/fault-tests/src/duties.rs
@@ -1,5 +1,5 @@
-//! A fleet's duties in one process: fronts with clocks of their own, disks that fail or lie, a net that loses, delays and
-//! cuts, and something that each holder acts on, which remembers the highest token. Time is true time; each front only
+//! A fleet's duties in one process: gateways with clocks of their own, disks that fail or lie, a net that loses, delays and
+//! cuts, and something that each holder acts on, which remembers the highest token. Time is true time; each gateway only
 //! ever sees its own clock.
 
 use larchfall_leases::bid::Terms;
@@ -9,7 +9,7 @@
 use larchfall_leases::quorum::Electors;
 use larchfall_leases::record::Record;
 use larchfall_leases::wire::{Matter, Who};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -18,11 +18,11 @@
     format!("n{i:03}")
 }
 
-pub fn ms(n: u64) -> Span {
-    Span::from_millis(n)
+pub fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
 }
 
-/// Leases of three seconds with a margin of sixty in a thousand; the first so many fronts are electors.
+/// Leases of three seconds with a margin of sixty in a thousand; the first so many gateways are electors.
 pub fn settings(electors: usize, duties: usize, keeps: bool) -> Settings {
     Settings {
         cluster: "toy".into(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// What a front's disk does with a record.
+/// What a gateway's disk does with a record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiskDoes {
     Keeps,
@@ -48,15 +48,15 @@
     pub duties: Duties,
     pub up: bool,
     /// True time from which on it runs again.
-    stopped: Option<At>,
+    stopped: Option<Timestamp>,
     /// Its clock runs so many times as fast as true time.
     pub rate: f64,
     pub disk: DiskDoes,
-    pub disk_takes: Span,
+    pub disk_takes: Duration,
     pub record: Option<Record>,
     generation: u64,
-    since: At,
-    woken_for: At,
+    since: Timestamp,
+    woken_for: Timestamp,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -70,36 +70,36 @@
 /// What went wrong, and when.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wrong {
-    pub at: At,
+    pub at: Timestamp,
     pub what: String,
 }
 
 pub struct Fleet {
-    pub now: At,
+    pub now: Timestamp,
     pub nodes: Vec<Node>,
     pub settings: Settings,
     pub loss: f64,
-    pub slowest: Span,
+    pub slowest: Duration,
     pub link: Box<dyn Fn(usize, usize) -> bool>,
     pub wrong: Vec<Wrong>,
     /// By duty: since when nobody has held it, and how long each such time was.
-    free: BTreeMap<String, At>,
-    pub gaps: Vec<Span>,
+    free: BTreeMap<String, Timestamp>,
+    pub gaps: Vec<Duration>,
     /// Holders act this often.
-    pub acts: Span,
+    pub acts: Duration,
     pub acted: u64,
     pub letters: u64,
     pub given_up: BTreeMap<Why, usize>,
     fence: Fence,
     posted: Vec<Matter>,
-    queue: BinaryHeap<Reverse<(At, u64, Event)>>,
+    queue: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     events: u64,
     chance: WyRand,
 }
 
 impl Fleet {
     pub fn start(n: usize, settings: Settings, seed: u64) -> Fleet {
-        let now = At::from_micros(1_000_000_000);
+        let now = Timestamp::from_micros(1_000_000_000);
         let mut fleet = Fleet {
             now,
             nodes: Vec::new(),
@@ -131,8 +131,8 @@
                 disk_takes: ms(2),
                 record: None,
                 generation: 1,
-                since: At::default(),
-                woken_for: At::default(),
+                since: Timestamp::default(),
+                woken_for: Timestamp::default(),
             });
             fleet.wake_at(i, fleet.now);
         }
@@ -149,7 +149,7 @@
     /// What membership would tell: who is up, since when by each one's own clock.
     pub fn all_live(&mut self) {
         let up: Vec<usize> = (0..self.nodes.len()).filter(|i| self.nodes[*i].up).collect();
-        let since: Vec<(usize, At)> = up.iter().map(|i| (*i, self.nodes[*i].since)).collect();
+        let since: Vec<(usize, Timestamp)> = up.iter().map(|i| (*i, self.nodes[*i].since)).collect();
         for node in &mut self.nodes {
             node.duties.live(since.iter().map(|(i, at)| (name(*i), clock(*at, node.rate))).collect());
         }
@@ -160,8 +160,8 @@
         self.all_live();
     }
 
-    pub fn stop(&mut self, i: usize, span: Span) {
-        self.nodes[i].stopped = Some(self.now + span);
+    pub fn stop(&mut self, i: usize, duration: Duration) {
+        self.nodes[i].stopped = Some(self.now + duration);
     }
 
     pub fn is_stopped(&self, i: usize) -> bool {
@@ -186,7 +186,7 @@
         self.take(i, out);
     }
 
-    pub fn clock(&self, i: usize) -> At {
+    pub fn clock(&self, i: usize) -> Timestamp {
         clock(self.now, self.nodes[i].rate)
     }
 
@@ -197,19 +197,19 @@
         (0..self.nodes.len()).filter(may).collect()
     }
 
-    fn push(&mut self, at: At, event: Event) {
+    fn push(&mut self, at: Timestamp, event: Event) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, event)));
     }
 
-    fn wake_at(&mut self, i: usize, at: At) {
+    fn wake_at(&mut self, i: usize, at: Timestamp) {
         self.nodes[i].woken_for = at;
         let generation = self.nodes[i].generation;
         self.push(at, Event::Wake(i, generation));
     }
 
-    pub fn run(&mut self, span: Span) {
-        let until = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
             let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = at;
@@ -247,7 +247,7 @@
             self.take(i, out);
             let rate = self.nodes[i].rate;
             let wait = self.nodes[i].duties.due().since(now).micros() as f64 / rate;
-            let due = at + Span::from_micros(wait as u64).max(ms(1)).min(ms(200));
+            let due = at + Duration::from_micros(wait as u64).max(ms(1)).min(ms(200));
             if due != self.nodes[i].woken_for {
                 self.wake_at(i, due);
             }
@@ -261,7 +261,7 @@
             let Ok(to) = to[1..].parse::<usize>() else { continue };
             self.letters += 1;
             if (self.link)(i, to) && self.chance.generate::<f64>() >= self.loss {
-                let delay = Span::from_micros(self.chance.generate_range(100..=self.slowest.micros()));
+                let delay = Duration::from_micros(self.chance.generate_range(100..=self.slowest.micros()));
                 self.posted.push(matter);
                 self.push(self.now + delay, Event::Letter(to, i, generation, self.posted.len() - 1));
             }
@@ -317,7 +317,7 @@
     }
 
     /// Runs in steps until this holds; the time that took, or none within so long.
-    pub fn until(&mut self, within: Span, holds: impl Fn(&Fleet) -> bool) -> Option<Span> {
+    pub fn until(&mut self, within: Duration, holds: impl Fn(&Fleet) -> bool) -> Option<Duration> {
         let from = self.now;
         while !holds(self) {
             if self.now.since(from) >= within {
@@ -342,6 +342,6 @@
     }
 }
 
-fn clock(at: At, rate: f64) -> At {
-    At::from_micros((at.micros() as f64 * rate) as u64)
+fn clock(at: Timestamp, rate: f64) -> Timestamp {
+    Timestamp::from_micros((at.micros() as f64 * rate) as u64)
 }
--- a/crates/fault-tests/src/fleet.rs
+++ b/crates/fault-tests/src/fleet.rs
@@ -3,14 +3,14 @@
 use larchfall_membership::claim::{About, Standing};
 use larchfall_membership::members::{Change, Member, Members, Reason, Settings};
 use larchfall_membership::wire::Letter;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub fn ms(n: u64) -> Span {
-    Span::from_millis(n)
+pub fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
 }
 
 pub fn address(i: usize) -> SocketAddrV4 {
@@ -45,23 +45,23 @@
     pub members: Members,
     pub up: bool,
     /// Awake again then, if it stands still.
-    pub stopped: Option<At>,
+    pub stopped: Option<Timestamp>,
     /// Which start of a process this is; wakes of an earlier one are passed over.
     life: u64,
-    woken_for: At,
+    woken_for: Timestamp,
 }
 
-/// A change that a front saw.
+/// A change that a gateway saw.
 pub struct Sight {
-    pub at: At,
+    pub at: Timestamp,
     pub by: usize,
     pub change: Change,
 }
 
 pub struct Fleet {
-    pub now: At,
+    pub now: Timestamp,
     pub nodes: Vec<Node>,
-    /// Of fronts that are down, and deaths: under loss all are suspected and refute it all the time.
+    /// Of gateways that are down, and deaths: under loss all are suspected and refute it all the time.
     pub sights: Vec<Sight>,
     pub loss: f64,
     /// Whether letters from the one reach the other.
@@ -69,7 +69,7 @@
     pub letters: u64,
     pub bytes: u64,
     pub longest: usize,
-    queue: BinaryHeap<Reverse<(At, u64, Event)>>,
+    queue: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     events: u64,
     chance: WyRand,
 }
@@ -77,7 +77,7 @@
 impl Fleet {
     pub fn start(n: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet {
-            now: At::from_micros(1_000_000),
+            now: Timestamp::from_micros(1_000_000),
             nodes: Vec::new(),
             sights: Vec::new(),
             loss: 0.0,
@@ -101,7 +101,7 @@
         let about = About { address: address(i), zone: "east".into(), serves: 20 };
         let members =
             Members::new(&name(i), generation, about, settings(), self.chance.generate::<u64>(), self.now);
-        Node { members, up: true, stopped: None, life: generation, woken_for: At::default() }
+        Node { members, up: true, stopped: None, life: generation, woken_for: Timestamp::default() }
     }
 
     pub fn kill(&mut self, i: usize) {
@@ -109,8 +109,8 @@
     }
 
     /// Stands still for so long: what comes waits in its socket.
-    pub fn stop(&mut self, i: usize, span: Span) {
-        self.nodes[i].stopped = Some(self.now + span);
+    pub fn stop(&mut self, i: usize, duration: Duration) {
+        self.nodes[i].stopped = Some(self.now + duration);
     }
 
     pub fn restart(&mut self, i: usize) {
@@ -119,19 +119,19 @@
         self.wake_at(i, self.now);
     }
 
-    fn push(&mut self, at: At, event: Event) {
+    fn push(&mut self, at: Timestamp, event: Event) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, event)));
     }
 
-    fn wake_at(&mut self, i: usize, at: At) {
+    fn wake_at(&mut self, i: usize, at: Timestamp) {
         self.nodes[i].woken_for = at;
         let life = self.nodes[i].life;
         self.push(at, Event::Wake(i, life));
     }
 
-    pub fn run(&mut self, span: Span) {
-        let until = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
             let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = at;
@@ -171,11 +171,11 @@
                 let [_, _, high, low] = to.ip().octets();
                 let to = usize::from(high) << 8 | usize::from(low);
                 if to < self.nodes.len() && (self.link)(i, to) && self.chance.generate::<f64>() >= self.loss {
-                    let delay = Span::from_micros(self.chance.generate_range(100..5_000));
+                    let delay = Duration::from_micros(self.chance.generate_range(100..5_000));
                     self.push(at + delay, Event::Letter(to, i, bytes));
                 }
             }
-            let due = self.nodes[i].members.due().max(at + Span::from_millis(1));
+            let due = self.nodes[i].members.due().max(at + Duration::from_millis(1));
             if due != self.nodes[i].woken_for {
                 self.wake_at(i, due);
             }
@@ -184,7 +184,7 @@
     }
 
     /// Runs in steps until this holds; the time that took, or none within so long.
-    pub fn until(&mut self, within: Span, holds: impl Fn(&Fleet) -> bool) -> Option<Span> {
+    pub fn until(&mut self, within: Duration, holds: impl Fn(&Fleet) -> bool) -> Option<Duration> {
         let from = self.now;
         while !holds(self) {
             if self.now.since(from) >= within {
@@ -195,7 +195,7 @@
         Some(self.now.since(from))
     }
 
-    /// What this front holds of that one.
+    /// What this gateway holds of that one.
     pub fn held(&self, by: usize, of: usize) -> Option<Standing> {
         self.nodes[by].members.table().get(&name(of)).map(|m| m.claim.standing)
     }
@@ -210,8 +210,8 @@
         })
     }
 
-    /// How often a front that was up was held for dead.
-    pub fn buried_alive(&self, from: At) -> usize {
+    /// How often a gateway that was up was held for dead.
+    pub fn buried_alive(&self, from: Timestamp) -> usize {
         let unrefuted = |s: &&Sight| s.at >= from && s.change.reason == Reason::Unrefuted;
         self.sights
             .iter()
--- a/crates/fault-tests/src/lib.rs
+++ b/crates/fault-tests/src/lib.rs
@@ -1,4 +1,4 @@
-//! What tests and measurements of several fronts need around them: a net between processes that breaks, and whole
+//! What tests and measurements of several gateways need around them: a net between processes that breaks, and whole
 //! fleets of members in one process.
 
 pub mod audit;
--- a/crates/fault-tests/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -1,6 +1,6 @@
-//! Load on a fleet of processes: clients that send batches at a steady pace over some time, and count what comes back.
+//! Load on a fleet of processes: clients that send requests at a steady pace over some time, and count what comes back.
 
-use crate::process::Front;
+use crate::process::Gateway;
 use larchfall_stub::client::{Answer, Client};
 use larchfall_stub::engine::{Act, Engine};
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 
 static CLIENTS: AtomicUsize = AtomicUsize::new(0);
 
-/// An engine that takes batches one after the other as far as its cores go: it bears `cores / takes` of them a second.
+/// An engine that takes requests one after the other as far as its cores go: it bears `cores / takes` of them a second.
 pub fn engine(takes: Duration, cores: u32) -> io::Result<Engine> {
     let free = Mutex::new(Instant::now());
     Engine::start("127.0.0.1:0", move |_| {
@@ -36,7 +36,7 @@
     Ok((fails.iter().map(engine).collect::<io::Result<_>>()?, fails))
 }
 
-/// What became of the batches of one front.
+/// What became of the requests of one gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
     pub sent: usize,
@@ -58,23 +58,23 @@
     }
 }
 
-/// Sends look-ups to each front, one in each `pace` of its place, for so long; what all got.
+/// Sends look-ups to each gateway, one in each `pace` of its place, for so long; what all got.
 pub fn run<'a>(
-    fronts: impl Iterator<Item = &'a Front>,
+    gateways: impl Iterator<Item = &'a Gateway>,
     pace: impl Fn(usize) -> Duration,
     goal: Duration,
-    span: Duration,
+    duration: Duration,
 ) -> Ledger {
-    let clients: Vec<_> = fronts
+    let clients: Vec<_> = gateways
         .enumerate()
-        .map(|(i, front)| {
-            let (address, pace) = (front.address, pace(i));
-            // Ids are never used again: engines know batches by them.
+        .map(|(i, gateway)| {
+            let (address, pace) = (gateway.address, pace(i));
+            // Ids are never used again: engines know requests by them.
             let number = CLIENTS.fetch_add(1, Ordering::Relaxed);
             // All at the same moments would be one wave after the other, whatever the pace. By the golden ratio any few
             // that follow each other are spread over the whole of it.
             let first = pace.mul_f64((i as f64 * 0.618_034).fract());
-            thread::spawn(move || client(address, number, (first, pace), goal, span))
+            thread::spawn(move || client(address, number, (first, pace), goal, duration))
         })
         .collect();
     let mut all = Ledger::default();
@@ -87,12 +87,12 @@
     number: usize,
     (first, pace): (Duration, Duration),
     goal: Duration,
-    span: Duration,
+    duration: Duration,
 ) -> Ledger {
     let mut ledger = Ledger::default();
     let (Ok(mut to), began) = (Client::connect(address), Instant::now()) else { return ledger };
     let (mut out, mut next): (HashMap<u32, Instant>, Instant) = (HashMap::new(), began + first);
-    let until = began + span;
+    let until = began + duration;
     while Instant::now() < until {
         thread::sleep(next.saturating_duration_since(Instant::now()));
         next += pace;
--- a/crates/fault-tests/src/net.rs
+++ b/crates/fault-tests/src/net.rs
@@ -1,4 +1,4 @@
-//! A net between fronts, on loopback. Each front is told to bind one address and to tell others another, which belongs
+//! A net between gateways, on loopback. Each gateway is told to bind one address and to tell others another, which belongs
 //! to the net: what comes there is handed on from the address that the receiver knows the sender by, so that the
 //! checks of sources stay on, or is lost, delayed, doubled or held back, by link and by seed.
 
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The way from one front to another.
+/// The way from one gateway to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
     /// Nothing passes.
@@ -29,7 +29,7 @@
 type Due = Reverse<(Instant, u64, usize, usize, Vec<u8>)>;
 
 struct Shared {
-    /// By front: the net's own socket, that others know it by, and where it really listens.
+    /// By gateway: the net's own socket, that others know it by, and where it really listens.
     sockets: Vec<UdpSocket>,
     homes: Vec<SocketAddr>,
     links: Mutex<Vec<Vec<Link>>>,
@@ -46,8 +46,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The first port of a net's fronts. The system gives none below 32,768 to whoever asks for any, be it on all addresses: one
-/// that is left to a front stays free until the front takes it, and between two processes of it.
+/// The first port of a net's gateways. The system gives none below 32,768 to whoever asks for any, be it on all addresses: one
+/// that is left to a gateway stays free until the gateway takes it, and between two processes of it.
 const FIRST_PORT: u16 = 7001;
 
 /// An address of loopback that no other net has, in this process or in another that runs now.
@@ -59,23 +59,23 @@
 }
 
 impl Net {
-    /// Between so many fronts, all links sound.
-    pub fn start(fronts: usize, seed: u64) -> io::Result<Net> {
+    /// Between so many gateways, all links sound.
+    pub fn start(gateways: usize, seed: u64) -> io::Result<Net> {
         let sockets: Vec<UdpSocket> =
-            (0..fronts).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))).collect::<io::Result<_>>()?;
+            (0..gateways).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))).collect::<io::Result<_>>()?;
         let host = own_host();
-        let homes = (0..fronts as u16).map(|i| SocketAddr::from((host, FIRST_PORT + i))).collect();
+        let homes = (0..gateways as u16).map(|i| SocketAddr::from((host, FIRST_PORT + i))).collect();
         let net = Arc::new(Shared {
             sockets,
             homes,
-            links: Mutex::new(vec![vec![SOUND; fronts]; fronts]),
+            links: Mutex::new(vec![vec![SOUND; gateways]; gateways]),
             due: Mutex::default(),
             more: Condvar::new(),
             chance: Mutex::new(WyRand::new_seed(seed)),
             passed: AtomicU64::new(0),
             over: AtomicBool::new(false),
         });
-        for to in 0..fronts {
+        for to in 0..gateways {
             net.sockets[to].set_read_timeout(Some(Duration::from_millis(200)))?;
             let net = net.clone();
             thread::spawn(move || net.take(to));
@@ -85,7 +85,7 @@
         Ok(Net(net))
     }
 
-    /// What others know this front by.
+    /// What others know this gateway by.
     pub fn address(&self, i: usize) -> SocketAddr {
         self.0.sockets[i].local_addr().unwrap_or(self.0.homes[i])
     }
@@ -120,7 +120,7 @@
 }
 
 impl Shared {
-    /// What comes to the net's address of one front.
+    /// What comes to the net's address of one gateway.
     fn take(&self, to: usize) {
         let mut bytes = [0; 2048];
         while !self.over.load(Ordering::Relaxed) {
@@ -151,7 +151,7 @@
                 Some(Duration::ZERO) => {
                     let Some(Reverse((_, _, from, to, bytes))) = due.pop() else { continue };
                     drop(due);
-                    // A front that is not there takes nothing.
+                    // A gateway that is not there takes nothing.
                     if self.sockets[from].send_to(&bytes, self.homes[to]).is_ok() {
                         self.passed.fetch_add(1, Ordering::Relaxed);
                     }
--- a/crates/fault-tests/src/probed.rs
+++ b/crates/fault-tests/src/probed.rs
@@ -1,5 +1,5 @@
 //! A fleet of processes whose engines tell their load only when they are asked: what asking costs them, and what it
-//! brings, with one front at a time that asks for all and without.
+//! brings, with one gateway at a time that asks for all and without.
 
 use crate::load::{self, Ledger};
 use crate::net::Net;
@@ -22,10 +22,10 @@
 }
 
 impl Probed {
-    /// Engines of two cores, of which each batch takes so long; `shared` with one front that asks for all.
+    /// Engines of two cores, of which each request takes so long; `shared` with one gateway that asks for all.
     pub fn start(
         program: &'static str,
-        fronts: usize,
+        gateways: usize,
         engines: usize,
         takes: Duration,
         shared: bool,
@@ -41,13 +41,14 @@
             electors.join(", ")
         );
         let more = move |_: &Net, _| if shared { duties.clone() } else { String::new() };
-        let mut fleet = Fleet::new(program, fronts, seed, more, |_| Vec::new());
+        let mut fleet = Fleet::new(program, gateways, seed, more, |_| Vec::new());
         let settings = settings()
-            .replace("\"instances\":1", &format!("\"instances\":{fronts}"))
+            .replace("\"instances\":1", &format!("\"instances\":{gateways}"))
             .replace("\"size_cores\":[64]", "\"size_cores\":[2]")
             .replace("\"probes\":false", "\"probes\":true")
             .replace("\"domain\"", "\"stats\":{\"how\":\"probe\"},\"prices\":{\"probe\":0.01},\"domain\"");
-        fleet.config = Box::new(move |_, board| config_of("127.0.0.1:0", board, &addresses, 256, &settings));
+        fleet.config =
+            Box::new(move |_, discovery| config_of("127.0.0.1:0", discovery, &addresses, 256, &settings));
         let fleet = fleet.begun();
         fleet.joined();
         Probed { fleet, engines }
@@ -58,10 +59,10 @@
     }
 
     /// Load on all that run.
-    pub fn load(&self, pace: Duration, goal: Duration, span: Duration) -> Shown {
+    pub fn load(&self, pace: Duration, goal: Duration, duration: Duration) -> Shown {
         let (before, from) = (self.probes(), Instant::now());
-        let up = self.fleet.up().map(|i| self.fleet.front(i));
-        let ledger = load::run(up, |_| pace, goal, span);
+        let up = self.fleet.up().map(|i| self.fleet.gateway(i));
+        let ledger = load::run(up, |_| pace, goal, duration);
         let probes =
             (self.probes() - before) as f64 / from.elapsed().as_secs_f64() / self.engines.len() as f64;
         Shown { ledger, probes }
--- a/crates/fault-tests/src/process.rs
+++ b/crates/fault-tests/src/process.rs
@@ -1,10 +1,10 @@
-//! One front as a program of its own, with a toy board beside it, and a whole fleet of them with a net between that
+//! One gateway as a program of its own, with a toy discovery service beside it, and a whole fleet of them with a net between that
 //! breaks. Which program is the caller's to say.
 
 use crate::net::Net;
 use crate::relay::{Relays, Way};
-use larchfall_stub::board::{Board, Listed, frame};
 use larchfall_stub::client::Client;
+use larchfall_stub::discovery::{Discovery, Listed, frame};
 use larchfall_stub::rest::RestClient;
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// Far longer than anything takes here, on a slow machine too.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Three service groups: look-ups that repeat, what runs once only, and referenced loads in key order.
+/// Three request classes: look-ups that repeat, what runs once only, and referenced loads in key order.
 pub fn settings() -> String {
     r#"{"az":0,"instances":1,"me":0,"models":["std"],"zones":["east"],"discovery":"automatic","period":5000,
     "caps":{"cancel":true,"connect_timeout":250000,"idle_close":15000000,"max_attempts":3,
@@ -28,19 +28,19 @@
        "aim":1000000,"hard_limit":30000000,"worth":2.0}],
     "domain":{"threads_by_class":[1,1,1],"size_cores":[64],"size_mb":[65536],"grants":true,"note_period":0},
     "parties":[{"name":"acme","allowance_per_s":1000}],
-    "safety":{"cold_from":0.3,"fall":2000000,"fall_multiple":3.0,"ramp_time":14000000,"drain_grace":2000000}}"#
+    "safety":{"slow_start_from":0.3,"fall":2000000,"fall_multiple":3.0,"ramp_time":14000000,"drain_grace":2000000}}"#
         .to_owned()
 }
 
 /// A configuration; `engine` is known at the start.
-pub fn config(listen: &str, board: SocketAddr, engine: Option<SocketAddr>, sockets: usize) -> String {
-    config_of(listen, board, engine.as_slice(), sockets, &settings())
+pub fn config(listen: &str, discovery: SocketAddr, engine: Option<SocketAddr>, sockets: usize) -> String {
+    config_of(listen, discovery, engine.as_slice(), sockets, &settings())
 }
 
 /// One with these settings; engines are known at the start, under ids from 1 up.
 pub fn config_of(
     listen: &str,
-    board: SocketAddr,
+    discovery: SocketAddr,
     engines: &[SocketAddr],
     sockets: usize,
     settings: &str,
@@ -56,7 +56,7 @@
         .collect();
     format!(
         r#"{{"name":"n0","listen":"{listen}","seed":"8c1f30d27a5be964",
-            "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"board":"{board}",
+            "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"discovery":"{discovery}",
             "known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"generation":1,"reset":true,"instances":[{}]}}}}]}},
             "settings":{settings}}}"#,
         known.join(",")
@@ -122,13 +122,13 @@
     }
 }
 
-pub struct Front {
+pub struct Gateway {
     child: Child,
     pub address: SocketAddr,
     /// Where it listens for the paged protocol, if it does.
     pub rest: Option<SocketAddr>,
     pub log: Arc<Lines>,
-    pub board: Arc<Board>,
+    pub discovery: Arc<Discovery>,
     pub file: std::path::PathBuf,
     pub site_file: std::path::PathBuf,
 }
@@ -138,15 +138,15 @@
     line.split("address: ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap()
 }
 
-impl Front {
+impl Gateway {
     /// With the operator's own settings beside the configuration, and what is put into its environment.
     pub fn start(
         program: &str,
-        board: Board,
+        discovery: Discovery,
         text: &str,
         site: Option<&str>,
         put: &[(&str, String)],
-    ) -> Front {
+    ) -> Gateway {
         let name =
             format!("larchfall-{}-{:?}-{:?}", std::process::id(), thread::current().id(), Instant::now());
         let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
@@ -166,7 +166,7 @@
         log.read(output);
         log.read(panics);
         let address = address_in(&log.wait_for("listening,"));
-        Front { child, address, rest: None, log, board: Arc::new(board), file, site_file }
+        Gateway { child, address, rest: None, log, discovery: Arc::new(discovery), file, site_file }
     }
 
     pub fn client(&self) -> Client {
@@ -214,13 +214,13 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
-    /// Replaces the operator's settings and tells the front.
+    /// Replaces the operator's settings and tells the gateway.
     pub fn reload_site(&self, text: &str) {
         std::fs::write(&self.site_file, text).unwrap();
         self.signal("-HUP");
     }
 
-    /// Replaces the configuration and tells the front.
+    /// Replaces the configuration and tells the gateway.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
         self.signal("-HUP");
@@ -231,14 +231,14 @@
         wait_for("the front to end", || self.child.try_wait().unwrap())
     }
 
-    /// Lists engines under the board's next number.
+    /// Lists engines under the discovery service's next number.
     pub fn list(&self, number: u64, engines: &[(u32, SocketAddr, u8)]) {
-        list(&self.board, number, engines);
+        list(&self.discovery, number, engines);
     }
 }
 
 /// Lists engines by id, address and state under this number.
-pub fn list(board: &Board, number: u64, engines: &[(u32, SocketAddr, u8)]) {
+pub fn list(discovery: &Discovery, number: u64, engines: &[(u32, SocketAddr, u8)]) {
     let entry = |(id, address, state): &(u32, SocketAddr, u8)| Listed {
         id: *id,
         address: *address,
@@ -246,10 +246,10 @@
         zone: 0,
         kind: 0,
     };
-    board.say(number, frame(number, true, &engines.iter().map(entry).collect::<Vec<_>>()));
+    discovery.say(number, frame(number, true, &engines.iter().map(entry).collect::<Vec<_>>()));
 }
 
-impl Drop for Front {
+impl Drop for Gateway {
     fn drop(&mut self) {
         if thread::panicking() {
             eprintln!("{:#?}", self.log.all.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
@@ -275,25 +275,25 @@
 
 pub const PERIOD: Duration = Duration::from_millis(200);
 
-/// Fronts of one program, all known to each other through a net. Each has a board of its own, which names no engine
+/// Gateways of one program, all known to each other through a net. Each has a discovery service of its own, which names no engine
 /// unless it is told to.
 pub struct Fleet {
     pub net: Net,
-    pub fronts: Vec<Option<Front>>,
+    pub gateways: Vec<Option<Gateway>>,
     pub seed: u64,
     program: &'static str,
-    /// What stands in the file of the front at that place beside its `[fronts]` table, and in its environment.
+    /// What stands in the file of the gateway at that place beside its `[gateways]` table, and in its environment.
     pub more: Box<dyn Fn(usize) -> String>,
     pub put: Box<dyn Fn(usize) -> Vec<(&'static str, String)>>,
-    /// Its configuration, by the address of its board.
+    /// Its configuration, by the address of its discovery service.
     pub config: Box<dyn Fn(usize, SocketAddr) -> String>,
-    /// Whether the module counts the fronts that live.
+    /// Whether the module counts the gateways that live.
     pub shares: bool,
-    /// The zone of the front at that place.
+    /// The zone of the gateway at that place.
     pub zone: Box<dyn Fn(usize) -> String>,
-    /// From each front to its notice board.
-    board_ways: Vec<Option<Relays>>,
-    /// Of each process that was ever begun, by the name of its front.
+    /// From each gateway to its discovery service.
+    discovery_ways: Vec<Option<Relays>>,
+    /// Of each process that was ever begun, by the name of its gateway.
     pub logs: Vec<(String, Arc<Lines>)>,
 }
 
@@ -301,8 +301,8 @@
     format!("n{i:02}")
 }
 
-/// The file of the front at place `i` of the net, under the name of `called`.
-pub fn fronts_table(net: &Net, i: usize, called: usize, seeds: &[usize]) -> String {
+/// The file of the gateway at place `i` of the net, under the name of `called`.
+pub fn gateways_table(net: &Net, i: usize, called: usize, seeds: &[usize]) -> String {
     let seeds: Vec<String> = seeds.iter().map(|s| format!("\"{}\"", net.address(*s))).collect();
     format!(
         "[fronts]\ncluster = \"toy\"\nname = \"{}\"\naddress = \"{}\"\ntold = \"{}\"\nseeds = [{}]\n\
@@ -322,11 +322,11 @@
     }
 
     pub fn begun(mut self) -> Fleet {
-        (0..self.fronts.len()).for_each(|i| self.begin(i));
+        (0..self.gateways.len()).for_each(|i| self.begin(i));
         self
     }
 
-    /// None of them runs yet. `more` gets the net, and the place of the front whose file it adds to.
+    /// None of them runs yet. `more` gets the net, and the place of the gateway whose file it adds to.
     pub fn new(
         program: &'static str,
         n: usize,
@@ -337,11 +337,11 @@
         let net = Net::start(n, seed).unwrap();
         let texts: Vec<String> = (0..n).map(|i| more(&net, i)).collect();
         let more = Box::new(move |i: usize| texts[i].clone());
-        let config = Box::new(|_, board| config("127.0.0.1:0", board, None, 256));
+        let config = Box::new(|_, discovery| config("127.0.0.1:0", discovery, None, 256));
         let put = Box::new(put);
         let mut fleet = Fleet {
             net,
-            fronts: Vec::new(),
+            gateways: Vec::new(),
             seed,
             program,
             more,
@@ -349,11 +349,11 @@
             config,
             shares: true,
             zone: Box::new(|_| "east".to_owned()),
-            board_ways: Vec::new(),
+            discovery_ways: Vec::new(),
             logs: Vec::new(),
         };
-        fleet.fronts.resize_with(n, || None);
-        fleet.board_ways.resize_with(n, || None);
+        fleet.gateways.resize_with(n, || None);
+        fleet.discovery_ways.resize_with(n, || None);
         fleet
     }
 
@@ -364,39 +364,39 @@
 
     pub fn begin_as(&mut self, i: usize, called: usize) {
         // Two at one address would be one too many.
-        self.fronts[i] = None;
-        let board = Board::start("127.0.0.1:0").unwrap();
-        let way = Relays::start(1, &[board.address]).unwrap();
+        self.gateways[i] = None;
+        let discovery = Discovery::start("127.0.0.1:0").unwrap();
+        let way = Relays::start(1, &[discovery.address]).unwrap();
         let text = (self.config)(i, way.address(0, 0));
-        self.board_ways[i] = Some(way);
+        self.discovery_ways[i] = Some(way);
         let seeds = [0, 1];
-        let fronts = fronts_table(&self.net, i, called, &seeds[..seeds.len().min(self.fronts.len())]);
-        let fronts = fronts.replace("zone = \"east\"", &format!("zone = \"{}\"", (self.zone)(i)));
-        let fronts = if self.shares { fronts } else { fronts.replace("shares = true\n", "") };
-        let site = fronts + &(self.more)(i);
-        let front = Front::start(self.program, board, &text, Some(&site), &(self.put)(i));
+        let gateways = gateways_table(&self.net, i, called, &seeds[..seeds.len().min(self.gateways.len())]);
+        let gateways = gateways.replace("zone = \"east\"", &format!("zone = \"{}\"", (self.zone)(i)));
+        let gateways = if self.shares { gateways } else { gateways.replace("shares = true\n", "") };
+        let site = gateways + &(self.more)(i);
+        let gateway = Gateway::start(self.program, discovery, &text, Some(&site), &(self.put)(i));
         // One that ends because its address is taken is seen here, and not as a member that nobody ever hears of.
-        front.log.wait_for("fronts: listening");
-        self.logs.push((name(called), front.log.clone()));
-        self.fronts[i] = Some(front);
+        gateway.log.wait_for("fronts: listening");
+        self.logs.push((name(called), gateway.log.clone()));
+        self.gateways[i] = Some(gateway);
     }
 
-    pub fn front(&self, i: usize) -> &Front {
-        self.fronts[i].as_ref().unwrap()
+    pub fn gateway(&self, i: usize) -> &Gateway {
+        self.gateways[i].as_ref().unwrap()
     }
 
-    /// What becomes of the way between this front and its notice board.
-    pub fn board_way(&self, i: usize, way: Way) {
-        self.board_ways[i].as_ref().unwrap().set(|_, _| true, way);
+    /// What becomes of the way between this gateway and its discovery service.
+    pub fn discovery_way(&self, i: usize, way: Way) {
+        self.discovery_ways[i].as_ref().unwrap().set(|_, _| true, way);
     }
 
     pub fn up(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.fronts.len()).filter(|i| self.fronts[*i].is_some())
+        (0..self.gateways.len()).filter(|i| self.gateways[*i].is_some())
     }
 
-    /// How this front's log last calls that one.
+    /// How this gateway's log last calls that one.
     pub fn held(&self, by: usize, of: usize) -> Option<String> {
-        let line = self.front(by).log.last(&format!("fronts: {} is ", name(of)))?;
+        let line = self.gateway(by).log.last(&format!("fronts: {} is ", name(of)))?;
         Some(line.split(" is ").nth(1)?.split(',').next()?.to_owned())
     }
 
@@ -416,10 +416,10 @@
     }
 
     pub fn deaths(&self) -> usize {
-        self.up().map(|i| self.front(i).log.count(" is dead")).sum()
+        self.up().map(|i| self.gateway(i).log.count(" is dead")).sum()
     }
 
-    /// Lets the fronts go on until so many datagrams have passed between them.
+    /// Lets the gateways go on until so many datagrams have passed between them.
     pub fn until_passed(&self, datagrams: u64) {
         let until = self.net.passed() + datagrams;
         wait_for("datagrams to pass", || (self.net.passed() >= until).then_some(()));
--- a/crates/fault-tests/src/relay.rs
+++ b/crates/fault-tests/src/relay.rs
@@ -1,4 +1,4 @@
-//! Ways from each front to each engine, over TCP: sound, slow, standing still (what comes is taken and nothing is said), or
+//! Ways from each gateway to each engine, over TCP: sound, slow, standing still (what comes is taken and nothing is said), or
 //! cut, each for itself and changed while connections are open.
 
 use std::io::{self, Read, Write};
@@ -31,7 +31,7 @@
 
 /// All ways of a fleet.
 pub struct Relays {
-    /// By front and engine.
+    /// By gateway and engine.
     relays: Vec<Vec<Arc<Relay>>>,
     over: Arc<AtomicBool>,
 }
@@ -41,7 +41,7 @@
 }
 
 impl Relays {
-    pub fn start(fronts: usize, engines: &[SocketAddr]) -> io::Result<Relays> {
+    pub fn start(gateways: usize, engines: &[SocketAddr]) -> io::Result<Relays> {
         let over = Arc::new(AtomicBool::new(false));
         let relay = |to: &SocketAddr| {
             let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -50,19 +50,19 @@
             thread::spawn(move || shared.listen(&listener, &over));
             Ok(relay)
         };
-        let relays = (0..fronts).map(|_| engines.iter().map(relay).collect()).collect::<io::Result<_>>()?;
+        let relays = (0..gateways).map(|_| engines.iter().map(relay).collect()).collect::<io::Result<_>>()?;
         Ok(Relays { relays, over })
     }
 
-    /// Where that front finds that engine.
-    pub fn address(&self, front: usize, engine: usize) -> SocketAddr {
-        self.relays[front][engine].at
+    /// Where that gateway finds that engine.
+    pub fn address(&self, gateway: usize, engine: usize) -> SocketAddr {
+        self.relays[gateway][engine].at
     }
 
     /// Changes the ways for which this holds.
     pub fn set(&self, which: impl Fn(usize, usize) -> bool, way: Way) {
-        for (front, row) in self.relays.iter().enumerate() {
-            row.iter().enumerate().filter(|(engine, _)| which(front, *engine)).for_each(|(_, relay)| {
+        for (gateway, row) in self.relays.iter().enumerate() {
+            row.iter().enumerate().filter(|(engine, _)| which(gateway, *engine)).for_each(|(_, relay)| {
                 *lock(&relay.way) = way;
             });
         }
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -1,5 +1,5 @@
 //! What happens to a fleet, and when: drawn by a seed, kept as text, played again from it. A run leaves its script, each
-//! front's log and one time line of all of them, so that a failure names its seed and what came before it.
+//! gateway's log and one time line of all of them, so that a failure names its seed and what came before it.
 
 use crate::net::{Link, SOUND};
 use crate::process::{Fleet, name};
@@ -18,21 +18,26 @@
 pub enum Step {
     /// Killed, and another process under its name.
     Restart {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
     },
     Stop {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
     },
     Wake {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
     },
     /// Told to end, and another process under its name.
     Replace {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
     },
-    /// From and to all other fronts nothing passes.
+    /// From and to all other gateways nothing passes.
     CutOff {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
     },
     OneWay {
         from: usize,
@@ -47,51 +52,63 @@
         doubles: f64,
         delays_ms: u64,
     },
-    /// Between fronts all is sound again.
+    /// Between gateways all is sound again.
     Heal,
     EngineCut {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
         engine: usize,
     },
     EngineStalls {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
         engine: usize,
     },
     EngineSlow {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
         engine: usize,
         ms: u64,
     },
     /// To engines all is sound again.
     EnginesHeal,
-    /// Between a front and its notice board.
-    BoardCut {
-        front: usize,
+    /// Between a gateway and its discovery service.
+    #[serde(rename = "board-cut")]
+    DiscoveryCut {
+        #[serde(rename = "front")]
+        gateway: usize,
     },
-    BoardStalls {
-        front: usize,
+    #[serde(rename = "board-stalls")]
+    DiscoveryStalls {
+        #[serde(rename = "front")]
+        gateway: usize,
     },
-    BoardsHeal,
+    #[serde(rename = "boards-heal")]
+    DiscoveriesHeal,
     /// Clients keep so many times as much open as before.
     Load {
         times: u32,
     },
-    /// A front's Unix clock is off by so many seconds.
+    /// A gateway's Unix clock is off by so many seconds.
     Clock {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
         seconds: i64,
     },
-    /// What a front's disk does from now on.
+    /// What a gateway's disk does from now on.
     Disk {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
         does: Does,
     },
-    /// The operator's file of a front is spoilt, or as it was, and the front is told to read it again.
+    /// The operator's file of a gateway is spoilt, or as it was, and the gateway is told to read it again.
     Spoil {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
     },
     Mend {
-        front: usize,
+        #[serde(rename = "front")]
+        gateway: usize,
     },
 }
 
@@ -133,9 +150,12 @@
     EngineStalls,
     EngineSlow,
     EnginesHeal,
-    BoardCut,
-    BoardStalls,
-    BoardsHeal,
+    #[serde(rename = "board-cut")]
+    DiscoveryCut,
+    #[serde(rename = "board-stalls")]
+    DiscoveryStalls,
+    #[serde(rename = "boards-heal")]
+    DiscoveriesHeal,
     Heal,
     Surge,
     Clock,
@@ -150,7 +170,7 @@
 pub fn plain_kinds() -> Kinds {
     use Kind::*;
     let once = [Restart, Replace, CutOff, OneWay, Islands, Worse, EngineCut, EngineStalls, EngineSlow];
-    let more = [EnginesHeal, BoardCut, BoardStalls, BoardsHeal, Heal];
+    let more = [EnginesHeal, DiscoveryCut, DiscoveryStalls, DiscoveriesHeal, Heal];
     once.into_iter().chain(more).map(|kind| (kind, 1)).chain([(Stop, 2)]).collect()
 }
 
@@ -184,7 +204,7 @@
     /// A step every `every` in the mean; who is stopped wakes, and what is broken heals by the end.
     pub fn draw(
         seed: u64,
-        (fronts, engines): (usize, usize),
+        (gateways, engines): (usize, usize),
         (length, every): (Duration, Duration),
         kinds: &Kinds,
     ) -> Script {
@@ -196,7 +216,7 @@
             if at >= length {
                 break;
             }
-            let (front, to) = (chance.generate_range(0..fronts), chance.generate_range(0..fronts));
+            let (gateway, to) = (chance.generate_range(0..gateways), chance.generate_range(0..gateways));
             let engine = chance.generate_range(0..engines.max(1));
             let Some(kind) = drawn(kinds, &mut chance) else { break };
             let mut ends = |least: u64, most: u64, step| {
@@ -204,49 +224,52 @@
                 steps.push(Timed { at_ms, step });
             };
             let step = match kind {
-                Kind::Restart => Step::Restart { front },
+                Kind::Restart => Step::Restart { gateway },
                 Kind::Stop => {
-                    ends(100, 1_500, Step::Wake { front });
-                    Step::Stop { front }
+                    ends(100, 1_500, Step::Wake { gateway });
+                    Step::Stop { gateway }
                 }
-                Kind::Replace => Step::Replace { front },
-                Kind::CutOff => Step::CutOff { front },
-                Kind::OneWay => Step::OneWay { from: front, to },
+                Kind::Replace => Step::Replace { gateway },
+                Kind::CutOff => Step::CutOff { gateway },
+                Kind::OneWay => Step::OneWay { from: gateway, to },
                 Kind::Islands => Step::Islands { number: chance.generate_range(2..=3) },
                 Kind::Worse => Step::Worse { loses: 0.4, doubles: 0.3, delays_ms: 300 },
-                Kind::EngineCut => Step::EngineCut { front, engine },
+                Kind::EngineCut => Step::EngineCut { gateway, engine },
                 Kind::EngineStalls => {
-                    // What was on its way comes in late. Fronts count on that being within 8 s (docs/front.md).
+                    // What was on its way comes in late. Gateways count on that being within 8 s (docs/front.md).
                     ends(500, 4_000, Step::EnginesHeal);
-                    Step::EngineStalls { front, engine }
+                    Step::EngineStalls { gateway, engine }
                 }
-                Kind::EngineSlow => Step::EngineSlow { front, engine, ms: 40 },
+                Kind::EngineSlow => Step::EngineSlow { gateway, engine, ms: 40 },
                 Kind::EnginesHeal => Step::EnginesHeal,
-                Kind::BoardCut => Step::BoardCut { front },
-                Kind::BoardStalls => Step::BoardStalls { front },
-                Kind::BoardsHeal => Step::BoardsHeal,
+                Kind::DiscoveryCut => Step::DiscoveryCut { gateway },
+                Kind::DiscoveryStalls => Step::DiscoveryStalls { gateway },
+                Kind::DiscoveriesHeal => Step::DiscoveriesHeal,
                 Kind::Heal => Step::Heal,
                 Kind::Surge => {
                     ends(500, 3_000, Step::Load { times: 1 });
                     Step::Load { times: chance.generate_range(2..=4) }
                 }
                 Kind::Clock => {
-                    ends(500, 4_000, Step::Clock { front, seconds: 0 });
-                    Step::Clock { front, seconds: [-86_400, -5, 3, 3_600][chance.generate_range(0..4_usize)] }
+                    ends(500, 4_000, Step::Clock { gateway, seconds: 0 });
+                    Step::Clock {
+                        gateway,
+                        seconds: [-86_400, -5, 3, 3_600][chance.generate_range(0..4_usize)],
+                    }
                 }
                 Kind::Disk => {
-                    ends(500, 4_000, Step::Disk { front, does: Does::Sound });
+                    ends(500, 4_000, Step::Disk { gateway, does: Does::Sound });
                     let does = [Does::Full, Does::ReadOnly, Does::Lies, Does::Slow];
-                    Step::Disk { front, does: does[chance.generate_range(0..does.len())] }
+                    Step::Disk { gateway, does: does[chance.generate_range(0..does.len())] }
                 }
                 Kind::Reload => {
-                    ends(200, 1_500, Step::Mend { front });
-                    Step::Spoil { front }
+                    ends(200, 1_500, Step::Mend { gateway });
+                    Step::Spoil { gateway }
                 }
             };
             steps.push(Timed { at_ms: at, step });
         }
-        let heals = [Step::Heal, Step::EnginesHeal, Step::BoardsHeal];
+        let heals = [Step::Heal, Step::EnginesHeal, Step::DiscoveriesHeal];
         steps.extend(heals.map(|step| Timed { at_ms: length, step }));
         steps.sort_by_key(|timed| timed.at_ms);
         Script { seed, steps }
@@ -264,48 +287,49 @@
 /// What was done, and when.
 pub type Done = Vec<(Instant, Step)>;
 
-/// By front: from when till when its notice board could not be heard. A new process of it hears its own at once; the one
+/// By gateway: from when till when its discovery service could not be heard. A new process of it hears its own at once; the one
 /// that it takes the place of may take seconds to end, and hears nothing until the next step at the latest.
 pub fn unheard(done: &Done) -> Vec<(usize, Instant, Instant)> {
-    let (mut open, mut spans): (BTreeMap<usize, Instant>, Vec<_>) = (BTreeMap::new(), Vec::new());
+    let (mut open, mut durations): (BTreeMap<usize, Instant>, Vec<_>) = (BTreeMap::new(), Vec::new());
     for (n, (at, step)) in done.iter().enumerate() {
         let next = done.get(n + 1).map_or(*at, |(next, _)| *next);
         let until = if matches!(step, Step::Restart { .. } | Step::Replace { .. }) { next } else { *at };
         let heard: Vec<usize> = match step {
-            Step::BoardCut { front } | Step::BoardStalls { front } => {
-                open.entry(*front).or_insert(*at);
+            Step::DiscoveryCut { gateway } | Step::DiscoveryStalls { gateway } => {
+                open.entry(*gateway).or_insert(*at);
                 continue;
             }
-            Step::Restart { front } | Step::Replace { front } => vec![*front],
-            Step::BoardsHeal => open.keys().copied().collect(),
+            Step::Restart { gateway } | Step::Replace { gateway } => vec![*gateway],
+            Step::DiscoveriesHeal => open.keys().copied().collect(),
             _ => continue,
         };
-        spans.extend(heard.into_iter().filter_map(|f| open.remove(&f).map(|from| (f, from, until))));
+        durations.extend(heard.into_iter().filter_map(|f| open.remove(&f).map(|from| (f, from, until))));
     }
-    spans
+    durations
 }
 
-/// By front and engine: from when till when the way between them stood still.
+/// By gateway and engine: from when till when the way between them stood still.
 pub fn stood(done: &Done) -> Vec<(usize, usize, Instant, Instant)> {
-    let (mut open, mut spans): (BTreeMap<(usize, usize), Instant>, Vec<_>) = (BTreeMap::new(), Vec::new());
+    let (mut open, mut durations): (BTreeMap<(usize, usize), Instant>, Vec<_>) =
+        (BTreeMap::new(), Vec::new());
     for (at, step) in done {
         let over: Vec<(usize, usize)> = match step {
-            Step::EngineStalls { front, engine } => {
-                open.entry((*front, *engine)).or_insert(*at);
+            Step::EngineStalls { gateway, engine } => {
+                open.entry((*gateway, *engine)).or_insert(*at);
                 continue;
             }
             // What comes now is cut; or it is late by less than this looks at.
-            Step::EngineCut { front, engine } | Step::EngineSlow { front, engine, .. } => {
-                vec![(*front, *engine)]
+            Step::EngineCut { gateway, engine } | Step::EngineSlow { gateway, engine, .. } => {
+                vec![(*gateway, *engine)]
             }
             Step::EnginesHeal => open.keys().copied().collect(),
             _ => continue,
         };
-        spans.extend(
+        durations.extend(
             over.into_iter().filter_map(|way| open.remove(&way).map(|from| (way.0, way.1, from, *at))),
         );
     }
-    spans
+    durations
 }
 
 /// What a script changes beside the fleet and its net.
@@ -316,12 +340,12 @@
     pub folder: &'a Folder,
 }
 
-/// Files of each front of a fleet: its records, how far off its clock is, what its disk does.
+/// Files of each gateway of a fleet: its records, how far off its clock is, what its disk does.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    pub fn new(path: &Path, fronts: usize) -> io::Result<Folder> {
-        (0..fronts).try_for_each(|i| std::fs::create_dir_all(path.join(name(i))))?;
+    pub fn new(path: &Path, gateways: usize) -> io::Result<Folder> {
+        (0..gateways).try_for_each(|i| std::fs::create_dir_all(path.join(name(i))))?;
         Ok(Folder(path.to_owned()))
     }
 
@@ -329,7 +353,7 @@
         self.0.join(name(i))
     }
 
-    /// What stands in the environment of a front so that it reads the others.
+    /// What stands in the environment of a gateway so that it reads the others.
     pub fn put(&self, i: usize) -> Vec<(&'static str, String)> {
         let file = |what: &str| self.file(i, what).display().to_string();
         vec![("FAULTY_WALL", file("off")), ("FAULTY_DISK", file("does"))]
@@ -362,23 +386,23 @@
         done.push((Instant::now(), step.clone()));
         let cut = Link { cut: true, ..SOUND };
         match *step {
-            Step::Restart { front } => {
-                fleet.begin(front);
-                begun(fleet, front);
+            Step::Restart { gateway } => {
+                fleet.begin(gateway);
+                begun(fleet, gateway);
             }
-            Step::Replace { front } => {
+            Step::Replace { gateway } => {
                 // One that stands still hears no signal but the last.
-                fleet.front(front).signal("-CONT");
-                fleet.front(front).signal("-TERM");
-                if let Some(ends) = &mut fleet.fronts[front] {
+                fleet.gateway(gateway).signal("-CONT");
+                fleet.gateway(gateway).signal("-TERM");
+                if let Some(ends) = &mut fleet.gateways[gateway] {
                     ends.ended();
                 }
-                fleet.begin(front);
-                begun(fleet, front);
+                fleet.begin(gateway);
+                begun(fleet, gateway);
             }
-            Step::Stop { front } => fleet.front(front).stop(),
-            Step::Wake { front } => fleet.front(front).signal("-CONT"),
-            Step::CutOff { front } => fleet.net.set(|a, b| (a == front) != (b == front), cut),
+            Step::Stop { gateway } => fleet.gateway(gateway).stop(),
+            Step::Wake { gateway } => fleet.gateway(gateway).signal("-CONT"),
+            Step::CutOff { gateway } => fleet.net.set(|a, b| (a == gateway) != (b == gateway), cut),
             Step::OneWay { from, to } => fleet.net.set(|a, b| (a, b) == (from, to), cut),
             Step::Islands { number } => fleet.net.set(|a, b| a % number != b % number, cut),
             Step::Worse { loses, doubles, delays_ms } => {
@@ -386,29 +410,31 @@
                 fleet.net.set(|_, _| true, worse);
             }
             Step::Heal => fleet.net.heal(),
-            Step::EngineCut { front, engine } => relays.set(|f, e| (f, e) == (front, engine), Way::Cut),
-            Step::EngineStalls { front, engine } => relays.set(|f, e| (f, e) == (front, engine), Way::Stalls),
-            Step::EngineSlow { front, engine, ms } => {
-                relays.set(|f, e| (f, e) == (front, engine), Way::Slow(Duration::from_millis(ms)));
+            Step::EngineCut { gateway, engine } => relays.set(|f, e| (f, e) == (gateway, engine), Way::Cut),
+            Step::EngineStalls { gateway, engine } => {
+                relays.set(|f, e| (f, e) == (gateway, engine), Way::Stalls)
+            }
+            Step::EngineSlow { gateway, engine, ms } => {
+                relays.set(|f, e| (f, e) == (gateway, engine), Way::Slow(Duration::from_millis(ms)));
             }
             Step::EnginesHeal => relays.set(|_, _| true, Way::Sound),
-            Step::BoardCut { front } => fleet.board_way(front, Way::Cut),
-            Step::BoardStalls { front } => fleet.board_way(front, Way::Stalls),
-            Step::BoardsHeal => fleet.up().for_each(|i| fleet.board_way(i, Way::Sound)),
+            Step::DiscoveryCut { gateway } => fleet.discovery_way(gateway, Way::Cut),
+            Step::DiscoveryStalls { gateway } => fleet.discovery_way(gateway, Way::Stalls),
+            Step::DiscoveriesHeal => fleet.up().for_each(|i| fleet.discovery_way(i, Way::Sound)),
             Step::Load { times } => ground.load.store(times, Ordering::Relaxed),
-            Step::Clock { front, seconds } => folder.say(front, "off", &seconds.to_string()),
-            Step::Disk { front, does } => folder.say(front, "does", does.word()),
-            Step::Spoil { front } => {
-                let front = fleet.front(front);
-                if let Ok(text) = std::fs::read_to_string(&front.site_file) {
-                    spoilt.entry(front.site_file.clone()).or_insert(text);
-                    front.reload_site("[fronts]\nname = ");
+            Step::Clock { gateway, seconds } => folder.say(gateway, "off", &seconds.to_string()),
+            Step::Disk { gateway, does } => folder.say(gateway, "does", does.word()),
+            Step::Spoil { gateway } => {
+                let gateway = fleet.gateway(gateway);
+                if let Ok(text) = std::fs::read_to_string(&gateway.site_file) {
+                    spoilt.entry(gateway.site_file.clone()).or_insert(text);
+                    gateway.reload_site("[fronts]\nname = ");
                 }
             }
-            Step::Mend { front } => {
-                let front = fleet.front(front);
-                if let Some(text) = spoilt.remove(&front.site_file) {
-                    front.reload_site(&text);
+            Step::Mend { gateway } => {
+                let gateway = fleet.gateway(gateway);
+                if let Some(text) = spoilt.remove(&gateway.site_file) {
+                    gateway.reload_site(&text);
                 }
             }
         }
--- a/crates/fault-tests/src/sighted.rs
+++ b/crates/fault-tests/src/sighted.rs
@@ -1,5 +1,5 @@
-//! A fleet in one process for what fronts see of engines: the real decisions and the real desks of each front, a net between
-//! them that loses letters, engines of which one stops working and comes back, and fronts that lie. Seeded.
+//! A fleet in one process for what gateways see of engines: the real decisions and the real desks of each gateway, a net between
+//! them that loses letters, engines of which one stops working and comes back, and gateways that lie. Seeded.
 
 use larchfall_health_gossip::desk::{Bounds, Desk};
 use larchfall_health_gossip::sights::{Saw, Sights};
@@ -7,7 +7,7 @@
 use larchfall_health_gossip::{Counts, Process, weigh};
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::{Policy, TICK};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,11 +15,11 @@
 pub const ENGINES: usize = 20;
 /// The engine that stops working, or that is lied about.
 pub const BAD: usize = 7;
-const EVERY: Span = Span::from_millis(250);
+const EVERY: Duration = Duration::from_millis(250);
 const FANOUT: usize = 8;
-const TAKES: Span = Span::from_millis(20);
+const TAKES: Duration = Duration::from_millis(20);
 
-/// What fronts tell each other.
+/// What gateways tell each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Telling {
     Nothing,
@@ -27,35 +27,35 @@
     Verdicts,
     Counts,
     /// Counts, and turns at what is left out, of this length.
-    Turns(Span),
+    Turns(Duration),
 }
 
 #[derive(Clone, Debug)]
 pub struct Setting {
-    pub fronts: usize,
+    pub gateways: usize,
     pub telling: Telling,
-    /// Batches a second at a front in the mean; every tenth front has eight times as many as the others.
+    /// Requests a second at a gateway in the mean; every tenth gateway has eight times as many as the others.
     pub pace: f64,
     /// Share of letters that are lost.
     pub loss: f64,
-    /// So many fronts, all of one zone, say of `BAD` that it fails, whatever they see.
+    /// So many gateways, all of one zone, say of `BAD` that it fails, whatever they see.
     pub liars: usize,
 }
 
 /// What was counted since it was last asked.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Seen {
-    pub batches: usize,
-    /// Dispatches that the engine that does not work met.
+    pub requests: usize,
+    /// Attempts that the engine that does not work met.
     pub met: usize,
-    /// Time that fronts that do not lie left `BAD` out, summed over them.
-    pub left_out: Span,
+    /// Time that gateways that do not lie left `BAD` out, summed over them.
+    pub left_out: Duration,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Comes(usize),
-    Ends { front: usize, b: usize, number: u8, engine: usize, good: bool },
+    Ends { gateway: usize, b: usize, number: u8, engine: usize, good: bool },
     Tick(usize),
     Look(usize),
     Heard { to: usize, letter: usize },
@@ -67,7 +67,7 @@
     saw: Vec<(Process, Counts)>,
 }
 
-struct Front {
+struct Gateway {
     policy: Policy,
     sights: Sights,
     desk: Desk,
@@ -77,12 +77,12 @@
 
 pub struct Sighted {
     setting: Setting,
-    pub now: At,
+    pub now: Timestamp,
     pub works: bool,
     pub seen: Seen,
-    fronts: Vec<Front>,
+    gateways: Vec<Gateway>,
     living: BTreeMap<String, String>,
-    queue: BinaryHeap<Reverse<(At, u64, Event)>>,
+    queue: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     letters: Vec<Letter>,
     events: u64,
     chance: WyRand,
@@ -100,62 +100,63 @@
     ["east", "west", "north"][i % 3]
 }
 
-fn given(fronts: usize) -> Given {
-    let group = ServiceGroup {
-        utility: 1.0,
-        goal: Span::from_millis(500),
-        goal_stretch: 0.0,
-        effect: Effect::Repeatable,
+fn given(gateways: usize) -> PolicyConfig {
+    let class = RequestClass {
+        priority_weight: 1.0,
+        latency_objective: Duration::from_millis(500),
+        objective_stretch: 0.0,
+        effect: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
-        holds_data: false,
-        waits_for_holder: false,
+        locks_data_set: false,
+        waits_for_data_lock: false,
         zones: None,
         kinds: None,
     };
     // Cores for all, so that nothing here is about load.
-    let kind = Kind { cores: fronts.max(8) as f64, memory_mb: 0.0 };
-    let caps = Caps { most_dispatches: 3, clock_step: Span::from_millis(1), ..Caps::default() };
-    let fleet = Fleet { fronts, me: 0, zone: 0, kinds: vec![kind] };
-    Given { fleet, groups: vec![group], caps, ..Given::default() }
+    let kind = EngineKind { cores: gateways.max(8) as f64, memory_mb: 0.0 };
+    let caps = Caps { max_attempts: 3, clock_step: Duration::from_millis(1), ..Caps::default() };
+    let fleet = Fleet { gateways, me: 0, zone: 0, kinds: vec![kind] };
+    PolicyConfig { fleet, classes: vec![class], caps, ..PolicyConfig::default() }
 }
 
 impl Sighted {
     pub fn start(setting: Setting, seed: u64) -> Sighted {
-        let now = At::from_micros(1_000_000_000);
+        let now = Timestamp::from_micros(1_000_000_000);
         let turn = match setting.telling {
             Telling::Turns(turn) => Some(turn),
             _ => None,
         };
-        let weigh = weigh::Settings { window: Span::from_millis(10_000), lasts: Span::from_millis(4_000) };
-        let bounds = Bounds { fronts: 2048, processes: 64 };
+        let weigh =
+            weigh::Settings { window: Duration::from_millis(10_000), lasts: Duration::from_millis(4_000) };
+        let bounds = Bounds { gateways: 2048, processes: 64 };
         // One part in ten at eight times the pace of the others, the mean as set.
         let low = setting.pace / 1.7;
-        let front = |i: usize| {
-            let mut policy = Policy::new(seed ^ (i as u64) << 20, given(setting.fronts));
+        let gateway = |i: usize| {
+            let mut policy = Policy::new(seed ^ (i as u64) << 20, given(setting.gateways));
             let engine = Engine { started: None, ..Engine::default() };
             (0..ENGINES).for_each(|e| policy.engine(now, e, engine));
             let pace = if i.is_multiple_of(10) { low * 8.0 } else { low };
             let desk = Desk::new(bounds, weigh, turn);
-            Front { policy, sights: Sights::new(64), desk, pace, next: 0 }
+            Gateway { policy, sights: Sights::new(64), desk, pace, next: 0 }
         };
-        let fronts: Vec<Front> = (0..setting.fronts).map(front).collect();
-        let living = (0..setting.fronts).map(|i| (name(i), zone(i).to_owned())).collect();
+        let gateways: Vec<Gateway> = (0..setting.gateways).map(gateway).collect();
+        let living = (0..setting.gateways).map(|i| (name(i), zone(i).to_owned())).collect();
         let chance = WyRand::new_seed(seed);
         let mut fleet = Sighted {
             setting,
             now,
             works: true,
             seen: Seen::default(),
-            fronts,
+            gateways,
             living,
             queue: BinaryHeap::new(),
             letters: Vec::new(),
             events: 0,
             chance,
         };
-        for i in 0..fleet.fronts.len() {
-            let mut part = |span: Span| span * fleet.chance.generate::<f64>();
+        for i in 0..fleet.gateways.len() {
+            let mut part = |duration: Duration| duration * fleet.chance.generate::<f64>();
             let (tick, look) = (now + part(TICK), now + part(EVERY));
             fleet.push(tick, Event::Tick(i));
             fleet.push(look, Event::Look(i));
@@ -164,39 +165,41 @@
         fleet
     }
 
-    fn push(&mut self, at: At, event: Event) {
+    fn push(&mut self, at: Timestamp, event: Event) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, event)));
     }
 
     fn comes_next(&mut self, i: usize) {
-        let gap = -(1.0 - self.chance.generate::<f64>()).ln() / self.fronts[i].pace;
-        self.push(self.now + Span::from_secs(gap), Event::Comes(i));
+        let gap = -(1.0 - self.chance.generate::<f64>()).ln() / self.gateways[i].pace;
+        self.push(self.now + Duration::from_secs(gap), Event::Comes(i));
     }
 
-    /// How many fronts that do not lie have the engine left out.
+    /// How many gateways that do not lie have the engine left out.
     pub fn leave_out(&self) -> usize {
-        let honest = self.fronts.iter().enumerate().filter(|(i, _)| !self.lies(*i));
+        let honest = self.gateways.iter().enumerate().filter(|(i, _)| !self.lies(*i));
         honest.filter(|(_, f)| f.policy.standing(BAD).is_some_and(|(failing, _)| failing)).count()
     }
 
     /// Liars are of one zone, at the end of the fleet.
     fn lies(&self, i: usize) -> bool {
-        let rank = (self.fronts.len() - 1 - i) / 3;
-        zone(i) == zone(self.fronts.len() - 1) && rank < self.setting.liars
+        let rank = (self.gateways.len() - 1 - i) / 3;
+        zone(i) == zone(self.gateways.len() - 1) && rank < self.setting.liars
     }
 
-    pub fn run(&mut self, span: Span) {
-        let until = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
             let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = at;
             match event {
                 Event::Comes(i) => self.comes(i),
-                Event::Ends { front, b, number, engine, good } => self.ends(front, b, number, engine, good),
+                Event::Ends { gateway, b, number, engine, good } => {
+                    self.ends(gateway, b, number, engine, good)
+                }
                 Event::Tick(i) => {
-                    self.fronts[i].policy.tick(at);
-                    drop(self.fronts[i].policy.log_lines());
+                    self.gateways[i].policy.tick(at);
+                    drop(self.gateways[i].policy.log_lines());
                     self.push(at + TICK, Event::Tick(i));
                 }
                 Event::Look(i) => {
@@ -206,7 +209,7 @@
                 Event::Heard { to, letter } => {
                     let Letter { from, number, saw } = &self.letters[letter];
                     let from = (&name(*from)[..], 1, zone(*from));
-                    self.fronts[to].desk.hear(from, *number, saw, at);
+                    self.gateways[to].desk.hear(from, *number, saw, at);
                 }
             }
         }
@@ -215,91 +218,96 @@
 
     fn comes(&mut self, i: usize) {
         self.comes_next(i);
-        self.seen.batches += 1;
+        self.seen.requests += 1;
         let now = self.now;
-        // Of many data sets, or each front would keep to the few engines that have the one.
+        // Of many data sets, or each gateway would keep to the few engines that have the one.
         let data_set = self.chance.generate_range(0..500);
-        let batch = Batch { time_limit: now + Span::from_millis(5_000), data_set, ..Batch::default() };
-        let front = &mut self.fronts[i];
-        let b = front.next;
-        front.next += 1;
-        front.policy.take(now, b, batch);
+        let request =
+            Request { deadline: now + Duration::from_millis(5_000), data_set, ..Request::default() };
+        let gateway = &mut self.gateways[i];
+        let b = gateway.next;
+        gateway.next += 1;
+        gateway.policy.take(now, b, request);
         self.place(i, b, 0);
     }
 
     fn place(&mut self, i: usize, b: usize, number: u8) {
-        let (now, front) = (self.now, &mut self.fronts[i]);
-        match front.policy.place(now, b) {
-            Place::Send(Dispatch { engine, .. }) => {
+        let (now, gateway) = (self.now, &mut self.gateways[i]);
+        match gateway.policy.place(now, b) {
+            RoutingDecision::Send(AttemptParameters { engine, .. }) => {
                 let good = engine != BAD || self.works;
                 self.seen.met += usize::from(!good);
-                let takes = if good { TAKES } else { Span::from_millis(2) };
-                self.push(now + takes, Event::Ends { front: i, b, number, engine, good });
+                let takes = if good { TAKES } else { Duration::from_millis(2) };
+                self.push(now + takes, Event::Ends { gateway: i, b, number, engine, good });
             }
-            Place::NotYet | Place::PushBack(_) | Place::Error | Place::CallOff(_) => {}
+            RoutingDecision::Wait
+            | RoutingDecision::Reject(_)
+            | RoutingDecision::Fail
+            | RoutingDecision::CancelAttempt(_) => {}
         }
     }
 
     fn ends(&mut self, i: usize, b: usize, number: u8, engine: usize, good: bool) {
-        let (now, front) = (self.now, &mut self.fronts[i]);
+        let (now, gateway) = (self.now, &mut self.gateways[i]);
         let outcome = if good { Outcome::Returned } else { Outcome::Errored };
-        Saw::of(outcome).into_iter().for_each(|saw| front.sights.see(process(engine), saw, now));
-        let seen = larchfall_policy::interface::Seen { last: Last::Ended, same: true };
-        let answer = Answer { over: good, took: TAKES, ..Answer::bare(outcome, seen) };
-        if front.policy.after(now, b, number, &answer) == Next::Ask {
+        Saw::of(outcome).into_iter().for_each(|saw| gateway.sights.see(process(engine), saw, now));
+        let seen =
+            larchfall_policy::interface::AttemptEvidence { last: LastObservation::Ended, same_process: true };
+        let answer = AttemptResult { over: good, took: TAKES, ..AttemptResult::bare(outcome, seen) };
+        if gateway.policy.after(now, b, number, &answer) == AfterAttempt::RouteAgain {
             self.place(i, b, number + 1);
         }
     }
 
     fn look(&mut self, i: usize) {
         let now = self.now;
-        self.seen.left_out = self.seen.left_out + if self.leaves_out(i) { EVERY } else { Span::ZERO };
+        self.seen.left_out = self.seen.left_out + if self.leaves_out(i) { EVERY } else { Duration::ZERO };
         if self.setting.telling == Telling::Nothing {
             return;
         }
         self.tell(i);
         let lies = self.lies(i);
-        let front = &mut self.fronts[i];
+        let gateway = &mut self.gateways[i];
         if self.setting.telling == Telling::Verdicts {
             return;
         }
-        let sights = front.sights.all().collect();
-        let outcomes = front.desk.look(sights, &self.living, |_| true, now);
+        let sights = gateway.sights.all().collect();
+        let outcomes = gateway.desk.look(sights, &self.living, |_| true, now);
         for (process, bad) in outcomes.into_iter().filter(|_| !lies) {
-            front.policy.outcome(now, process.id as usize, bad, "told");
+            gateway.policy.outcome(now, process.id as usize, bad, "told");
         }
         for e in 0..ENGINES {
-            if front.policy.standing(e).is_some_and(|(failing, _)| failing) {
-                let mine = front.desk.may_try(&name(i), process(e), &self.living, now);
-                front.policy.turn(e, mine);
+            if gateway.policy.standing(e).is_some_and(|(failing, _)| failing) {
+                let mine = gateway.desk.may_try(&name(i), process(e), &self.living, now);
+                gateway.policy.turn(e, mine);
             }
         }
     }
 
     fn leaves_out(&self, i: usize) -> bool {
-        !self.lies(i) && self.fronts[i].policy.standing(BAD).is_some_and(|(failing, _)| failing)
+        !self.lies(i) && self.gateways[i].policy.standing(BAD).is_some_and(|(failing, _)| failing)
     }
 
     fn tell(&mut self, i: usize) {
         if self.lies(i) {
-            (0..3).for_each(|_| self.fronts[i].sights.see(process(BAD), Saw::Failed, self.now));
+            (0..3).for_each(|_| self.gateways[i].sights.see(process(BAD), Saw::Failed, self.now));
         }
         let says_failing = self.lies(i) || self.leaves_out(i);
-        let (number, saw) = self.fronts[i].sights.to_tell(MOST_ENGINES, self.now);
+        let (number, saw) = self.gateways[i].sights.to_tell(MOST_ENGINES, self.now);
         self.letters.push(Letter { from: i, number, saw });
         let letter = self.letters.len() - 1;
-        for _ in 0..FANOUT.min(self.fronts.len() - 1) {
-            let to = self.chance.generate_range(0..self.fronts.len());
+        for _ in 0..FANOUT.min(self.gateways.len() - 1) {
+            let to = self.chance.generate_range(0..self.gateways.len());
             if to == i || self.chance.generate::<f64>() < self.setting.loss {
                 continue;
             }
             if self.setting.telling == Telling::Verdicts {
                 if says_failing && !self.lies(to) {
-                    (0..2).for_each(|_| self.fronts[to].policy.outcome(self.now, BAD, true, "told"));
+                    (0..2).for_each(|_| self.gateways[to].policy.outcome(self.now, BAD, true, "told"));
                 }
                 continue;
             }
-            let delay = Span::from_micros(self.chance.generate_range(200..5_000));
+            let delay = Duration::from_micros(self.chance.generate_range(200..5_000));
             self.push(self.now + delay, Event::Heard { to, letter });
         }
     }
--- a/crates/fault-tests/src/storm/engines.rs
+++ b/crates/fault-tests/src/storm/engines.rs
@@ -1,10 +1,10 @@
-//! The engines of a storm as the boards list them, and who replaces them one after the other: most drain first, some are gone
+//! The engines of a storm as the discovery services list them, and who replaces them one after the other: most drain first, some are gone
 //! without a word; each is followed by another process at its address, which starts cold.
 
 use crate::process::list;
 use crate::relay::{Relays, Way};
 use crate::storm::load::lock;
-use larchfall_stub::board::Board;
+use larchfall_stub::discovery::Discovery;
 use larchfall_stub::hall::Hall;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -23,16 +23,16 @@
         Listed { hall, list: (0..engines).map(|i| (i as u32 + 1, 0, i)).collect(), number: 1 }
     }
 
-    /// Tells this front's board what it was last told, or one that is new.
-    pub fn tell(&self, board: &Board, i: usize, relays: &Relays) {
+    /// Tells this gateway's discovery service what it was last told, or one that is new.
+    pub fn tell(&self, discovery: &Discovery, i: usize, relays: &Relays) {
         let listed =
             self.list.iter().enumerate().map(|(e, (id, state, _))| (*id, relays.address(i, e), *state));
-        list(board, self.number, &listed.collect::<Vec<_>>());
+        list(discovery, self.number, &listed.collect::<Vec<_>>());
     }
 
-    fn tell_all(&mut self, boards: &Mutex<Vec<Arc<Board>>>, relays: &Relays) {
+    fn tell_all(&mut self, discoveries: &Mutex<Vec<Arc<Discovery>>>, relays: &Relays) {
         self.number += 1;
-        lock(boards).iter().enumerate().for_each(|(i, board)| self.tell(board, i, relays));
+        lock(discoveries).iter().enumerate().for_each(|(i, discovery)| self.tell(discovery, i, relays));
     }
 
     /// Ids of those that are ready.
@@ -44,7 +44,7 @@
 /// Replaces one after the other until it is over. Processes that were said to drain, and when all had been told.
 pub fn replace(
     listed: &Mutex<Listed>,
-    boards: &Mutex<Vec<Arc<Board>>>,
+    discoveries: &Mutex<Vec<Arc<Discovery>>>,
     relays: &Relays,
     (every, sudden): (Duration, u64),
     over: &AtomicBool,
@@ -64,7 +64,7 @@
         } else {
             let mut listed = lock(listed);
             listed.list[at].1 = 1;
-            listed.tell_all(boards, relays);
+            listed.tell_all(discoveries, relays);
             drained.push((listed.list[at].2, Instant::now()));
             drop(listed);
             pause(300);
@@ -80,7 +80,7 @@
             relays.set(|_, e| e == at, Way::Sound);
         }
         pause(200);
-        lock(listed).tell_all(boards, relays);
+        lock(listed).tell_all(discoveries, relays);
         thread::sleep(every.saturating_sub(Duration::from_millis(700)));
     }
     drained
--- a/crates/fault-tests/src/storm/health.rs
+++ b/crates/fault-tests/src/storm/health.rs
@@ -1,10 +1,10 @@
-//! How a fleet is, as its operators see it: each front is asked from outside whom it knows, who holds what, its parts and what
+//! How a fleet is, as its operators see it: each gateway is asked from outside whom it knows, who holds what, its parts and what
 //! it makes of each engine. And what of that is not plain.
 
 use crate::process::name;
 use crate::storm::rows::{Row, What, row};
 use crate::storm::setting::{Piece, Setting};
-use larchfall_gateway::fronts::ask::{self, ask};
+use larchfall_gateway::cluster::ask::{self, ask};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::mpsc::channel;
@@ -14,10 +14,10 @@
 /// Whoever stands still or is gone says nothing, and is not waited for.
 const WITHIN: Duration = Duration::from_millis(250);
 
-/// The rows of one front; none where it did not answer in time.
+/// The rows of one gateway; none where it did not answer in time.
 pub type Rows = Option<Vec<Vec<String>>>;
 
-/// What all fronts say, by place.
+/// What all gateways say, by place.
 #[derive(Clone, Debug, Default)]
 pub struct Views {
     pub members: Vec<Rows>,
@@ -27,14 +27,14 @@
 }
 
 /// Asks all at once.
-fn of_all(fronts: &[SocketAddrV4], what: ask::What) -> Vec<Rows> {
+fn of_all(gateways: &[SocketAddrV4], what: ask::What) -> Vec<Rows> {
     let (to, answers) = channel();
-    for (i, front) in fronts.iter().copied().enumerate() {
+    for (i, gateway) in gateways.iter().copied().enumerate() {
         let to = to.clone();
-        thread::spawn(move || to.send((i, ask(front, "toy", what).ok())));
+        thread::spawn(move || to.send((i, ask(gateway, "toy", what).ok())));
     }
-    let (until, mut all) = (Instant::now() + WITHIN, vec![None; fronts.len()]);
-    for _ in fronts {
+    let (until, mut all) = (Instant::now() + WITHIN, vec![None; gateways.len()]);
+    for _ in gateways {
         let left = until.saturating_duration_since(Instant::now());
         let Ok((i, rows)) = answers.recv_timeout(left) else { break };
         all[i] = rows;
@@ -43,12 +43,12 @@
 }
 
 impl Views {
-    pub fn look(fronts: &[SocketAddrV4]) -> Views {
+    pub fn look(gateways: &[SocketAddrV4]) -> Views {
         Views {
-            members: of_all(fronts, ask::What::Fronts),
-            duties: of_all(fronts, ask::What::Duties),
-            shares: of_all(fronts, ask::What::Shares),
-            engines: of_all(fronts, ask::What::Engines),
+            members: of_all(gateways, ask::What::Gateways),
+            duties: of_all(gateways, ask::What::Duties),
+            shares: of_all(gateways, ask::What::Shares),
+            engines: of_all(gateways, ask::What::Engines),
         }
     }
 
@@ -56,7 +56,7 @@
         all.iter().enumerate().flat_map(|(i, rows)| rows.iter().flatten().map(move |row| (i, row)))
     }
 
-    /// By duty: the fronts that say that they hold it themselves.
+    /// By duty: the gateways that say that they hold it themselves.
     pub fn holders(&self) -> BTreeMap<&str, Vec<usize>> {
         let mut holders: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for (i, row) in Views::rows(&self.duties) {
@@ -66,7 +66,7 @@
         holders
     }
 
-    /// By capacity: each front's part of it, and whether that was handed out.
+    /// By capacity: each gateway's part of it, and whether that was handed out.
     pub fn parts(&self) -> BTreeMap<&str, BTreeMap<usize, (f64, bool)>> {
         let mut parts: BTreeMap<&str, BTreeMap<usize, (f64, bool)>> = BTreeMap::new();
         for (i, row) in Views::rows(&self.shares) {
@@ -76,7 +76,7 @@
         parts
     }
 
-    /// Fronts and the engines that each has left out, of those that are ready.
+    /// Gateways and the engines that each has left out, of those that are ready.
     pub fn left_out(&self) -> Vec<(usize, &str)> {
         let out = |(_, row): &(usize, &Vec<String>)| row[1] == "ready" && row[2] == "left out";
         Views::rows(&self.engines).filter(out).map(|(i, row)| (i, &row[0][..])).collect()
@@ -106,7 +106,7 @@
     }
 
     /// What is out is more than there is: of what a cold engine bears the whole, of threads and allowances half more, as the
-    /// page on shares says. Two looks: what each front had in both is what all had at one time at least.
+    /// page on shares says. Two looks: what each gateway had in both is what all had at one time at least.
     pub fn beyond(&self, before: &Views) -> Vec<String> {
         let (now, then) = (self.parts(), before.parts());
         let sum = |capacity: &str, parts: &BTreeMap<usize, (f64, bool)>| -> f64 {
@@ -126,7 +126,7 @@
         let mut missing = Vec::new();
         for (i, rows) in self.members.iter().enumerate() {
             let alive = rows.iter().flatten().filter(|row| row[1] == "alive").count();
-            if alive != setting.fronts {
+            if alive != setting.gateways {
                 missing.push(("members", format!("{} holds {alive} for alive", name(i))));
             }
         }
--- a/crates/fault-tests/src/storm/load.rs
+++ b/crates/fault-tests/src/storm/load.rs
@@ -1,4 +1,4 @@
-//! Clients of a storm, one for each process of a front: batches of three service groups, some of them of keys of its own, of
+//! Clients of a storm, one for each process of a gateway: requests of three request classes, some of them of keys of its own, of
 //! which so many are open at a time; and the book of what was sent and how it ended.
 
 use crate::audit::{End, Sent};
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Within this a batch that is returned counts as in time.
+/// Within this a request that is returned counts as in time.
 pub const GOAL: Duration = Duration::from_secs(1);
 /// What a client waits after a push-back.
 const REST: Duration = Duration::from_millis(20);
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub struct Book {
     pub sent: Mutex<HashMap<String, Sent>>,
-    /// Ends as they came: when, and how long after the batch was sent.
+    /// Ends as they came: when, and how long after the request was sent.
     pub ended: Mutex<Vec<(Instant, Duration, End)>>,
 }
 
@@ -61,29 +61,29 @@
     pub book: Arc<Book>,
 }
 
-/// A client of one process of a front, until that is gone or all is over.
-pub fn client(front: SocketAddr, process: usize, common: &Common) {
+/// A client of one process of a gateway, until that is gone or all is over.
+pub fn client(gateway: SocketAddr, process: usize, common: &Common) {
     let Common { seed, open: most, load, over, book } = common;
     let mut chance = WyRand::new_seed(seed ^ (process as u64 + 1) << 32);
-    let Ok(mut to) = Client::connect(front) else { return };
+    let Ok(mut to) = Client::connect(gateway) else { return };
     let mut open: BTreeMap<u32, String> = BTreeMap::new();
     let mut n = 0;
     while !over.load(Ordering::Relaxed) || !open.is_empty() {
         while open.len() < most * load.load(Ordering::Relaxed) as usize && !over.load(Ordering::Relaxed) {
             n += 1;
             let id = format!("{:08x}{n:08x}", process + 1);
-            let group = ["look", "look", "once", "load"][chance.generate_range(0..4_usize)];
+            let class = ["look", "look", "once", "load"][chance.generate_range(0..4_usize)];
             let key = format!("{:016x}", process * 2 + n % 2);
             let fields =
                 [("req", &id[..]), ("timeout", "8000"), ("owner", "acme"), ("ms", "20"), ("est_mb", "5")];
             let of_key = [("opkey", &id[..]), ("subject", &key[..])];
             let fields: Vec<_> =
-                fields.into_iter().chain(of_key.into_iter().filter(|_| group == "load")).collect();
-            let sent = Sent { front: process, group, at: Instant::now(), ends: Vec::new() };
+                fields.into_iter().chain(of_key.into_iter().filter(|_| class == "load")).collect();
+            let sent = Sent { gateway: process, class, at: Instant::now(), ends: Vec::new() };
             lock(&book.sent).insert(id.clone(), sent);
-            let Ok(sent) = to.send(group, &fields, &format!("{group} {key} {n}")) else {
-                book.end(&id, End::FrontGone);
-                open.values().for_each(|id| book.end(id, End::FrontGone));
+            let Ok(sent) = to.send(class, &fields, &format!("{class} {key} {n}")) else {
+                book.end(&id, End::GatewayGone);
+                open.values().for_each(|id| book.end(id, End::GatewayGone));
                 return;
             };
             open.insert(sent, id);
@@ -104,7 +104,7 @@
                     End::Errored("to nothing".into()),
                 )),
             },
-            Err(_) => return open.values().for_each(|id| book.end(id, End::FrontGone)),
+            Err(_) => return open.values().for_each(|id| book.end(id, End::GatewayGone)),
         }
     }
 }
--- a/crates/fault-tests/src/storm/mod.rs
+++ b/crates/fault-tests/src/storm/mod.rs
@@ -1,5 +1,5 @@
 //! The storm: a fleet of processes with all pieces on and every fault that the rig has, drawn by a seed; an audit of all rules
-//! over all fronts, and of whether the fleet is plain and healthy again once the last fault is healed. A search over seeds, the
+//! over all gateways, and of whether the fleet is plain and healthy again once the last fault is healed. A search over seeds, the
 //! shrinking of what fails, and a report.
 
 pub mod engines;
--- a/crates/fault-tests/src/storm/play.rs
+++ b/crates/fault-tests/src/storm/play.rs
@@ -1,8 +1,8 @@
 //! Plays one storm: starts the fleet, its engines and clients, breaks what the script says, heals it, waits for plain health,
 //! ends all, and audits what was noted.
 
-use crate::audit::{End, Ration, Run, Sent, Tried};
-use crate::process::{Fleet, Front, config_of, name, settings, wait_for};
+use crate::audit::{End, RetryBudget, Run, Sent, Tried};
+use crate::process::{Fleet, Gateway, config_of, name, settings, wait_for};
 use crate::relay::Relays;
 use crate::script::{self, Done, Folder, Ground, Script, Step};
 use crate::storm::engines::{Listed, replace};
@@ -23,12 +23,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const RATION: Ration = Ration { free: 2.0, per_batch: 0.1, window: Duration::from_secs(10) };
+const RETRY_BUDGET: RetryBudget =
+    RetryBudget { free: 2.0, per_request: 0.1, window: Duration::from_secs(10) };
 const GRACE: Duration = Duration::from_secs(2);
 const LOOK: Duration = Duration::from_millis(400);
 const BIN: Duration = Duration::from_millis(500);
 const ACTS: Duration = Duration::from_millis(40);
-/// What a front's process may grow by over a storm, and the descriptors that its file allows it.
+/// What a gateway's process may grow by over a storm, and the descriptors that its file allows it.
 const GROWS: usize = 24 << 20;
 const SOCKETS: usize = 256;
 
@@ -38,12 +39,13 @@
     pub seed: u64,
     pub faults: usize,
     pub first: String,
-    pub batches: usize,
+    #[serde(rename = "batches")]
+    pub requests: usize,
     pub in_time: f64,
     pub returned: f64,
     pub pushed_back: f64,
     pub further: usize,
-    /// Batches of the key with the most.
+    /// Requests of the key with the most.
     pub longest_key: usize,
     /// After the last fault was healed, until all was plain.
     pub plain_ms: u64,
@@ -66,7 +68,7 @@
 /// The two of a run that go beside the script: who looks at the fleet, and who replaces engines.
 struct Beside<'a> {
     setting: &'a Setting,
-    fronts: Vec<SocketAddrV4>,
+    gateways: Vec<SocketAddrV4>,
     from: Instant,
     over: &'a AtomicBool,
 }
@@ -80,7 +82,7 @@
     fn watch(&self) -> (Vec<Row>, Vec<String>) {
         let (mut rows, mut wrong, mut before) = (Vec::new(), Vec::new(), Views::default());
         while !self.over.load(Ordering::Relaxed) {
-            let views = Views::look(&self.fronts);
+            let views = Views::look(&self.gateways);
             rows.extend(views.rows_of(self.at(Instant::now())));
             if self.setting.has(Piece::Shares) {
                 wrong.extend(views.beyond(&before));
@@ -104,7 +106,7 @@
         false => fate(&chance),
     })?;
     let engines: Vec<SocketAddr> = (0..setting.engines).map(|i| hall.address(i)).collect();
-    let relays = Relays::start(setting.fronts, &engines)?;
+    let relays = Relays::start(setting.gateways, &engines)?;
     Ok((hall, relays))
 }
 
@@ -114,7 +116,7 @@
     seed: u64,
     (relays, folder, vault): (&Relays, &Folder, &Vault),
 ) -> Fleet {
-    let (n, engines) = (setting.fronts, setting.engines);
+    let (n, engines) = (setting.gateways, setting.engines);
     let known: Vec<Vec<SocketAddr>> =
         (0..n).map(|f| (0..engines).map(|e| relays.address(f, e)).collect()).collect();
     let put: Vec<Vec<(&'static str, String)>> = (0..n).map(|i| folder.put(i)).collect();
@@ -122,15 +124,16 @@
         setting.tables(&folder.record(i).display().to_string(), || vault.command(ACTS))
     };
     let mut fleet = Fleet::new(program, n, seed, more, move |i| put[i].clone());
-    let ration = r#""safety":{"budget_free":2.0,"extra_per_request":0.1,"extra_window":10000000,"#;
+    let retry_budget = r#""safety":{"budget_free":2.0,"extra_per_request":0.1,"extra_window":10000000,"#;
     let names: Vec<String> = (0..setting.zones).map(|z| format!("\"z{z}\"")).collect();
     let settings = settings()
-        .replace(r#""safety":{"#, ration)
+        .replace(r#""safety":{"#, retry_budget)
         .replace("\"instances\":1", &format!("\"instances\":{n}"))
         .replace("\"zones\":[\"east\"]", &format!("\"zones\":[\"east\",{}]", names.join(",")))
         .replace("\"probes\":false", "\"probes\":true")
         .replace("\"domain\"", "\"stats\":{\"how\":\"probe\"},\"prices\":{\"probe\":0.01},\"domain\"");
-    fleet.config = Box::new(move |i, board| config_of("127.0.0.1:0", board, &known[i], SOCKETS, &settings));
+    fleet.config =
+        Box::new(move |i, discovery| config_of("127.0.0.1:0", discovery, &known[i], SOCKETS, &settings));
     let zones = setting.zones;
     fleet.zone = Box::new(move |i| format!("z{}", i % zones));
     fleet.begun()
@@ -138,7 +141,7 @@
 
 /// Plays a script. Only what the machine itself refuses is an error; what the fleet does wrong is in what comes back.
 pub fn play(program: &'static str, setting: &Setting, script: &Script, left: &Path) -> io::Result<Played> {
-    let (seed, n) = (script.seed, setting.fronts);
+    let (seed, n) = (script.seed, setting.gateways);
     let files = std::env::temp_dir().join(format!("larchfall-storm-{seed}-{}", std::process::id()));
     let folder = Folder::new(&files, n)?;
     let calm = Arc::new(AtomicBool::new(false));
@@ -156,21 +159,21 @@
         book: Arc::new(Book::default()),
     };
     let mut clients: Vec<JoinHandle<()>> = Vec::new();
-    // By front: the process that it is, as its client has numbered it; and those whose end was no fault of theirs.
+    // By gateway: the process that it is, as its client has numbered it; and those whose end was no fault of theirs.
     let (mut processes, mut ended): (Vec<usize>, HashSet<usize>) = ((0..n).collect(), HashSet::new());
     // Which process took which place when.
     let mut placed: Vec<(usize, usize, Instant)> = (0..n).map(|i| (i, i, Instant::now())).collect();
-    let begin = |front: &Front, clients: &mut Vec<JoinHandle<()>>| {
-        let (to, process, common) = (front.address, clients.len(), common.clone());
+    let begin = |gateway: &Gateway, clients: &mut Vec<JoinHandle<()>>| {
+        let (to, process, common) = (gateway.address, clients.len(), common.clone());
         clients.push(thread::spawn(move || client(to, process, &common)));
     };
-    (0..n).for_each(|i| begin(fleet.front(i), &mut clients));
-    let held: Vec<usize> = (0..n).map(|i| fleet.front(i).used().1).collect();
+    (0..n).for_each(|i| begin(fleet.gateway(i), &mut clients));
+    let held: Vec<usize> = (0..n).map(|i| fleet.gateway(i).used().1).collect();
 
-    // The boards are told beside the script: of each front that is there when they are.
-    let boards = Mutex::new(Vec::new());
+    // The discovery services are told beside the script: of each gateway that is there when they are.
+    let discoveries = Mutex::new(Vec::new());
     let tell = |fleet: &Fleet| {
-        *lock(&boards) = fleet.up().map(|i| fleet.front(i).board.clone()).collect();
+        *lock(&discoveries) = fleet.up().map(|i| fleet.gateway(i).discovery.clone()).collect();
     };
     tell(&fleet);
     let (healed, over) = (AtomicBool::new(false), AtomicBool::new(false));
@@ -178,18 +181,18 @@
         SocketAddr::V4(home) => Some(home),
         SocketAddr::V6(_) => None,
     });
-    let beside = Beside { setting, fronts: homes.collect(), from: Instant::now(), over: &over };
+    let beside = Beside { setting, gateways: homes.collect(), from: Instant::now(), over: &over };
     let often = (Duration::from_millis(setting.replaces_ms), setting.sudden);
     let (done, drained, (mut rows, mut wrong), plain) = thread::scope(|scope| {
-        let replacer = scope.spawn(|| replace(&listed, &boards, &relays, often, &healed));
+        let replacer = scope.spawn(|| replace(&listed, &discoveries, &relays, often, &healed));
         let watcher = scope.spawn(|| beside.watch());
         let ground = Ground { relays: &relays, load: &common.load, folder: &folder };
         let done = script::play(script, &mut fleet, &ground, |fleet, i| {
             tell(fleet);
-            lock(&listed).tell(&fleet.front(i).board, i, &relays);
+            lock(&listed).tell(&fleet.gateway(i).discovery, i, &relays);
             ended.insert(std::mem::replace(&mut processes[i], clients.len()));
             placed.push((i, clients.len(), Instant::now()));
-            begin(fleet.front(i), &mut clients);
+            begin(fleet.gateway(i), &mut clients);
         });
         healed.store(true, Ordering::Relaxed);
         calm.store(true, Ordering::Relaxed);
@@ -199,7 +202,7 @@
         (done, drained, watcher.join().unwrap_or_default(), plain)
     });
     for (i, before) in held.into_iter().enumerate() {
-        let (memory, descriptors) = (fleet.front(i).used().1, fleet.front(i).descriptors());
+        let (memory, descriptors) = (fleet.gateway(i).used().1, fleet.gateway(i).descriptors());
         let at = beside.at(Instant::now());
         rows.push(row(at, What::Memory, name(i), memory as f64 / 1e6));
         rows.push(row(at, What::Descriptors, name(i), descriptors as f64));
@@ -216,8 +219,8 @@
     wait_for("all to be over at the engines", || (hall.running() == 0).then_some(()));
 
     let (ledger, sent) = (hall.ledger(), lock(&common.book.sent));
-    let process = |front: usize, at: Instant| {
-        placed.iter().rev().find(|(place, _, from)| *place == front && *from <= at).map_or(front, |p| p.1)
+    let process = |gateway: usize, at: Instant| {
+        placed.iter().rev().find(|(place, _, from)| *place == gateway && *from <= at).map_or(gateway, |p| p.1)
     };
     let unheard: Vec<_> =
         script::unheard(&done).iter().map(|(f, from, to)| (process(*f, *from), *from, *to)).collect();
@@ -235,7 +238,7 @@
         unheard: &unheard,
         stood: &stood,
         grace: GRACE,
-        ration: RATION,
+        retry_budget: RETRY_BUDGET,
     };
     let (mut faults, tried) = run.faults();
     faults.extend(wrong);
@@ -244,12 +247,13 @@
         Err(missing) => Some(format!("{what} not plain after {} ms: {missing}", setting.plain_within_ms)),
     }));
     // Whoever was not killed or told to end answered all.
-    let gone = || sent.iter().filter(|(_, s)| s.ends == [End::FrontGone]);
-    let unanswered = gone().filter(|(_, s)| !ended.contains(&s.front));
-    faults.extend(unanswered.map(|(id, s)| format!("{id} not answered by process {}, which lives", s.front)));
+    let gone = || sent.iter().filter(|(_, s)| s.ends == [End::GatewayGone]);
+    let unanswered = gone().filter(|(_, s)| !ended.contains(&s.gateway));
+    faults
+        .extend(unanswered.map(|(id, s)| format!("{id} not answered by process {}, which lives", s.gateway)));
     let actions = vault.ledger();
     faults.extend(out_of_order(&actions));
-    // Aborts and panics of a front itself, and what no run should log.
+    // Aborts and panics of a gateway itself, and what no run should log.
     faults.extend(ends_by_itself(&fleet));
 
     for (what, after) in &plain {
@@ -279,7 +283,7 @@
     let mut first: BTreeMap<&'static str, Duration> = BTreeMap::new();
     loop {
         let ready = lock(listed).ready();
-        let missing = Views::look(&beside.fronts).missing(beside.setting, &ready);
+        let missing = Views::look(&beside.gateways).missing(beside.setting, &ready);
         let after = from.elapsed();
         let why = |what: &str| missing.iter().find(|(of, _)| *of == what).map(|(_, why)| why.clone());
         for what in WHAT.into_iter().filter(|what| why(what).is_none()) {
@@ -294,7 +298,7 @@
 }
 
 /// Of each duty: nothing is taken under a token older than one that was taken, and nobody tries: the fence is there for what
-/// stood still outside of every front's reach, and here each program has a process beside it that ends it in time. And no
+/// stood still outside of every gateway's reach, and here each program has a process beside it that ends it in time. And no
 /// two processes act by turns under one token.
 pub fn out_of_order(actions: &[Action]) -> Vec<String> {
     let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
@@ -320,7 +324,7 @@
     faults
 }
 
-/// A front's process that ended by a signal of its own or a panic.
+/// A gateway's process that ended by a signal of its own or a panic.
 fn ends_by_itself(fleet: &Fleet) -> Vec<String> {
     let bad = |line: &str| line.contains("panicked") || line.contains("CRIT");
     let all =
@@ -336,7 +340,7 @@
         .collect()
 }
 
-/// How batches ended, in bins.
+/// How requests ended, in bins.
 fn ends(beside: &Beside<'_>, book: &Book) -> Vec<Row> {
     let mut bins: BTreeMap<(u64, &str), usize> = BTreeMap::new();
     for (at, took, end) in lock(&book.ended).iter() {
@@ -345,26 +349,26 @@
             End::Returned => "late",
             End::PushedBack => "pushed back",
             End::Errored(_) => "errored",
-            End::Left | End::FrontGone => "front gone",
+            End::Left | End::GatewayGone => "front gone",
         };
         let bin = beside.at(*at) / BIN.as_millis() as u64 * BIN.as_millis() as u64;
         *bins.entry((bin, how)).or_default() += 1;
     }
-    bins.into_iter().map(|((at, how), n)| row(at, What::Batches, how, n as f64)).collect()
+    bins.into_iter().map(|((at, how), n)| row(at, What::Requests, how, n as f64)).collect()
 }
 
 /// By process of the operator's programs: from when till when it acted on a duty.
 fn holds(beside: &Beside<'_>, actions: &[Action]) -> Vec<Row> {
-    let mut spans: BTreeMap<(&str, u64), (Instant, Instant)> = BTreeMap::new();
+    let mut durations: BTreeMap<(&str, u64), (Instant, Instant)> = BTreeMap::new();
     for action in actions.iter().filter(|action| action.taken) {
-        let span = spans.entry((&action.duty, action.token)).or_insert((action.at, action.at));
-        span.1 = action.at;
+        let duration = durations.entry((&action.duty, action.token)).or_insert((action.at, action.at));
+        duration.1 = action.at;
     }
     let both = |((duty, token), (from, to)): ((&str, u64), (Instant, Instant))| {
         let who = format!("{token} {duty}");
         [row(beside.at(from), What::Holds, who.clone(), 1.0), row(beside.at(to), What::Holds, who, 0.0)]
     };
-    spans.into_iter().flat_map(both).collect()
+    durations.into_iter().flat_map(both).collect()
 }
 
 fn summary(
@@ -389,7 +393,7 @@
         seed,
         faults: faults.len(),
         first: faults.first().cloned().unwrap_or_default(),
-        batches: sent.len(),
+        requests: sent.len(),
         in_time: part(&|took, end| *end == End::Returned && *took <= GOAL),
         returned: part(&|_, end| *end == End::Returned),
         pushed_back: part(&|_, end| *end == End::PushedBack),
--- a/crates/fault-tests/src/storm/report.rs
+++ b/crates/fault-tests/src/storm/report.rs
@@ -1,4 +1,4 @@
-//! One page of a storm, or of two beside each other: the time line of faults, how batches ended, whom each front held for
+//! One page of a storm, or of two beside each other: the time line of faults, how requests ended, whom each gateway held for
 //! living, parts, and what was plain again when.
 
 use crate::storm::play::Summary;
@@ -76,7 +76,7 @@
     let marks = faults(rows);
     let draw = |title: &str, series: &Series| chart(title, series, &marks).map(PreEscaped);
     let whole = |who: &str| Some(who.to_owned());
-    let batches = draw("batches ended in half a second", &series(rows, What::Batches, whole))?;
+    let requests = draw("batches ended in half a second", &series(rows, What::Requests, whole))?;
     let members = draw("fronts held for alive, by front", &series(rows, What::Members, whole))?;
     let out = draw("engines left out, by front", &series(rows, What::LeftOut, whole))?;
     let mut capacities: Vec<&str> =
@@ -89,8 +89,8 @@
     capacities.sort_by_key(|capacity| std::cmp::Reverse(seen(capacity)));
     let of_capacity = |capacity: &&str| {
         let lines = series(rows, What::Part, |who| {
-            let (front, of) = two(who);
-            (of == *capacity).then(|| front.to_owned())
+            let (gateway, of) = two(who);
+            (of == *capacity).then(|| gateway.to_owned())
         });
         draw(&format!("parts of {capacity}"), &lines)
     };
@@ -100,7 +100,7 @@
     Ok(html! {
         section {
             h2 { (name) }
-            (batches) (members)
+            (requests) (members)
             @for part in &parts { (part) }
             (out)
             h3 { "Plain again after the last fault was healed" }
--- a/crates/fault-tests/src/storm/rows.rs
+++ b/crates/fault-tests/src/storm/rows.rs
@@ -9,17 +9,18 @@
 pub enum What {
     /// A step of the script: who is empty, the value its number among them.
     Fault,
-    /// Batches that ended in half a second: who says how.
-    Batches,
-    /// Fronts that a front holds for living.
+    /// Requests that ended in half a second: who says how.
+    #[serde(rename = "batches")]
+    Requests,
+    /// Gateways that a gateway holds for living.
     Members,
-    /// A front holds a duty from then on (1), or no more (0); `who` is front and duty.
+    /// A gateway holds a duty from then on (1), or no more (0); `who` is gateway and duty.
     Holds,
-    /// A front's part of a capacity; `who` is front and capacity.
+    /// A gateway's part of a capacity; `who` is gateway and capacity.
     Part,
-    /// Engines that a front left out.
+    /// Engines that a gateway left out.
     LeftOut,
-    /// Of a front's process, in MB.
+    /// Of a gateway's process, in MB.
     Memory,
     Descriptors,
     /// How long after the last fault something was plain again, in ms.
--- a/crates/fault-tests/src/storm/search.rs
+++ b/crates/fault-tests/src/storm/search.rs
@@ -11,9 +11,9 @@
 
 /// What is searched, by which program, and where its finds go.
 pub struct Search<'a> {
-    /// The storm's own program, and that of the front.
+    /// The storm's own program, and that of the gateway.
     pub storm: &'a Path,
-    pub front: &'a str,
+    pub gateway: &'a str,
     pub setting: &'a Path,
     /// Pieces that are left out.
     pub without: &'a [String],
@@ -25,7 +25,7 @@
 impl Search<'_> {
     fn one(&self, seed: u64, folder: &Path) -> io::Result<Summary> {
         let mut command = Command::new(self.storm);
-        command.arg("run").arg(self.setting).args(["--seed", &seed.to_string(), "--program", self.front]);
+        command.arg("run").arg(self.setting).args(["--seed", &seed.to_string(), "--program", self.gateway]);
         command.arg("--out").arg(folder);
         command.args(self.without.iter().flat_map(|piece| ["--without", piece]));
         let ended = command.stdout(Stdio::null()).stderr(Stdio::null()).status()?;
@@ -91,7 +91,7 @@
     ("in time", |s| s.in_time),
     ("returned", |s| s.returned),
     ("pushed back", |s| s.pushed_back),
-    ("further dispatches a batch", |s| s.further as f64 / s.batches.max(1) as f64),
+    ("further dispatches a batch", |s| s.further as f64 / s.requests.max(1) as f64),
     ("plain after, ms", |s| s.plain_ms as f64),
     ("longest gap of a duty, ms", |s| s.gap_ms as f64),
 ];
--- a/crates/fault-tests/src/storm/setting.rs
+++ b/crates/fault-tests/src/storm/setting.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Piece {
-    /// Programs of the operator's, each at one front.
+    /// Programs of the operator's, each at one gateway.
     Programs,
     Probing,
     Shares,
@@ -23,10 +23,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Setting {
-    pub fronts: usize,
+    #[serde(rename = "fronts")]
+    pub gateways: usize,
     pub engines: usize,
     pub zones: usize,
-    /// Batches that the client of a front keeps open.
+    /// Requests that the client of a gateway keeps open.
     pub open: usize,
     pub lasts_ms: u64,
     /// A fault each such time, in the mean.
@@ -46,7 +47,7 @@
         let mut kinds = plain_kinds();
         kinds.extend([Kind::Surge, Kind::Clock, Kind::Disk, Kind::Reload].map(|kind| (kind, 1)));
         Setting {
-            fronts: 5,
+            gateways: 5,
             engines: 3,
             zones: 2,
             open: 5,
@@ -68,8 +69,8 @@
             true => Ok(()),
             false => Err(format!("{what}: {n} is not within {from} to {to}")),
         };
-        // Electors are three; a machine bears some dozens of fronts.
-        within("fronts", setting.fronts as u64, 3, 64)?;
+        // Electors are three; a machine bears some dozens of gateways.
+        within("fronts", setting.gateways as u64, 3, 64)?;
         within("engines", setting.engines as u64, 1, 24)?;
         within("zones", setting.zones as u64, 1, 8)?;
         within("open", setting.open as u64, 1, 64)?;
@@ -89,10 +90,10 @@
 
     pub fn script(&self, seed: u64) -> Script {
         let ms = Duration::from_millis;
-        Script::draw(seed, (self.fronts, self.engines), (ms(self.lasts_ms), ms(self.every_ms)), &self.kinds)
+        Script::draw(seed, (self.gateways, self.engines), (ms(self.lasts_ms), ms(self.every_ms)), &self.kinds)
     }
 
-    /// What stands in a front's own file beside its `[fronts]`.
+    /// What stands in a gateway's own file beside its `[gateways]`.
     pub fn tables(&self, record: &str, vault: impl Fn() -> String) -> String {
         let mut all = String::new();
         if self.has(Piece::Programs) || self.has(Piece::Probing) || self.has(Piece::Shares) {
--- a/crates/fault-tests/src/storm/shrink.rs
+++ b/crates/fault-tests/src/storm/shrink.rs
@@ -7,22 +7,22 @@
 
 /// Steps that only end what came before.
 fn ends(step: &Step) -> bool {
-    matches!(step, Step::Heal | Step::EnginesHeal | Step::BoardsHeal)
+    matches!(step, Step::Heal | Step::EnginesHeal | Step::DiscoveriesHeal)
 }
 
 /// What a step begins that a later one ends, by a word that both have.
 fn pair(step: &Step) -> Option<(&'static str, usize, bool)> {
     Some(match step {
-        Step::Stop { front } => ("stop", *front, true),
-        Step::Wake { front } => ("stop", *front, false),
-        // One that is never healed is another fault: what is under way then comes in later than fronts count on.
+        Step::Stop { gateway } => ("stop", *gateway, true),
+        Step::Wake { gateway } => ("stop", *gateway, false),
+        // One that is never healed is another fault: what is under way then comes in later than gateways count on.
         Step::EngineStalls { .. } => ("engines", 0, true),
         Step::EnginesHeal => ("engines", 0, false),
-        Step::Spoil { front } => ("spoil", *front, true),
-        Step::Mend { front } => ("spoil", *front, false),
+        Step::Spoil { gateway } => ("spoil", *gateway, true),
+        Step::Mend { gateway } => ("spoil", *gateway, false),
         Step::Load { times } => ("load", 0, *times > 1),
-        Step::Clock { front, seconds } => ("clock", *front, *seconds != 0),
-        Step::Disk { front, does } => ("disk", *front, *does != crate::script::Does::Sound),
+        Step::Clock { gateway, seconds } => ("clock", *gateway, *seconds != 0),
+        Step::Disk { gateway, does } => ("disk", *gateway, *does != crate::script::Does::Sound),
         _ => return None,
     })
 }
--- a/crates/fault-tests/tests/duties.rs
+++ b/crates/fault-tests/tests/duties.rs
@@ -1,7 +1,7 @@
-//! Duties between several processes of the front, with a net, disks and clocks that break, and a vault that they act on.
+//! Duties between several processes of the gateway, with a net, disks and clocks that break, and a vault that they act on.
 
 use larchfall_fault_tests::net::{Link, SOUND};
-use larchfall_fault_tests::process::{Fleet, Front, fronts_table, name, wait_for};
+use larchfall_fault_tests::process::{Fleet, Gateway, gateways_table, name, wait_for};
 use larchfall_fault_tests::vault::Vault;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -103,7 +103,7 @@
         Tried::start_as(test, sizes, seed, acts, |_| Vec::new(), edit)
     }
 
-    /// Fronts, electors among them, and duties, whose programs act so often.
+    /// Gateways, electors among them, and duties, whose programs act so often.
     fn start_as(
         test: &str,
         (n, electors, duties): (usize, usize, usize),
@@ -142,12 +142,12 @@
         }
     }
 
-    /// The front whose log says that it took this token.
+    /// The gateway whose log says that it took this token.
     fn holder(&self, duty: &str) -> (usize, u64) {
         wait_for("a holder", || {
             let token = self.vault.last(duty)?.token;
             let line = format!("duties: holds {duty}, token: {token}");
-            let holds = |i: &usize| self.fleet.front(*i).log.last(&line).is_some();
+            let holds = |i: &usize| self.fleet.gateway(*i).log.last(&line).is_some();
             Some((self.fleet.up().find(holds)?, token))
         })
     }
@@ -177,11 +177,11 @@
 fn a_holder_that_is_killed_stopped_or_cut_off_is_followed_and_nothing_is_taken_out_of_order() {
     type Fault = (&'static str, fn(&Fleet, usize));
     let faults: [Fault; 5] = [
-        ("stopped", |f, i| f.front(i).stop()),
+        ("stopped", |f, i| f.gateway(i).stop()),
         ("cut off", cut_off),
         ("not heard", |f, i| f.net.set(|a, _| a == i, CUT)),
         ("deaf", |f, i| f.net.set(|_, b| b == i, CUT)),
-        ("killed", |f, i| f.front(i).signal("-KILL")),
+        ("killed", |f, i| f.gateway(i).signal("-KILL")),
     ];
     let tried = Tried::start("falls", 6, 3, 1, 31);
     for (what, fault) in faults {
@@ -191,10 +191,10 @@
         let gap = tried.followed("writer0", token, from);
         assert!(gap < FOLLOWED, "{what}: nobody acted for {gap:?}");
         if what == "stopped" {
-            tried.fleet.front(holder).signal("-CONT");
+            tried.fleet.gateway(holder).signal("-CONT");
             tried
                 .fleet
-                .front(holder)
+                .gateway(holder)
                 .log
                 .wait_for(&format!("duties: lost writer0, why: RanOut, token: {token}"));
         }
@@ -218,13 +218,13 @@
     // The minder first: else it would end the program in time.
     signal(minder, "-STOP");
     signal(process, "-STOP");
-    tried.fleet.front(holder).stop();
+    tried.fleet.gateway(holder).stop();
     tried.followed("writer0", token, Instant::now());
     signal(process, "-CONT");
     let late = wait_for("the late action", || tried.vault.refused().first().cloned());
     assert_eq!((late.token, late.process), (token, process));
     signal(minder, "-CONT");
-    tried.fleet.front(holder).signal("-CONT");
+    tried.fleet.gateway(holder).signal("-CONT");
     // Awake, the minder ends it, and nothing more of it comes.
     wait_for("the program to end", || (!Path::new(&format!("/proc/{process}")).exists()).then_some(()));
     assert!(tried.vault.refused().iter().all(|a| a.process == process));
@@ -237,12 +237,12 @@
     for duty in ["writer0", "writer1"] {
         let (holder, token) = tried.holder(duty);
         let from = Instant::now();
-        tried.fleet.front(holder).signal("-TERM");
+        tried.fleet.gateway(holder).signal("-TERM");
         let gap = tried.followed(duty, token, from);
         // Its program has 100 ms to end, then two rounds.
         assert!(gap < LEASE, "{duty}: nobody acted for {gap:?}");
         println!("{duty}: handed on in {gap:?}");
-        let gave = tried.fleet.front(holder).log.wait_for(&format!("duties: gave back {duty}"));
+        let gave = tried.fleet.gateway(holder).log.wait_for(&format!("duties: gave back {duty}"));
         assert!(gave.contains("to: n0"), "{gave}");
     }
     tried.in_order();
@@ -275,13 +275,13 @@
     });
     tried.fleet.net.heal();
     // Two of five dead.
-    tried.fleet.fronts[0] = None;
-    tried.fleet.fronts[1] = None;
+    tried.fleet.gateways[0] = None;
+    tried.fleet.gateways[1] = None;
     tried.all_act(None);
     tried.in_order();
     // All killed at once and started in turn; their tokens go on.
     let before = tried.duties.iter().map(|d| tried.vault.last(d).unwrap().token).max().unwrap();
-    (0..7).for_each(|i| tried.fleet.fronts[i] = None);
+    (0..7).for_each(|i| tried.fleet.gateways[i] = None);
     for i in 0..7 {
         tried.fleet.begin(i);
     }
@@ -304,14 +304,14 @@
         let tried = Tried::start(&format!("disk{seed}"), 4, 3, 1, seed);
         (0..3).for_each(|i| tried.folder.disk_does(i, does));
         let (holder, token) = tried.holder("writer0");
-        tried.fleet.front(holder).stop();
+        tried.fleet.gateway(holder).stop();
         let until = Instant::now() + LEASE * 4;
         let other = || tried.vault.last("writer0").is_some_and(|a| a.token > token);
         wait_for("four leases, or another", || (other() || Instant::now() > until).then_some(()));
         assert_eq!(other(), found, "{does}");
         // Sound again, and awake: somebody has it.
         (0..3).for_each(|i| tried.folder.disk_does(i, ""));
-        tried.fleet.front(holder).signal("-CONT");
+        tried.fleet.gateway(holder).signal("-CONT");
         tried.all_act(Some(token));
         tried.in_order();
     }
@@ -350,7 +350,7 @@
         (0..3).map(|i| (record(i), std::fs::read(record(i)).ok())).collect();
     for damage in ["old", "lost", "spoilt"] {
         let before = tried.vault.last("writer0").unwrap().token;
-        (0..4).for_each(|i| tried.fleet.fronts[i] = None);
+        (0..4).for_each(|i| tried.fleet.gateways[i] = None);
         for (file, old) in &files {
             let _ = std::fs::remove_file(file.with_extension("record.before"));
             match (damage, std::fs::read(file)) {
@@ -366,7 +366,7 @@
         (0..4).for_each(|i| tried.fleet.begin(i));
         if damage == "spoilt" {
             wait_for("the damage to be told", || {
-                (0..3).any(|i| tried.fleet.front(i).log.count("duties.record is damaged") > 0).then_some(())
+                (0..3).any(|i| tried.fleet.gateway(i).log.count("duties.record is damaged") > 0).then_some(())
             });
         }
         tried.all_act(Some(before));
@@ -375,25 +375,25 @@
 }
 
 #[test]
-fn a_clock_that_runs_fast_and_two_fronts_of_one_name_make_no_second_holder() {
-    // The clock of one elector runs five in a hundred fast, that of another front as much too slow.
+fn a_clock_that_runs_fast_and_two_gateways_of_one_name_make_no_second_holder() {
+    // The clock of one elector runs five in a hundred fast, that of another gateway as much too slow.
     let rate = |i: usize| [(0, "1.05"), (3, "0.95")].into_iter().find(|(n, _)| *n == i).map(|(_, rate)| rate);
     let put = move |i: usize| rate(i).map(|rate| ("FAULTY_CLOCK", rate.to_owned())).into_iter().collect();
     let mut tried = Tried::start_with("clock", 5, 3, 2, 61, put, |table| table);
     for _ in 0..3 {
         let (holder, token) = tried.holder("writer0");
-        tried.fleet.front(holder).stop();
+        tried.fleet.gateway(holder).stop();
         tried.followed("writer0", token, Instant::now());
-        tried.fleet.front(holder).signal("-CONT");
+        tried.fleet.gateway(holder).signal("-CONT");
         tried.fleet.joined();
     }
     tried.in_order();
     // A second process under the name of a holder, at another address.
     let (holder, _) = tried.holder("writer0");
     let other = (3..5).find(|i| *i != holder).unwrap();
-    tried.fleet.fronts[other] = None;
+    tried.fleet.gateways[other] = None;
     tried.fleet.begin_as(other, holder);
-    tried.fleet.front(holder).log.wait_for("another process has this name");
+    tried.fleet.gateway(holder).log.wait_for("another process has this name");
     tried.all_act(None);
     tried.in_order();
 }
@@ -410,27 +410,27 @@
         .map(|(d, (_, token))| (d, token))
         .collect();
     let from = Instant::now();
-    tried.fleet.fronts[holder] = None;
+    tried.fleet.gateways[holder] = None;
     for (duty, token) in &had {
         let gap = tried.followed(duty, *token, from);
         assert!(gap < FOLLOWED, "{duty} of {}: nobody acted for {gap:?}", had.len());
     }
     tried.in_order();
-    let asked = |front: &Front, what: &str| {
+    let asked = |gateway: &Gateway, what: &str| {
         let mut command = Command::new(PROGRAM);
-        command.args([what, "--config"]).arg(&front.file).arg("--site").arg(&front.site_file);
+        command.args([what, "--config"]).arg(&gateway.file).arg("--site").arg(&gateway.site_file);
         let out = command.output().unwrap();
         assert!(out.status.success(), "{out:?}");
         String::from_utf8(out.stdout).unwrap()
     };
     let other = tried.fleet.up().next().unwrap();
     wait_for("all to be known", || {
-        let table = asked(tried.fleet.front(other), "duties");
+        let table = asked(tried.fleet.gateway(other), "duties");
         let known =
             |duty: &String| table.lines().any(|l| l.trim().starts_with(duty.as_str()) && l.contains(" n0"));
         tried.duties.iter().all(known).then_some(())
     });
-    let table = asked(tried.fleet.front(other), "fronts");
+    let table = asked(tried.fleet.gateway(other), "fronts");
     assert_eq!(table.lines().filter(|l| l.contains("alive")).count(), 4, "{table}");
 }
 
@@ -441,16 +441,16 @@
     let reload = |list: &str, i: usize| {
         let table = duties_table(&[0, 1, 2], Some(&tried.folder.record(i)));
         let table = table.replace("electors = [\"n00\", \"n01\", \"n02\"]", list);
-        let file = fronts_table(&tried.fleet.net, i, i, &[0, 1]) + &table + &program("writer0", &command);
-        tried.fleet.front(i).reload_site(&file);
+        let file = gateways_table(&tried.fleet.net, i, i, &[0, 1]) + &table + &program("writer0", &command);
+        tried.fleet.gateway(i).reload_site(&file);
     };
     let (old, new) = ("[\"n00\", \"n01\", \"n02\"]", "[\"n02\", \"n03\", \"n04\"]");
     reload(&format!("electors = {new}"), 1);
-    tried.fleet.front(1).log.wait_for("duties: not taken: electors");
+    tried.fleet.gateway(1).log.wait_for("duties: not taken: electors");
     let read = |times: usize| {
         wait_for("all to have read it", || {
             let more = |i| usize::from(i == 1) + usize::from(i == 4 && times == 2);
-            let read = |i| tried.fleet.front(i).log.count("configuration read again") >= times + more(i);
+            let read = |i| tried.fleet.gateway(i).log.count("configuration read again") >= times + more(i);
             (0..5).all(read).then_some(())
         });
         tried.all_act(None);
@@ -460,22 +460,22 @@
     // The new electors are silent at first, and nobody may go on before all have read it.
     let changed = Instant::now();
     reload(&format!("electors = {new}"), 4);
-    tried.fleet.front(4).log.wait_for("duties: not taken: electors: were changed just now");
+    tried.fleet.gateway(4).log.wait_for("duties: not taken: electors: were changed just now");
     wait_for("three longest leases", || (changed.elapsed() > Duration::from_millis(4_600)).then_some(()));
     tried.all_act(None);
     (0..5).for_each(|i| reload(&format!("electors = {new}"), i));
     read(2);
-    assert!((0..4).all(|i| tried.fleet.front(i).log.count("duties: not taken") == usize::from(i == 1)));
+    assert!((0..4).all(|i| tried.fleet.gateway(i).log.count("duties: not taken") == usize::from(i == 1)));
     // Two of the old are gone for good, and nothing needs them.
     let (holder, token) = tried.holder("writer0");
     let mut tried = tried;
-    [0, 1, holder].iter().for_each(|i| tried.fleet.fronts[*i] = None);
+    [0, 1, holder].iter().for_each(|i| tried.fleet.gateways[*i] = None);
     tried.followed("writer0", token, Instant::now());
     tried.all_act(None);
     tried.in_order();
 }
 
-/// All letters between fronts come late, by more than a lease, out of order, some lost and some twice.
+/// All letters between gateways come late, by more than a lease, out of order, some lost and some twice.
 #[test]
 fn answers_late_by_more_than_a_lease_make_no_second_holder() {
     let tried = Tried::start("slow", 5, 3, 2, 82);
@@ -495,10 +495,10 @@
     let (holder, token) = tried.holder("writer0");
     let fleet = &tried.fleet;
     let table = duties_table(&[0, 1, 2], Some(&tried.folder.record(holder)));
-    fleet.front(holder).reload_site(&(fronts_table(&fleet.net, holder, holder, &[0, 1]) + &table));
+    fleet.gateway(holder).reload_site(&(gateways_table(&fleet.net, holder, holder, &[0, 1]) + &table));
     let gap = tried.followed("writer0", token, Instant::now());
     assert!(gap < LEASE, "nobody acted for {gap:?}");
-    fleet.front(holder).log.wait_for("duties: gave back writer0");
+    fleet.gateway(holder).log.wait_for("duties: gave back writer0");
     assert_ne!(tried.holder("writer0").0, holder);
     tried.in_order();
 }
@@ -514,8 +514,8 @@
         for i in [holder, elector] {
             tried.folder.wall_is_off(i, off);
             // Whoever reads its file again looks at that clock too.
-            let again = std::fs::read_to_string(&tried.fleet.front(i).site_file).unwrap();
-            tried.fleet.front(i).reload_site(&again);
+            let again = std::fs::read_to_string(&tried.fleet.gateway(i).site_file).unwrap();
+            tried.fleet.gateway(i).reload_site(&again);
         }
         tried.fleet.until_passed(300);
     }
@@ -524,7 +524,7 @@
     // One that starts with its clock a day back is the member that it was, and a later process of it.
     tried.folder.wall_is_off(holder, "-86400");
     let known = |fleet: &Fleet| {
-        let line = fleet.front(elector).log.last(&format!("fronts: {} is alive", name(holder)))?;
+        let line = fleet.gateway(elector).log.last(&format!("fronts: {} is alive", name(holder)))?;
         line.split("generation: ").nth(1)?.split(',').next()?.parse::<u64>().ok()
     };
     let before = known(&tried.fleet);
@@ -546,13 +546,13 @@
     let tried = Tried::start_with("ill", 4, 3, 1, 63, |_| Vec::new(), slow);
     tried.fleet.joined();
     let (holder, token) = tried.holder("writer0");
-    let front = tried.fleet.front(holder);
+    let gateway = tried.fleet.gateway(holder);
     wait_for("it to be found ill", || {
-        front.stop();
+        gateway.stop();
         std::thread::sleep(Duration::from_millis(700));
-        front.signal("-CONT");
+        gateway.signal("-CONT");
         std::thread::sleep(Duration::from_millis(30));
-        let ends = front.log.last("duties: ends writer0")?;
+        let ends = gateway.log.last("duties: ends writer0")?;
         assert!(ends.contains("why: Unfit"), "{ends}");
         Some(())
     });
@@ -560,10 +560,10 @@
     tried.in_order();
 }
 
-/// By hand, a minute and some hundred processes: cargo test -p larchfall-rig --test duties hundred -- --ignored --nocapture
+/// By hand, a minute and some hundred processes: cargo test -p larchfall-fault-tests --test duties hundred -- --ignored --nocapture
 #[test]
 #[ignore = "some hundred processes for a minute"]
-fn a_hundred_duties_of_24_fronts_are_held_while_a_third_restarts() {
+fn a_hundred_duties_of_24_gateways_are_held_while_a_third_restarts() {
     let calm = |table: String| table.replace("least-ms = 60000", "least-ms = 2000");
     let mut tried = Tried::start_paced("hundred", (24, 5, 100), 84, Duration::from_millis(250), calm);
     tried.fleet.joined();
@@ -577,8 +577,8 @@
     let mut gaps: Vec<Duration> =
         tried.duties.iter().map(|duty| tried.vault.longest_gap(duty, from)).collect();
     gaps.sort();
-    let per_front = |i: usize| tried.duties.iter().filter(|duty| tried.holder(duty).0 == i).count();
-    let held: Vec<usize> = (0..24).map(per_front).collect();
+    let per_gateway = |i: usize| tried.duties.iter().filter(|duty| tried.holder(duty).0 == i).count();
+    let held: Vec<usize> = (0..24).map(per_gateway).collect();
     println!("longest gap of a duty: p50 {:?}, most {:?}; held by front: {held:?}", gaps[50], gaps[99]);
     assert!(gaps[99] < FOLLOWED * 3, "{gaps:?}");
 }
--- a/crates/fault-tests/tests/signals.rs
+++ b/crates/fault-tests/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals between several processes: what one finds out others know, and neither a front with a broken way nor one with a
+//! Signals between several processes: what one finds out others know, and neither a gateway with a broken way nor one with a
 //! broken net has others leave sound engines out.
 
 use larchfall_fault_tests::load;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall-faulty");
-const FRONTS: usize = 6;
+const GATEWAYS: usize = 6;
 const ENGINES: usize = 6;
 
 struct Tried {
@@ -27,60 +27,61 @@
         Tried::with(seed, "")
     }
 
-    /// Fronts in two zones, one after the other; `more` stands in their `[signals]`.
+    /// Gateways in two zones, one after the other; `more` stands in their `[signals]`.
     fn with(seed: u64, more: &str) -> Tried {
         let (engines, fails) = load::engines_that_fail(ENGINES).unwrap();
         let addresses: Vec<SocketAddr> = engines.iter().map(|e| e.address).collect();
-        let relays = Relays::start(FRONTS, &addresses).unwrap();
+        let relays = Relays::start(GATEWAYS, &addresses).unwrap();
         let known: Vec<Vec<SocketAddr>> =
-            (0..FRONTS).map(|f| (0..ENGINES).map(|e| relays.address(f, e)).collect()).collect();
+            (0..GATEWAYS).map(|f| (0..ENGINES).map(|e| relays.address(f, e)).collect()).collect();
         let table = format!("[signals]\nevery-ms = 50\nfanout = 5\n{more}");
-        let mut fleet = Fleet::new(PROGRAM, FRONTS, seed, |_, _| table.clone(), |_| Vec::new());
-        let settings = settings().replace("\"instances\":1", &format!("\"instances\":{FRONTS}"));
-        fleet.config = Box::new(move |i, board| config_of("127.0.0.1:0", board, &known[i], 256, &settings));
+        let mut fleet = Fleet::new(PROGRAM, GATEWAYS, seed, |_, _| table.clone(), |_| Vec::new());
+        let settings = settings().replace("\"instances\":1", &format!("\"instances\":{GATEWAYS}"));
+        fleet.config =
+            Box::new(move |i, discovery| config_of("127.0.0.1:0", discovery, &known[i], 256, &settings));
         fleet.zone = Box::new(|i| ["east", "west"][i % 2].to_owned());
         let fleet = fleet.begun();
         fleet.joined();
         Tried { fleet, relays, fails, engines }
     }
 
-    /// Load on these fronts, each from many clients, so that all engines are met.
-    fn load(&self, on: &[usize], span: Duration) {
-        let fronts = on.iter().flat_map(|i| [*i; 12]).map(|i| self.fleet.front(i));
-        let ledger = load::run(fronts, |_| Duration::from_millis(10), Duration::from_secs(1), span);
+    /// Load on these gateways, each from many clients, so that all engines are met.
+    fn load(&self, on: &[usize], duration: Duration) {
+        let gateways = on.iter().flat_map(|i| [*i; 12]).map(|i| self.fleet.gateway(i));
+        let ledger = load::run(gateways, |_| Duration::from_millis(10), Duration::from_secs(1), duration);
         assert_eq!(ledger.wrong, 0, "seed {}: {ledger:?}", self.fleet.seed);
     }
 
     fn count(&self, i: usize, words: &str) -> usize {
-        self.fleet.front(i).log.count(words)
+        self.fleet.gateway(i).log.count(words)
     }
 
-    /// Counts of one front as it logs them.
+    /// Counts of one gateway as it logs them.
     fn counter(&self, i: usize, name: &str) -> usize {
-        let log = &self.fleet.front(i).log;
+        let log = &self.fleet.gateway(i).log;
         let before = log.count("signals: counters");
-        self.fleet.front(i).signal("-USR1");
+        self.fleet.gateway(i).signal("-USR1");
         wait_for("the counters", || (log.count("signals: counters") > before).then_some(()));
         let line = log.last("signals: counters").unwrap();
         line.split(&format!("{name}: ")).nth(1).unwrap().split(',').next().unwrap().parse().unwrap()
     }
 }
 
-/// Four fronts in two zones meet an engine that fails; two that took nothing yet know of it, and one that starts anew after that
+/// Four gateways in two zones meet an engine that fails; two that took nothing yet know of it, and one that starts anew after that
 /// is not told what is long past.
 #[test]
 fn what_some_find_out_others_know() {
     let tried = Tried::start(151);
-    // Counts that were there before a front first hears of them are no news: all have heard of all.
+    // Counts that were there before a gateway first hears of them are no news: all have heard of all.
     tried.load(&[0, 1, 2, 3], Duration::from_millis(600));
     tried.fails[2].store(true, Ordering::Relaxed);
     wait_for("the idle to leave it out", || {
         tried.load(&[0, 1, 2, 3], Duration::from_millis(200));
         [4, 5].iter().all(|i| tried.count(*i, "failing: told") > 0).then_some(())
     });
-    let told = |i: usize| tried.fleet.front(i).log.last("failing: told").unwrap();
+    let told = |i: usize| tried.fleet.gateway(i).log.last("failing: told").unwrap();
     assert!([4, 5].iter().all(|i| told(*i).contains("engine 2 ")), "{}", told(4));
-    // They do without it: no batch of theirs meets it.
+    // They do without it: no request of theirs meets it.
     let before = tried.count(4, "engine 2 failing: outcomes");
     tried.load(&[4, 5], Duration::from_millis(300));
     assert_eq!(tried.count(4, "engine 2 failing: outcomes"), before);
@@ -88,13 +89,13 @@
     tried.fails[2].store(false, Ordering::Relaxed);
     wait_for("all to have it back", || {
         tried.load(&[0, 1, 2, 3, 4, 5], Duration::from_millis(200));
-        (0..FRONTS).all(|i| tried.count(i, "engine 2 sound again") > 0).then_some(())
+        (0..GATEWAYS).all(|i| tried.count(i, "engine 2 sound again") > 0).then_some(())
     });
 }
 
-/// One front cannot reach an engine, and another cannot reach any: both say so, and nobody else leaves one out.
+/// One gateway cannot reach an engine, and another cannot reach any: both say so, and nobody else leaves one out.
 #[test]
-fn neither_a_broken_way_nor_a_broken_net_of_one_front_spreads() {
+fn neither_a_broken_way_nor_a_broken_net_of_one_gateway_spreads() {
     let tried = Tried::start(152);
     tried.load(&[0, 1, 2, 3, 4, 5], Duration::from_millis(600));
     tried.relays.set(|f, e| (f, e) == (0, 1) || f == 1, Way::Cut);
@@ -107,12 +108,12 @@
         tried.load(&[0, 1], Duration::from_millis(300));
         (tried.counter(4, "heard") > heard + 40).then_some(())
     });
-    for i in 2..FRONTS {
+    for i in 2..GATEWAYS {
         assert_eq!(
             tried.count(i, " failing: "),
             0,
             "front {i}: {:?}",
-            tried.fleet.front(i).log.last(" failing: ")
+            tried.fleet.gateway(i).log.last(" failing: ")
         );
     }
     assert_eq!(tried.counter(4, "passed_over"), 0);
@@ -130,10 +131,10 @@
         });
     }
 
-    /// Batches that came to an engine, by each front's load, within about so long; and how long that took.
-    fn met(&self, e: usize, on: &[usize], span: Duration) -> (usize, Duration) {
+    /// Requests that came to an engine, by each gateway's load, within about so long; and how long that took.
+    fn met(&self, e: usize, on: &[usize], duration: Duration) -> (usize, Duration) {
         let (before, from) = (self.engines[e].seen().started.len(), Instant::now());
-        self.load(on, span);
+        self.load(on, duration);
         (self.engines[e].seen().started.len() - before, from.elapsed())
     }
 
@@ -142,7 +143,7 @@
         wait_for("all to have it back", || {
             self.load(on, Duration::from_millis(200));
             let back = |i: &usize| {
-                let lines = self.fleet.front(*i).log.last(&format!("engine {e} "));
+                let lines = self.fleet.gateway(*i).log.last(&format!("engine {e} "));
                 lines.is_some_and(|line| line.contains("sound again"))
             };
             on.iter().all(back).then_some(())
@@ -151,16 +152,16 @@
 }
 
 /// Slots in a span, at most: one that had begun, and those that begin in it.
-fn slots(span: Duration) -> usize {
-    span.div_duration_f64(TURN) as usize + 2
+fn slots(duration: Duration) -> usize {
+    duration.div_duration_f64(TURN) as usize + 2
 }
 
-/// Six fronts at an engine that is dead: one of them tries it in each slot. Then two of them die, one stands still and one is cut
+/// Six gateways at an engine that is dead: one of them tries it in each slot. Then two of them die, one stands still and one is cut
 /// off from all others, each of which may have had the turn: the rest have it back.
 #[test]
-fn one_front_a_slot_tries_what_is_left_out_and_another_where_that_one_is_gone() {
+fn one_gateway_a_slot_tries_what_is_left_out_and_another_where_that_one_is_gone() {
     let mut tried = Tried::with(153, &format!("turn-ms = {}\n", TURN.as_millis()));
-    let all: Vec<usize> = (0..FRONTS).collect();
+    let all: Vec<usize> = (0..GATEWAYS).collect();
     tried.load(&all, Duration::from_millis(600));
     tried.leaves_out(2, &all);
     // What each had under way to it, and the first looks at whose turn it is.
@@ -168,14 +169,14 @@
     let (met, took) = tried.met(2, &all, TURN * 4);
     assert!(met <= slots(took), "{met} batches in {took:?}");
     assert!(met > 0, "somebody tries it");
-    [0, 1].into_iter().for_each(|i| tried.fleet.fronts[i] = None);
-    tried.fleet.front(2).stop();
+    [0, 1].into_iter().for_each(|i| tried.fleet.gateways[i] = None);
+    tried.fleet.gateway(2).stop();
     tried.fleet.net.set(
         |a, b| (a == 3) != (b == 3),
         larchfall_fault_tests::net::Link { cut: true, ..larchfall_fault_tests::net::SOUND },
     );
     tried.all_have_it_back(2, &[3, 4, 5]);
-    tried.fleet.front(2).signal("-CONT");
+    tried.fleet.gateway(2).signal("-CONT");
     tried.fleet.net.heal();
     tried.all_have_it_back(2, &[2, 3, 4, 5]);
 }
@@ -184,7 +185,7 @@
 #[test]
 fn islands_try_once_a_slot_each_and_once_together_when_healed() {
     let tried = Tried::with(154, &format!("turn-ms = {}\n", TURN.as_millis()));
-    let all: Vec<usize> = (0..FRONTS).collect();
+    let all: Vec<usize> = (0..GATEWAYS).collect();
     tried.load(&all, Duration::from_millis(600));
     tried.leaves_out(1, &all);
     tried.fleet.net.set(
@@ -192,7 +193,7 @@
         larchfall_fault_tests::net::Link { cut: true, ..larchfall_fault_tests::net::SOUND },
     );
     let apart = |i: usize| {
-        (0..FRONTS).filter(|j| j / 3 != i / 3).all(|j| tried.fleet.held(i, j).as_deref() == Some("dead"))
+        (0..GATEWAYS).filter(|j| j / 3 != i / 3).all(|j| tried.fleet.held(i, j).as_deref() == Some("dead"))
     };
     wait_for("two islands", || all.iter().all(|i| apart(*i)).then_some(()));
     let (met, took) = tried.met(1, &all, TURN * 3);
--- a/crates/fault-tests/tests/storm.rs
+++ b/crates/fault-tests/tests/storm.rs
@@ -17,7 +17,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall-faulty");
 const SHORT: &str = include_str!("../storms/short.toml");
 
-/// More by hand: STORMS="1 2 3" cargo test -p larchfall-rig --test storm -- --nocapture
+/// More by hand: STORMS="1 2 3" cargo test -p larchfall-fault-tests --test storm -- --nocapture
 #[test]
 fn fixed_storms_hold_with_all_pieces_on() {
     let setting = Setting::read(SHORT).unwrap();
@@ -35,7 +35,7 @@
             if !played.faults.is_empty() {
                 keep(&played, &script, &folder).unwrap();
                 lock(&wrong).push(format!("seed {seed}: {:#?}, left in {}", played.faults, folder.display()));
-            } else if played.summary.batches < 200 {
+            } else if played.summary.requests < 200 {
                 lock(&wrong).push(format!("seed {seed}: too little: {:?}", played.summary));
             }
         }
@@ -87,17 +87,19 @@
     let setting = Setting { lasts_ms: 60_000, ..Setting::default() };
     for seed in 0..20 {
         let mut whole = setting.script(seed);
-        whole.steps.insert(0, timed(1, Step::Stop { front: 2 }));
-        whole.steps.insert(1, timed(2, Step::Disk { front: 1, does: Does::Lies }));
-        whole.steps.insert(2, timed(3, Step::Wake { front: 2 }));
-        whole.steps.insert(3, timed(4, Step::Disk { front: 1, does: Does::Sound }));
+        whole.steps.insert(0, timed(1, Step::Stop { gateway: 2 }));
+        whole.steps.insert(1, timed(2, Step::Disk { gateway: 1, does: Does::Lies }));
+        whole.steps.insert(2, timed(3, Step::Wake { gateway: 2 }));
+        whole.steps.insert(3, timed(4, Step::Disk { gateway: 1, does: Does::Sound }));
         let fails = |script: &Script| {
             let has = |step: &Step| script.steps.iter().any(|timed| timed.step == *step);
-            has(&Step::Stop { front: 2 }) && has(&Step::Disk { front: 1, does: Does::Lies })
+            has(&Step::Stop { gateway: 2 }) && has(&Step::Disk { gateway: 1, does: Does::Lies })
         };
         let (less, asked) = shrink(&whole, 500, fails);
-        let heals =
-            less.steps.iter().filter(|t| matches!(t.step, Step::Heal | Step::EnginesHeal | Step::BoardsHeal));
+        let heals = less
+            .steps
+            .iter()
+            .filter(|t| matches!(t.step, Step::Heal | Step::EnginesHeal | Step::DiscoveriesHeal));
         // What a fault ends with goes with it, and heals at the end stay.
         let heals = heals.count();
         assert!(heals >= 3 && less.steps.len() == 2 + 2 + heals, "seed {seed}: {:?}", less.steps);
@@ -116,9 +118,9 @@
     Some(rows.iter().map(cells).collect())
 }
 
-/// Three fronts with two duties and an engine, all well.
+/// Three gateways with two duties and an engine, all well.
 fn well() -> (Setting, Views) {
-    let setting = Setting { fronts: 3, on: [Piece::Shares].into(), ..Setting::default() };
+    let setting = Setting { gateways: 3, on: [Piece::Shares].into(), ..Setting::default() };
     let alive = view(&["n00|alive", "n01|alive", "n02|alive"]);
     let held = |by: &str| view(&[&format!("keeper:0|{by}"), &format!("keeper:1|{by}")]);
     let part = |part: &str| {
@@ -211,9 +213,9 @@
 fn rows_come_back_from_their_file_and_make_a_page() {
     let rows = vec![
         row(0, What::Plain, "members", 120.0),
-        row(500, What::Batches, "in time", 40.0),
+        row(500, What::Requests, "in time", 40.0),
         row(700, What::Fault, "CutOff { front: 1 } <b>", 0.0),
-        row(1_000, What::Batches, "in time", 55.0),
+        row(1_000, What::Requests, "in time", 55.0),
         row(1_100, What::Part, "n01 threads/00000001", 0.25),
         row(1_200, What::Members, "n01", 5.0),
     ];
@@ -229,7 +231,7 @@
 
     let figures = [1.0, 2.0, 6.0];
     assert_eq!(spread(figures.into_iter()), Spread { mean: 3.0, least: 1.0, most: 6.0 });
-    let storm = |in_time, faults| Summary { in_time, faults, batches: 10, ..Summary::default() };
+    let storm = |in_time, faults| Summary { in_time, faults, requests: 10, ..Summary::default() };
     let sets =
         [("on".to_owned(), vec![storm(0.5, 0), storm(0.7, 2)]), ("off".to_owned(), vec![storm(0.9, 0)])];
     let table = report::table(&sets);
--- a/crates/gateway/src/fronts/ask.rs
+++ b/crates/gateway/src/cluster/ask.rs
@@ -1,4 +1,4 @@
-//! `larchfall fronts`, `duties`, `shares` and `engines`: a running front is asked on its own UDP address, which it has already, and
+//! `larchfall gateways`, `duties`, `shares` and `engines`: a running gateway is asked on its own UDP address, which it has already, and
 //! answers only what comes from its own machine. One page a question, so no answer is longer than a datagram.
 
 use crc::{CRC_32_ISCSI, Crc};
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum What {
-    Fronts,
+    Gateways,
     Duties,
     Shares,
     Engines,
@@ -68,7 +68,7 @@
     seal(&page)
 }
 
-/// All rows that the front at this address has.
+/// All rows that the gateway at this address has.
 pub fn ask(address: SocketAddrV4, cluster: &str, what: What) -> io::Result<Vec<Vec<String>>> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.set_read_timeout(Some(WAIT))?;
