--- a/crates/gateway/src/fronts/duties.rs
+++ b/crates/gateway/src/cluster/duties.rs
@@ -1,6 +1,6 @@
-//! Duties on this front: what the package decides, brought to the socket, the disk, the operator's programs and the log.
+//! Duties on this gateway: what the package decides, brought to the socket, the disk, the operator's programs and the log.
 
-use super::Fronts;
+use super::Gateways;
 use super::programs::Programs;
 use crate::engines::attempt;
 use crate::run::parts::{self, Parts, boot_time};
@@ -14,8 +14,8 @@
 use larchfall_leases::wire::{Letter, Matter, Unreadable, Who, pages};
 use larchfall_membership::members::Member;
 use larchfall_operator_config::{Duties as Site, Keepers, Kinds};
-use larchfall_policy::interface::{ColdRule, Report, ServiceGroup};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::interface::{LoadReport, RequestClass, SlowStartPolicy};
+use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::Terms;
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::{Demand, Wanted};
@@ -31,11 +31,11 @@
 
 /// What readings take of a datagram.
 const READINGS: usize = 1000;
-/// Of more capacities than this fronts have their own parts only.
+/// Of more capacities than this gateways have their own parts only.
 const MOST_SHARED: usize = 4096;
-const IDLE: Span = Span::from_millis(1000);
+const IDLE: Duration = Duration::from_millis(1000);
 /// While a program is to end its end is looked for this often.
-const SOON: Span = Span::from_millis(10);
+const SOON: Duration = Duration::from_millis(10);
 
 #[derive(Default)]
 struct Counters {
@@ -51,25 +51,27 @@
 
 /// What of the settings shares are worked out from.
 pub struct Shared {
-    pub fronts: usize,
-    pub cold: ColdRule,
-    pub groups: Vec<ServiceGroup>,
-    pub customers: Vec<Capacity>,
+    pub gateways: usize,
+    pub slow_start: SlowStartPolicy,
+    pub classes: Vec<RequestClass>,
+    pub tenants: Vec<Capacity>,
     /// Which kinds are handed out, by the operator's file.
     pub kinds: Kinds,
 }
 
 impl Shared {
-    /// How much this front wants of each capacity that is handed out.
+    /// How much this gateway wants of each capacity that is handed out.
     fn wanted(&self, state: &State, demand: &Demand) -> Vec<Wanted> {
         let mut wanted = Vec::new();
-        for (id, engine, is_cold) in state.facade.ready(&self.cold) {
-            let weight = demand.of_engine(&engine, &self.groups);
-            wanted.extend((self.kinds.cold && is_cold).then_some((Capacity::Cold(id), weight)));
+        for (id, engine, is_in_slow_start) in state.facade.ready(&self.slow_start) {
+            let weight = demand.of_engine(&engine, &self.classes);
+            wanted.extend(
+                (self.kinds.slow_start && is_in_slow_start).then_some((Capacity::SlowStart(id), weight)),
+            );
             wanted.extend(self.kinds.threads.then_some((Capacity::Threads(id), weight)));
         }
-        let customers = self.customers.iter().enumerate().filter(|_| self.kinds.customers);
-        wanted.extend(customers.map(|(c, what)| (*what, demand.of_customer(c))));
+        let tenants = self.tenants.iter().enumerate().filter(|_| self.kinds.tenants);
+        wanted.extend(tenants.map(|(c, what)| (*what, demand.of_tenant(c))));
         wanted
     }
 }
@@ -86,9 +88,9 @@
     /// What is handed out by keepers, if anything is.
     shares: Option<Mutex<Shares>>,
     shared: Shared,
-    /// Of customers, as the settings list them.
+    /// Of tenants, as the settings list them.
     names: Vec<String>,
-    woke: Mutex<At>,
+    woke: Mutex<Timestamp>,
     /// Something was held or is ending since then.
     soon: AtomicBool,
     counters: Counters,
@@ -123,11 +125,11 @@
         let settings = site.settings;
         let shared = Shared { kinds: site.keepers.map_or(Kinds::default(), |k| k.kinds), ..shared };
         let shares = site.keepers.map(|Keepers { keepers, length, .. }| {
-            let (fronts, margin) = (shared.fronts, settings.terms.margin);
-            let strict = Terms { fronts, length, margin, window: shared.cold.window, strict: true };
-            let soft = Terms { window: Span::ZERO, strict: false, ..strict };
+            let (gateways, margin) = (shared.gateways, settings.terms.margin);
+            let strict = Terms { gateways, length, margin, window: shared.slow_start.window, strict: true };
+            let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
             let shares = Shares::new(shares::Settings { strict, soft, keepers, most: MOST_SHARED }, now);
-            if shared.kinds.cold {
+            if shared.kinds.slow_start {
                 state.facade.careful(shares.careful());
             }
             Mutex::new(shares)
@@ -153,7 +155,7 @@
             programs: Programs::start(site.programs)?,
             shares,
             shared,
-            names: state.names.customers.clone(),
+            names: state.names.tenants.clone(),
             woke: Mutex::new(now),
             soon: AtomicBool::new(false),
             counters: Counters::default(),
@@ -161,12 +163,12 @@
         Ok((Arc::new(duty), keeper))
     }
 
-    fn now(&self) -> At {
+    fn now(&self) -> Timestamp {
         (self.parts.clock)()
     }
 
     /// From a file that was read again; refused whole where it can't be made safe.
-    pub fn set(&self, state: &State, fronts: &Fronts, site: Site) {
+    pub fn set(&self, state: &State, gateways: &Gateways, site: Site) {
         // The disk was opened at the start, or not.
         let keeps = self.records.is_some();
         let bounds = Bounds { keeps, ..site.settings.bounds };
@@ -176,13 +178,13 @@
             Ok(out) => {
                 self.programs.set(site.programs);
                 *lock(&self.lines) = site.lines;
-                self.take(state, fronts, out);
+                self.take(state, gateways, out);
             }
             Err(why) => warn!(state.log, "duties: not taken: {}", why),
         }
     }
 
-    pub fn due_in(&self) -> Span {
+    pub fn due_in(&self) -> Duration {
         let now = self.now();
         let shares = self.shares.as_ref().map_or(IDLE, |shares| lock(shares).due().since(now));
         let due = lock(&self.leases).due().since(now).min(shares);
@@ -192,9 +194,9 @@
     }
 
     /// Hands all on.
-    pub fn leave(&self, state: &State, fronts: &Fronts) {
+    pub fn leave(&self, state: &State, gateways: &Gateways) {
         let out = lock(&self.leases).leave(self.now());
-        self.take(state, fronts, out);
+        self.take(state, gateways, out);
     }
 
     /// Nothing is held any more, nor runs.
@@ -202,22 +204,22 @@
         !self.programs.any_runs() && !lock(&self.leases).holds_any()
     }
 
-    pub fn name_taken(&self, state: &State, fronts: &Fronts) {
+    pub fn name_taken(&self, state: &State, gateways: &Gateways) {
         let out = lock(&self.leases).name_taken(self.now());
-        self.take(state, fronts, out);
+        self.take(state, gateways, out);
     }
 
-    pub fn wake(&self, state: &Arc<State>, fronts: &Arc<Fronts>) {
+    pub fn wake(&self, state: &Arc<State>, gateways: &Arc<Gateways>) {
         let (now, state_now) = (self.now(), state.clock.now());
         *lock(&self.woke) = now;
         self.soon.store(false, Ordering::Relaxed);
-        let (live, health): (BTreeMap<String, At>, u32) = {
-            let members = lock(&fronts.members);
+        let (live, health): (BTreeMap<String, Timestamp>, u32) = {
+            let members = lock(&gateways.members);
             let since = |m: &Member| now - state_now.since(m.since);
             (members.live().map(|(name, m)| (name.clone(), since(m))).collect(), members.health().score())
         };
         let (known, ready) = state.facade.listed();
-        let silence = state_now.since(At::from_micros(state.board_heard.load(Ordering::Relaxed)));
+        let silence = state_now.since(Timestamp::from_micros(state.discovery_heard.load(Ordering::Relaxed)));
         let sight = Sight { listed: known, ready: ready.len(), silence, health };
         let lines = *lock(&self.lines);
         let fit = lock(&self.fitness).is_fit(lines, sight);
@@ -227,14 +229,14 @@
             leases.fit(fit);
             leases.wake(now)
         };
-        self.take(state, fronts, out);
-        self.look_after_programs(state, fronts);
-        self.probe(state, fronts, &ready);
-        self.share(state, fronts);
+        self.take(state, gateways, out);
+        self.look_after_programs(state, gateways);
+        self.probe(state, gateways, &ready);
+        self.share(state, gateways);
     }
 
-    /// Asks the keepers for this front's shares, and tells the module what it may use.
-    fn share(&self, state: &State, fronts: &Fronts) {
+    /// Asks the keepers for this gateway's shares, and tells the module what it may use.
+    fn share(&self, state: &State, gateways: &Gateways) {
         let Some(shares) = &self.shares else { return };
         let now = self.now();
         let (asking, (most, length)) = {
@@ -250,33 +252,33 @@
             let holder = lock(&self.leases).holder(&name, now).map(str::to_owned);
             let Some(holder) = holder else { continue };
             for wants in pages(wants, READINGS) {
-                let (fronts_most, length_us) = (most as u32, length.micros());
+                let (gateways_most, length_us) = (most as u32, length.micros());
                 let duty = name.clone();
-                let matter = Matter::AskShares { duty, round, fronts: fronts_most, length_us, wants };
+                let matter = Matter::AskShares { duty, round, gateways: gateways_most, length_us, wants };
                 if holder == self.me.name {
-                    self.hear_of_shares(state, fronts, &self.me, &matter);
+                    self.hear_of_shares(state, gateways, &self.me, &matter);
                 } else {
-                    self.send(fronts, &holder, matter);
+                    self.send(gateways, &holder, matter);
                 }
             }
         }
     }
 
-    fn use_shares(&self, state: &State, shares: &Mutex<Shares>, now: At) {
+    fn use_shares(&self, state: &State, shares: &Mutex<Shares>, now: Timestamp) {
         let known = |(key, part, _)| Capacity::of(key).map(|what| (what, part));
         let parts = lock(shares).parts(now).filter_map(known).collect();
-        state.facade.share(&self.shared.customers, &parts);
+        state.facade.share(&self.shared.tenants, &parts);
     }
 
-    fn hear_of_shares(&self, state: &State, fronts: &Fronts, from: &Who, matter: &Matter) {
+    fn hear_of_shares(&self, state: &State, gateways: &Gateways, from: &Who, matter: &Matter) {
         let (Some(shares), now) = (&self.shares, self.now()) else { return };
         match matter {
-            Matter::AskShares { duty, round, fronts: most, length_us, wants } => {
+            Matter::AskShares { duty, round, gateways: most, length_us, wants } => {
                 // Immediately before: nothing is handed out that the next keeper may not know to be over in time.
                 let leases = lock(&self.leases);
                 let Some(permit) = leases.permit(duty, now) else { return };
                 let parts = {
-                    let terms = (*most as usize, Span::from_micros(*length_us));
+                    let terms = (*most as usize, Duration::from_micros(*length_us));
                     lock(shares).answer(permit.token, (&from.name, terms), wants, now)
                 };
                 let stamped = permit.stamp(parts);
@@ -285,9 +287,9 @@
                     let parts = Stamped { duty: stamped.duty.clone(), token: stamped.token, action: page };
                     let matter = Matter::Shares { round: *round, parts };
                     if from.name == self.me.name {
-                        self.hear_of_shares(state, fronts, from, &matter);
+                        self.hear_of_shares(state, gateways, from, &matter);
                     } else {
-                        self.send(fronts, &from.name, matter);
+                        self.send(gateways, &from.name, matter);
                     }
                 }
             }
@@ -300,11 +302,11 @@
         }
     }
 
-    fn look_after_programs(&self, state: &State, fronts: &Fronts) {
+    fn look_after_programs(&self, state: &State, gateways: &Gateways) {
         for ended in self.programs.take_ended(self.now()) {
             info!(state.log, "duties: program of {} ended", ended.duty; "token" => ended.token, "how" => ended.how);
             let out = lock(&self.leases).stopped(&ended.duty, self.now());
-            self.take(state, fronts, out);
+            self.take(state, gateways, out);
         }
         for duty in self.programs.duties() {
             // Looked at immediately before: what is left is what the minder is told.
@@ -317,7 +319,7 @@
     }
 
     /// The holder of a probing duty asks its engines, and tells all once the last has answered.
-    fn probe(&self, state: &Arc<State>, fronts: &Arc<Fronts>, ready: &[(usize, u32)]) {
+    fn probe(&self, state: &Arc<State>, gateways: &Arc<Gateways>, ready: &[(usize, u32)]) {
         let Some(probing) = &state.probing else { return };
         let duties = {
             let mut probing = lock(probing);
@@ -335,16 +337,16 @@
                     break;
                 };
                 drop(leases);
-                let (state, fronts, left) = (state.clone(), fronts.clone(), left.clone());
+                let (state, gateways, left) = (state.clone(), gateways.clone(), left.clone());
                 may::go!(move || {
                     let report = attempt::probe(&state, allowed.action().engine);
                     if let (Some(report), Some(probing)) = (report, &state.probing) {
                         lock(probing).read(reading(id, report), state.clock.now());
                     }
                     if left.fetch_sub(1, Ordering::Relaxed) == 1
-                        && let Some(duties) = &fronts.duties
+                        && let Some(duties) = &gateways.duties
                     {
-                        duties.tell(&state, &fronts, number);
+                        duties.tell(&state, &gateways, number);
                     }
                 });
             }
@@ -352,7 +354,7 @@
     }
 
     /// What was read under a duty goes to all that live, with its token, while it still lasts.
-    fn tell(&self, state: &State, fronts: &Fronts, number: usize) {
+    fn tell(&self, state: &State, gateways: &Gateways, number: usize) {
         let Some(probing) = &state.probing else { return };
         let read = lock(probing).to_tell(number, state.clock.now());
         let name = duty(number);
@@ -361,28 +363,28 @@
             let stamped = lock(&self.leases).permit(&name, self.now()).map(|permit| stamp(permit, page));
             let Some(stamped) = stamped else { return };
             let others: Vec<String> = {
-                let members = lock(&fronts.members);
+                let members = lock(&gateways.members);
                 members.live().map(|(name, _)| name.clone()).filter(|name| *name != self.me.name).collect()
             };
             for to in others {
-                self.send(fronts, &to, Matter::Readings(stamped.clone()));
+                self.send(gateways, &to, Matter::Readings(stamped.clone()));
             }
         }
     }
 
-    fn send(&self, fronts: &Fronts, to: &str, matter: Matter) {
-        let address = lock(&fronts.members).table().get(to).map(|m| m.about.address);
+    fn send(&self, gateways: &Gateways, to: &str, matter: Matter) {
+        let address = lock(&gateways.members).table().get(to).map(|m| m.about.address);
         let Some(address) = address else { return one(&self.counters.unknown) };
         let bytes = Letter::new(&self.cluster, &self.me, matter).seal();
-        if fronts.socket.inner().send_to(&bytes, address).is_ok() {
+        if gateways.socket.inner().send_to(&bytes, address).is_ok() {
             one(&self.counters.sent);
         }
     }
 
     /// Sends, logs and carries out what came of a call. No lock is held here.
-    fn take(&self, state: &State, fronts: &Fronts, out: Out) {
+    fn take(&self, state: &State, gateways: &Gateways, out: Out) {
         for (to, matter) in out.letters {
-            self.send(fronts, &to, matter);
+            self.send(gateways, &to, matter);
         }
         if let (Some(record), Some(records)) = (out.write, &self.records) {
             // One is under way at a time, so there is room.
@@ -398,7 +400,7 @@
                     self.programs.end(&duty);
                     if !self.programs.runs(&duty) {
                         let out = lock(&self.leases).stopped(&duty, self.now());
-                        self.take(state, fronts, out);
+                        self.take(state, gateways, out);
                     }
                 }
                 What::Lost { token, why } => {
@@ -414,7 +416,7 @@
     }
 
     /// A datagram of duties that came from this address.
-    pub fn hear(&self, state: &State, fronts: &Fronts, bytes: &[u8], from: SocketAddrV4) {
+    pub fn hear(&self, state: &State, gateways: &Gateways, bytes: &[u8], from: SocketAddrV4) {
         one(&self.counters.heard);
         let letter = match Letter::open(bytes, &self.cluster) {
             Ok(letter) => letter,
@@ -424,7 +426,7 @@
         };
         // Who writes is one that membership knows, at the address that it knows it by. A process that was held for dead for
         // a while goes on there under a later generation, and here under that of its start: it is the same one.
-        let known = lock(&fronts.members)
+        let known = lock(&gateways.members)
             .table()
             .get(&letter.from.name)
             .is_some_and(|m| m.about.address == from && m.claim.generation >= letter.from.generation);
@@ -434,12 +436,12 @@
         match &letter.matter {
             Matter::Readings(told) => return self.take_readings(state, told),
             matter @ (Matter::AskShares { .. } | Matter::Shares { .. }) => {
-                return self.hear_of_shares(state, fronts, &letter.from, matter);
+                return self.hear_of_shares(state, gateways, &letter.from, matter);
             }
             _ => {}
         }
         let out = lock(&self.leases).hear(&letter.from, &letter.matter, self.now());
-        self.take(state, fronts, out);
+        self.take(state, gateways, out);
     }
 
     fn take_readings(&self, state: &State, told: &Stamped<Vec<Reading>>) {
@@ -455,21 +457,21 @@
                 for reading in readings {
                     one(&self.counters.readings);
                     let (in_hand, busy) = (reading.in_hand.map(f64::from), reading.busy.map(f64::from));
-                    state.facade.told(reading.engine, Report { in_hand, busy });
+                    state.facade.told(reading.engine, LoadReport { in_hand, busy });
                 }
             }
         }
     }
 
     /// What became of a record.
-    fn kept(&self, state: &State, fronts: &Fronts, kept: io::Result<()>) {
+    fn kept(&self, state: &State, gateways: &Gateways, kept: io::Result<()>) {
         one(&self.counters.records);
         if let Err(e) = &kept {
             one(&self.counters.records_failed);
             warn!(state.log, "duties: record not kept: {}", e);
         }
         let out = lock(&self.leases).written(kept.is_ok(), self.now());
-        self.take(state, fronts, out);
+        self.take(state, gateways, out);
     }
 
     /// By duty: its name, who holds it, its token, what is left in milliseconds, why and when it last ended here.
@@ -480,7 +482,7 @@
             let told = |k: &larchfall_leases::duties::Known| (k.holder.name.clone(), k.token, k.until);
             let here = view.held.map(|(token, until)| (self.me.name.clone(), token, until));
             let held = here.or(view.known.map(told));
-            let left = |until: At| until.since(now).micros() / 1000;
+            let left = |until: Timestamp| until.since(now).micros() / 1000;
             let (holder, token, left) =
                 held.map_or((String::new(), 0, 0), |(name, token, until)| (name, token, left(until)));
             let last = view
@@ -494,18 +496,18 @@
     /// What a capacity is called in the log and by `larchfall shares`.
     fn word(&self, key: u64) -> String {
         match Capacity::of(key) {
-            Some(Capacity::Cold(id)) => format!("cold/{id:08x}"),
+            Some(Capacity::SlowStart(id)) => format!("cold/{id:08x}"),
             Some(Capacity::Threads(id)) => format!("threads/{id:08x}"),
             Some(what) => {
                 let name = |at: usize| self.names.get(at).cloned().unwrap_or_default();
-                let known = self.shared.customers.iter().position(|other| *other == what);
+                let known = self.shared.tenants.iter().position(|other| *other == what);
                 format!("customer/{}", known.map_or(String::new(), name))
             }
             None => format!("{key}"),
         }
     }
 
-    /// By capacity: what it is called, this front's part, whether that was handed out; where it is kept here, how many
+    /// By capacity: what it is called, this gateway's part, whether that was handed out; where it is kept here, how many
     /// have a share, what may be in use, and how fair that is.
     pub fn share_rows(&self) -> Vec<Vec<String>> {
         let Some(shares) = &self.shares else { return Vec::new() };
@@ -516,7 +518,12 @@
             let mut row = vec![self.word(key), format!("{part:.4}"), handed.to_owned()];
             let fair = kept.get(&key).map(|fair| {
                 let factor = fair.factor.map_or("none".to_owned(), |f| format!("{f:.2}"));
-                [fair.fronts.to_string(), format!("{:.4}", fair.in_use), format!("{:.4}", fair.jain), factor]
+                [
+                    fair.gateways.to_string(),
+                    format!("{:.4}", fair.in_use),
+                    format!("{:.4}", fair.jain),
+                    factor,
+                ]
             });
             row.extend(fair.unwrap_or_default());
             row
@@ -530,7 +537,7 @@
         let c = &self.counters;
         let n = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let ids = state.facade.listed().1.into_iter().map(|(_, id)| u64::from(id));
-        let (refused, (age, unread)) = state.probing.as_ref().map_or((0, (Span::ZERO, 0)), |probing| {
+        let (refused, (age, unread)) = state.probing.as_ref().map_or((0, (Duration::ZERO, 0)), |probing| {
             let probing = lock(probing);
             (probing.refused(), probing.ages(ids, state.clock.now()))
         });
@@ -545,7 +552,7 @@
                 shares.parts(now).map(|(key, part, _)| format!("{}:{part:.4}", self.word(key))).collect();
             info!(state.log, "duties: shares"; "has" => has, "keeps" => keeps, "parts" => parts.join(" "));
             for (key, fair) in shares.kept(now) {
-                info!(state.log, "duties: handed out"; "what" => self.word(key), "fronts" => fair.fronts,
+                info!(state.log, "duties: handed out"; "what" => self.word(key), "fronts" => fair.gateways,
                     "in_use" => fair.in_use, "jain" => fair.jain, "factor" => fair.factor.unwrap_or(f64::INFINITY));
             }
         }
@@ -556,7 +563,7 @@
     }
 }
 
-fn reading(id: u32, report: Report) -> Reading {
+fn reading(id: u32, report: LoadReport) -> Reading {
     let narrow = |n: Option<f64>| n.map(|n| n as f32);
     Reading { engine: u64::from(id), age_us: 0, in_hand: narrow(report.in_hand), busy: narrow(report.busy) }
 }
@@ -568,11 +575,11 @@
 }
 
 impl Keeper {
-    pub fn run(self, state: &Arc<State>, fronts: &Arc<Fronts>) -> io::Result<()> {
-        let (state, fronts) = (state.clone(), fronts.clone());
+    pub fn run(self, state: &Arc<State>, gateways: &Arc<Gateways>) -> io::Result<()> {
+        let (state, gateways) = (state.clone(), gateways.clone());
         parts::keeper(self.disk, self.taken, move |kept| {
-            if let Some(duties) = &fronts.duties {
-                duties.kept(&state, &fronts, kept);
+            if let Some(duties) = &gateways.duties {
+                duties.kept(&state, &gateways, kept);
             }
         })
     }
--- a/crates/gateway/src/fronts/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The fronts among themselves, where the operator's file has a `[fronts]` table: one socket, one coroutine that hears
-//! and asks. No batch waits for it, and it waits for none.
+//! The gateways among themselves, where the operator's file has a `[gateways]` table: one socket, one coroutine that hears
+//! and asks. No request waits for it, and it waits for none.
 
 pub mod ask;
 pub mod duties;
@@ -16,7 +16,7 @@
 use larchfall_membership::count::Count;
 use larchfall_membership::members::{Members, Out, Refused, Settings};
 use larchfall_membership::wire::{Letter, MOST_BYTES, Unreadable};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use may::net::UdpSocket;
 use signals::Signals;
 use slog::{info, warn};
@@ -26,9 +26,9 @@
 use std::sync::{Arc, Mutex};
 
 /// So many datagrams are taken in within each such time; what comes beyond waits in the socket, or is lost there. A
-/// flood costs what that many cost, and no batch's share of the core.
+/// flood costs what that many cost, and no request's share of the core.
 const MOST: usize = 100;
-const EACH: Span = Span::from_millis(100);
+const EACH: Duration = Duration::from_millis(100);
 
 /// What came and was passed over, by why; what went.
 #[derive(Default)]
@@ -48,22 +48,22 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-pub struct Fronts {
+pub struct Gateways {
     members: Mutex<Members>,
-    /// How many fronts the module is to count, where it follows the living.
+    /// How many gateways the module is to count, where it follows the living.
     count: Option<Mutex<Count>>,
     socket: UdpSocket,
     cluster: String,
     name: String,
     counters: Counters,
     over: AtomicBool,
-    /// What one front does at a time, where the file says so.
+    /// What one gateway does at a time, where the file says so.
     duties: Option<Arc<Duty>>,
-    /// What fronts saw of engines, where the file says so.
+    /// What gateways saw of engines, where the file says so.
     signals: Option<Signals>,
 }
 
-impl Fronts {
+impl Gateways {
     /// Its generation is the time of its start, so that each process under its name is another than the one before.
     pub fn open(
         bind: SocketAddrV4,
@@ -72,10 +72,10 @@
         count: Option<Count>,
         duties: Option<Arc<Duty>>,
         signals: Option<Signals>,
-    ) -> io::Result<Arc<Fronts>> {
+    ) -> io::Result<Arc<Gateways>> {
         let socket = UdpSocket::bind(bind)?;
         let (counters, over) = (Counters::default(), AtomicBool::new(false));
-        Ok(Arc::new(Fronts {
+        Ok(Arc::new(Gateways {
             members: Mutex::new(members),
             count: count.map(Mutex::new),
             socket,
@@ -96,7 +96,7 @@
         &self.name
     }
 
-    /// Those that live, this front among them, and their zones.
+    /// Those that live, this gateway among them, and their zones.
     pub fn living(&self) -> Vec<(String, String)> {
         lock(&self.members).live().map(|(name, m)| (name.clone(), m.about.zone.clone())).collect()
     }
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Tells the module when another number of fronts is to be counted.
-    fn count(&self, state: &State, now: At, before: usize) -> usize {
+    /// Tells the module when another number of gateways is to be counted.
+    fn count(&self, state: &State, now: Timestamp, before: usize) -> usize {
         let Some(count) = &self.count else { return before };
         let fleet = lock(&self.members).fleet();
         let counted = lock(count).see(fleet, now);
@@ -177,8 +177,8 @@
         }
     }
 
-    /// By front: its name, standing, generation, address, zone, since when it stands so and when it was heard, in seconds.
-    fn rows(&self, now: At) -> Vec<Vec<String>> {
+    /// By gateway: its name, standing, generation, address, zone, since when it stands so and when it was heard, in seconds.
+    fn rows(&self, now: Timestamp) -> Vec<Vec<String>> {
         let members = lock(&self.members);
         let row = |(name, m): (&String, &larchfall_membership::members::Member)| {
             let heard = m.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
@@ -190,7 +190,7 @@
         members.table().iter().map(row).collect()
     }
 
-    /// By engine: its id, state, what this front makes of it, and what it and others saw there, where that is told.
+    /// By engine: its id, state, what this gateway makes of it, and what it and others saw there, where that is told.
     fn engine_rows(&self, state: &State) -> Vec<Vec<String>> {
         // Once for all engines: a fleet may be large.
         let (now, living) = (state.clock.now(), self.living().into_iter().collect());
@@ -216,7 +216,7 @@
             return one(&self.counters.strangers);
         };
         let rows = match question.what {
-            ask::What::Fronts => self.rows(state.clock.now()),
+            ask::What::Gateways => self.rows(state.clock.now()),
             ask::What::Engines => self.engine_rows(state),
             ask::What::Duties => self.duties.as_ref().map(|duties| duties.rows()).unwrap_or_default(),
             ask::What::Shares => self.duties.as_ref().map(|duties| duties.share_rows()).unwrap_or_default(),
@@ -274,54 +274,54 @@
     }
 }
 
-/// Hears and asks until this front leaves.
-pub fn run(state: &Arc<State>, fronts: &Arc<Fronts>) {
+/// Hears and asks until this gateway leaves.
+pub fn run(state: &Arc<State>, gateways: &Arc<Gateways>) {
     let mut bytes = [0; MOST_BYTES + 1];
     let (mut taken, mut window) = (0, state.clock.now());
     let mut counted = 0;
-    let done = || fronts.duties.as_ref().is_none_or(|duties| duties.is_done());
-    while !fronts.over.load(Ordering::Relaxed) || !done() {
+    let done = || gateways.duties.as_ref().is_none_or(|duties| duties.is_done());
+    while !gateways.over.load(Ordering::Relaxed) || !done() {
         let now = state.clock.now();
         let (due, out) = {
-            let mut members = lock(&fronts.members);
+            let mut members = lock(&gateways.members);
             let out = (members.due() <= now).then(|| members.wake(now));
             (members.due(), out)
         };
         if let Some(out) = out {
-            fronts.take(state, out);
-            counted = fronts.count(state, now, counted);
+            gateways.take(state, out);
+            counted = gateways.count(state, now, counted);
         }
-        if let Some(duties) = fronts.duties.as_ref().filter(|duties| duties.due_in() == Span::ZERO) {
-            duties.wake(state, fronts);
+        if let Some(duties) = gateways.duties.as_ref().filter(|duties| duties.due_in() == Duration::ZERO) {
+            duties.wake(state, gateways);
         }
-        if let Some(signals) = &fronts.signals {
-            signals.wake(state, fronts);
+        if let Some(signals) = &gateways.signals {
+            signals.wake(state, gateways);
         }
         if now.since(window) >= EACH {
             (taken, window) = (0, now);
         }
         if taken >= MOST {
-            one(&fronts.counters.over_budget);
-            state.sleep((window + EACH).since(now).max(Span::from_millis(1)));
+            one(&gateways.counters.over_budget);
+            state.sleep((window + EACH).since(now).max(Duration::from_millis(1)));
             continue;
         }
-        let due_in = fronts.duties.as_ref().map(|duties| duties.due_in());
+        let due_in = gateways.duties.as_ref().map(|duties| duties.due_in());
         let now = state.clock.now();
-        let signals_in = fronts.signals.as_ref().map(|signals| signals.due_in(now));
-        let own = due_in.into_iter().chain(signals_in).fold(EACH * 600.0, Span::min);
-        let left = due.since(now).min(own).max(Span::from_millis(1));
-        if fronts.socket.set_read_timeout(Some(wait(left))).is_err() {
+        let signals_in = gateways.signals.as_ref().map(|signals| signals.due_in(now));
+        let own = due_in.into_iter().chain(signals_in).fold(EACH * 600.0, Duration::min);
+        let left = due.since(now).min(own).max(Duration::from_millis(1));
+        if gateways.socket.set_read_timeout(Some(wait(left))).is_err() {
             return;
         }
-        match fronts.socket.recv_from(&mut bytes) {
+        match gateways.socket.recv_from(&mut bytes) {
             Ok((n, SocketAddr::V4(from))) => {
                 taken += 1;
-                fronts.hear(state, &bytes[..n], from);
+                gateways.hear(state, &bytes[..n], from);
             }
             // Where a member's port is closed the next receive says so: that is one more lost datagram.
             Ok(_) => {}
             Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {}
-            Err(_) => state.sleep(Span::from_millis(5)),
+            Err(_) => state.sleep(Duration::from_millis(5)),
         }
     }
 }
--- a/crates/gateway/src/fronts/programs.rs
+++ b/crates/gateway/src/cluster/programs.rs
@@ -1,25 +1,25 @@
-//! The operator's programs that run while this front holds their duties, each behind a minder. Processes are started and
+//! The operator's programs that run while this gateway holds their duties, each behind a minder. Processes are started and
 //! waited for on a thread of its own.
 
 use larchfall_operator_config::Program;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 use crate::state::lock;
 
-const LOOK: Duration = Duration::from_millis(20);
+const LOOK: StdDuration = StdDuration::from_millis(20);
 const ORDERS: usize = 1024;
 /// One that ended by itself is started again after so long, while the lease lasts.
-const AGAIN: Span = Span::from_millis(1000);
+const AGAIN: Duration = Duration::from_millis(1000);
 
 enum Order {
-    Start { program: Program, token: u64, until: At },
-    Until(String, At),
+    Start { program: Program, token: u64, until: Timestamp },
+    Until(String, Timestamp),
     End(String),
 }
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy)]
 struct Runs {
     token: u64,
-    until: At,
+    until: Timestamp,
     ends: bool,
 }
 
@@ -44,7 +44,7 @@
     ended: Arc<Mutex<Vec<Ended>>>,
     runs: Mutex<BTreeMap<String, Runs>>,
     /// Not started again before then.
-    pauses: Mutex<BTreeMap<String, At>>,
+    pauses: Mutex<BTreeMap<String, Timestamp>>,
 }
 
 impl Programs {
@@ -76,7 +76,7 @@
     }
 
     /// It may run until then, by the clock that also runs in sleep: started where it does not, told where it does.
-    pub fn may_run(&self, duty: &str, token: u64, until: At, now: At) {
+    pub fn may_run(&self, duty: &str, token: u64, until: Timestamp, now: Timestamp) {
         let Some(program) = lock(&self.by_duty).get(duty).cloned() else { return };
         let mut runs = lock(&self.runs);
         let order = match runs.get_mut(duty) {
@@ -102,7 +102,7 @@
     }
 
     /// Those that ended since the last look.
-    pub fn take_ended(&self, now: At) -> Vec<Ended> {
+    pub fn take_ended(&self, now: Timestamp) -> Vec<Ended> {
         let ended = std::mem::take(&mut *lock(&self.ended));
         let mut runs = lock(&self.runs);
         for ended in &ended {
@@ -157,7 +157,7 @@
                 }
             }
             Err(std::sync::mpsc::RecvTimeoutError::Timeout) => {}
-            // The front ends: minders see their input end.
+            // The gateway ends: minders see their input end.
             Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
         }
         running.retain(|duty, (child, token)| match child.try_wait() {
--- a/crates/gateway/src/fronts/signals.rs
+++ b/crates/gateway/src/cluster/signals.rs
@@ -1,13 +1,13 @@
-//! What this front saw of engines goes to some others, and what they saw comes in: the package decides what of it counts, the
+//! What this gateway saw of engines goes to some others, and what they saw comes in: the package decides what of it counts, the
 //! module judges.
 
-use super::Fronts;
+use super::Gateways;
 use crate::state::{State, lock};
 use larchfall_health_gossip::Process;
 use larchfall_health_gossip::desk::{Bounds, Desk};
 use larchfall_health_gossip::wire::{Letter, MOST_ENGINES};
 use larchfall_operator_config::Signals as Site;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use slog::info;
 use std::collections::{BTreeMap, HashSet};
@@ -16,11 +16,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Pages and lines that are kept of others.
-const BOUNDS: Bounds = Bounds { fronts: 1024, processes: 1024 };
+const BOUNDS: Bounds = Bounds { gateways: 1024, processes: 1024 };
 
 struct Inner {
     desk: Desk,
-    next: At,
+    next: Timestamp,
     chance: WyRand,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Signals {
-    pub fn new(state: &State, site: Site, seed: u64, now: At) -> Signals {
+    pub fn new(state: &State, site: Site, seed: u64, now: Timestamp) -> Signals {
         state.facade.notes_sights(BOUNDS.processes);
         let inner = Inner {
             desk: Desk::new(BOUNDS, site.weigh, site.turn),
@@ -45,12 +45,12 @@
         Signals { site, inner: Mutex::new(inner), sent: n(), heard: n(), passed_over: n(), counted: n() }
     }
 
-    pub fn due_in(&self, now: At) -> Span {
+    pub fn due_in(&self, now: Timestamp) -> Duration {
         lock(&self.inner).next.since(now)
     }
 
     /// At steady times: tells some others what is new, and counts what others told.
-    pub fn wake(&self, state: &State, fronts: &Fronts) {
+    pub fn wake(&self, state: &State, gateways: &Gateways) {
         let now = state.clock.now();
         {
             let mut inner = lock(&self.inner);
@@ -59,33 +59,33 @@
             }
             inner.next = now + self.site.every;
         }
-        self.tell(state, fronts);
-        self.count(state, fronts, now);
+        self.tell(state, gateways);
+        self.count(state, gateways, now);
     }
 
-    fn tell(&self, state: &State, fronts: &Fronts) {
+    fn tell(&self, state: &State, gateways: &Gateways) {
         let Some((number, saw)) = state.facade.sights_to_tell(MOST_ENGINES) else { return };
         let (me, mut others) = {
-            let members = lock(&fronts.members);
+            let members = lock(&gateways.members);
             let others: Vec<SocketAddrV4> = members
                 .live()
-                .filter(|(name, _)| **name != fronts.name)
+                .filter(|(name, _)| **name != gateways.name)
                 .map(|(_, m)| m.about.address)
                 .collect();
             (members.myself().claim.generation, others)
         };
         lock(&self.inner).chance.shuffle(&mut others);
-        let bytes = Letter::new(&fronts.cluster, &fronts.name, me, number, saw).seal();
+        let bytes = Letter::new(&gateways.cluster, &gateways.name, me, number, saw).seal();
         for to in others.into_iter().take(self.site.fanout) {
-            if fronts.socket.inner().send_to(&bytes, to).is_ok() {
+            if gateways.socket.inner().send_to(&bytes, to).is_ok() {
                 self.sent.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 
-    fn count(&self, state: &State, fronts: &Fronts, now: At) {
+    fn count(&self, state: &State, gateways: &Gateways, now: Timestamp) {
         let there: HashSet<Process> = state.facade.processes().into_iter().collect();
-        let living: BTreeMap<String, String> = fronts.living().into_iter().collect();
+        let living: BTreeMap<String, String> = gateways.living().into_iter().collect();
         let is_there = |process: Process| there.contains(&process);
         let outcomes = lock(&self.inner).desk.look(state.facade.own_sights(), &living, is_there, now);
         for (process, bad) in outcomes {
@@ -94,17 +94,17 @@
         }
         // After the verdicts: what was just left out waits for its turn from the start.
         for process in state.facade.failing() {
-            let mine = lock(&self.inner).desk.may_try(&fronts.name, process, &living, now);
+            let mine = lock(&self.inner).desk.may_try(&gateways.name, process, &living, now);
             state.facade.turn(process, mine);
         }
     }
 
-    /// A datagram about what another front saw.
-    pub fn hear(&self, state: &State, fronts: &Fronts, bytes: &[u8], from: SocketAddrV4) {
+    /// A datagram about what another gateway saw.
+    pub fn hear(&self, state: &State, gateways: &Gateways, bytes: &[u8], from: SocketAddrV4) {
         self.heard.fetch_add(1, Ordering::Relaxed);
-        let letter = Letter::open(bytes, &fronts.cluster);
+        let letter = Letter::open(bytes, &gateways.cluster);
         let known = letter.and_then(|letter| {
-            let members = lock(&fronts.members);
+            let members = lock(&gateways.members);
             let member = members.table().get(&letter.name).filter(|m| m.about.address == from)?;
             // One that was held for dead for a while goes on under a later generation; an older one is another process.
             let now = !member.claim.is_final() && letter.generation >= member.claim.generation;
@@ -118,9 +118,15 @@
         lock(&self.inner).desk.hear(who, letter.number, &letter.saw, state.clock.now());
     }
 
-    /// What others told of a process and what this front saw: fronts, answered and failed there, the age of the newest word in
-    /// seconds, answered and failed here, and whether it would be this front's turn to try it.
-    pub fn row(&self, me: &str, living: &BTreeMap<String, String>, process: Process, now: At) -> [String; 7] {
+    /// What others told of a process and what this gateway saw: gateways, answered and failed there, the age of the newest word in
+    /// seconds, answered and failed here, and whether it would be this gateway's turn to try it.
+    pub fn row(
+        &self,
+        me: &str,
+        living: &BTreeMap<String, String>,
+        process: Process,
+        now: Timestamp,
+    ) -> [String; 7] {
         let inner = lock(&self.inner);
         let (told, own) = inner.desk.known(process);
         let age = told.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
@@ -129,7 +135,7 @@
         [
             n(own.answered),
             n(own.failed),
-            told.fronts.to_string(),
+            told.gateways.to_string(),
             n(told.answered),
             n(told.failed),
             age,
--- a/crates/gateway/src/board.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,9 +1,9 @@
-//! Follows the notice board: connected for as long as it speaks, connected again when it does not.
+//! Follows the discovery service: connected for as long as it speaks, connected again when it does not.
 
 use crate::state::State;
 use crate::state::clock::wait;
-use crate::wire::board::{self, Event, Frame};
-use larchfall_policy::time::Span;
+use crate::wire::discovery::{self, Event, Frame};
+use larchfall_policy::time::Duration;
 use may::net::TcpStream;
 use nanorand::{Rng, WyRand};
 use slog::{info, warn};
@@ -12,22 +12,22 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// What the board has to tell counts as told so long after, whether or not it came.
-pub const TOLD_WITHIN: Span = Span::from_millis(7000);
+/// What the discovery service has to tell counts as told so long after, whether or not it came.
+pub const TOLD_WITHIN: Duration = Duration::from_millis(7000);
 /// An empty frame comes each second: after this much silence nobody is there.
-const SILENCE: Span = Span::from_millis(2500);
-/// One last look once that is over: for a front that stood still it is, and all that was said meanwhile is unread.
-const LAST_LOOK: Span = Span::from_millis(20);
-const CONNECT_WITHIN: Span = Span::from_millis(500);
+const SILENCE: Duration = Duration::from_millis(2500);
+/// One last look once that is over: for a gateway that stood still it is, and all that was said meanwhile is unread.
+const LAST_LOOK: Duration = Duration::from_millis(20);
+const CONNECT_WITHIN: Duration = Duration::from_millis(500);
 /// Pauses before connecting again, drawn between half and the whole; what is told counts 7 s later.
-const FIRST_PAUSE: Span = Span::from_millis(100);
-const LONGEST_PAUSE: Span = Span::from_millis(1500);
+const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const LONGEST_PAUSE: Duration = Duration::from_millis(1500);
 
-/// Until another configuration names the board: then another follower has this number's place.
+/// Until another configuration names the discovery service: then another follower has this number's place.
 pub fn follow(state: &Arc<State>, address: SocketAddrV4, seed: u64, era: u64) {
     let mut chance = WyRand::new_seed(seed);
     let mut pause = FIRST_PAUSE;
-    while state.is_board(era) {
+    while state.is_current_discovery(era) {
         let mut frames = 0;
         let reason = listen(state, address, era, &mut frames);
         info!(state.log, "notice board connection ended"; "reason" => reason, "frames" => frames);
@@ -41,7 +41,7 @@
     for e in state.facade.follow(event) {
         state.pool.forget(e);
     }
-    state.counters.rest(|c| c.board_events += 1);
+    state.counters.rest(|c| c.discovery_events += 1);
 }
 
 /// Listens until the connection ends; the reason.
@@ -50,20 +50,20 @@
         return "no-connection";
     };
     let _ = stream.set_read_timeout(Some(wait(SILENCE)));
-    if stream.write_all(&board::since(state.facade.seen())).is_err() {
+    if stream.write_all(&discovery::since(state.facade.seen())).is_err() {
         return "not-written";
     }
     let (mut input, mut last_look, mut sent) = (Vec::new(), false, state.clock.now());
     loop {
         // What the one before still says once another has its place may bear numbers that this one has yet to tell.
-        if !state.is_board(era) {
+        if !state.is_current_discovery(era) {
             return "replaced";
         }
         loop {
-            match board::decode(&input) {
+            match discovery::decode(&input) {
                 Ok(Some((frame, used))) => {
                     *frames += 1;
-                    state.board_heard.store(state.clock.now().micros(), Ordering::Relaxed);
+                    state.discovery_heard.store(state.clock.now().micros(), Ordering::Relaxed);
                     state.facade.heard(sent);
                     if let Frame::News(event) = frame {
                         take(state, &event);
--- a/crates/gateway/src/engines/link.rs
+++ b/crates/gateway/src/engines/link.rs
@@ -3,14 +3,14 @@
 use crate::state::clock::Clock;
 use crate::state::engines::Home;
 use crate::wire::http::{self, Reply};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 /// A reply is a few kilobytes that are written at once: what stops short for this long does not go on.
-const REST_WITHIN: Span = Span::from_millis(100);
+const REST_WITHIN: Duration = Duration::from_millis(100);
 
 pub struct Link {
     stream: TcpStream,
@@ -40,7 +40,7 @@
 }
 
 impl Link {
-    pub fn open(home: Home, within: Duration) -> Result<Link, NoLink> {
+    pub fn open(home: Home, within: StdDuration) -> Result<Link, NoLink> {
         if within.is_zero() {
             return Err(NoLink::Silent);
         }
@@ -72,7 +72,7 @@
     }
 
     /// Sends a call and waits for its reply. What is owed to the call before comes first, and is passed over.
-    pub fn call(&mut self, call: &[u8], clock: &Clock, until: At) -> Result<Reply, Fault> {
+    pub fn call(&mut self, call: &[u8], clock: &Clock, until: Timestamp) -> Result<Reply, Fault> {
         if self.owes {
             self.reply(clock, until)?;
         }
@@ -92,7 +92,7 @@
     }
 
     /// Waits for the reply to the call that went out last.
-    fn reply(&mut self, clock: &Clock, until: At) -> Result<Reply, Fault> {
+    fn reply(&mut self, clock: &Clock, until: Timestamp) -> Result<Reply, Fault> {
         let mut until = until;
         loop {
             if let Some((reply, used)) = http::parse(&self.input).map_err(|_| Fault::Broken)? {
@@ -125,7 +125,7 @@
     }
 }
 
-fn time(clock: &Clock, until: At) -> Option<Duration> {
+fn time(clock: &Clock, until: Timestamp) -> Option<StdDuration> {
     Some(clock.left(until)).filter(|left| !left.is_zero())
 }
 
--- a/crates/gateway/src/engines/result.rs
+++ b/crates/gateway/src/engines/result.rs
@@ -4,23 +4,23 @@
 use crate::engines::link::Link;
 use crate::task::Ended;
 use crate::wire::http::{self, Reply};
-use larchfall_policy::interface::{Last, Note, Outcome, Report};
-use larchfall_policy::time::Span;
+use larchfall_policy::interface::{LastObservation, LoadReport, Outcome, ProgressUpdate};
+use larchfall_policy::time::Duration;
 use slog::warn;
 
 /// Nothing is held back of a page.
-const PAGE_WITHIN: Span = Span::from_millis(300);
+const PAGE_WITHIN: Duration = Duration::from_millis(300);
 /// While a reader has no room, the engine is asked this often.
-const ASK_WITHIN: Span = Span::from_millis(1000);
+const ASK_WITHIN: Duration = Duration::from_millis(1000);
 /// Calls for one page before it counts as lost.
 const PAGE_TRIES: usize = 4;
 const MOST_PAGES: u32 = 64;
 
 impl Attempt<'_> {
-    /// All pages of a result, in order; a page that is lost makes the dispatch errored, never a short answer.
+    /// All pages of a result, in order; a page that is lost makes the attempt errored, never a short answer.
     pub(super) fn collect(&self, mut link: Option<Link>, first: Reply) -> Ended {
-        // Whoever has the result has the batch.
-        self.same.set(true);
+        // Whoever has the result has the request.
+        self.same_process.set(true);
         let report = first.report;
         let pages = first.pages.unwrap_or(1);
         if pages > MOST_PAGES {
@@ -45,17 +45,17 @@
         }
         self.done(link);
         // The whole result is the engine's word, on whichever connection its last page came.
-        self.same.set(true);
-        Ended { report, ..self.end(Last::Ended, Outcome::Returned) }
+        self.same_process.set(true);
+        Ended { report, ..self.end(LastObservation::Ended, Outcome::Returned) }
     }
 
     /// Fetches no more than the reader has room for. The engine is asked meanwhile, or it would forget the result.
-    fn wait_for_reader(&self, link: &mut Option<Link>, report: Report) -> Option<Ended> {
+    fn wait_for_reader(&self, link: &mut Option<Link>, report: LoadReport) -> Option<Ended> {
         while !self.task.reader.has_room() {
             self.state.sleep(PAUSE);
             let outcome = match self.look() {
                 Look::GoOn => None,
-                Look::CallOff => Some(Outcome::CalledOff),
+                Look::CancelAttempt => Some(Outcome::Cancelled),
                 Look::TimedOut => Some(Outcome::TimedOut),
             };
             if let Some(outcome) = outcome {
@@ -78,14 +78,14 @@
     }
 
     /// The engine keeps what was not fetched, and counts the query as out until it is told. What its reader has
-    /// handed on already ends the batch.
-    fn lose(&self, link: Option<Link>, outcome: Outcome, report: Report) -> Ended {
+    /// handed on already ends the request.
+    fn lose(&self, link: Option<Link>, outcome: Outcome, report: LoadReport) -> Ended {
         let torn = !self.task.reader.begin_anew();
-        if self.task.in_order || self.state.one_at_a_time {
+        if self.task.in_order || self.state.single_attempt {
             return Ended { report, torn, ..self.give_up(link, GIVE_UP_WITHIN, outcome) };
         }
         self.give_up_beside(link);
-        Ended { report, torn, ..self.end(Last::Silent, outcome) }
+        Ended { report, torn, ..self.end(LastObservation::Silent, outcome) }
     }
 
     fn page(&self, link: &mut Option<Link>, number: u32) -> Option<Vec<u8>> {
@@ -105,7 +105,7 @@
                 // Another answer than the one asked for: a second copy of one that came before.
                 _ => {
                     drop(link.take());
-                    self.state.facade.note(self.b, self.number, Note::CutOff);
+                    self.state.facade.note(self.b, self.number, ProgressUpdate::CutOff);
                 }
             }
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,13 @@
-//! The real front: larchfall's decisions on real sockets. `protocols` is what clients speak, `engines` what engines
-//! speak, between them a batch on its way; `wire` turns bytes into small typed values, `state` is what memory keeps,
+//! The real gateway: larchfall's decisions on real sockets. `protocols` is what clients speak, `engines` what engines
+//! speak, between them a request on its way; `wire` turns bytes into small typed values, `state` is what memory keeps,
 //! `run` starts and stops; beside them the coroutines.
 
-pub mod batch;
-pub mod board;
+pub mod cluster;
+pub mod discovery;
 pub mod engines;
-pub mod fronts;
 pub mod intake;
 pub mod protocols;
+pub mod request;
 pub mod run;
 pub mod state;
 pub mod subset;
--- a/crates/gateway/src/protocols/rest.rs
+++ b/crates/gateway/src/protocols/rest.rs
@@ -1,5 +1,5 @@
 //! A client connection of the paged REST protocol: one coroutine that reads calls and answers them one after the
-//! other. Which page is whose, and until when, is decided by `larchfall_paged_rest`; where a batch goes, by the module.
+//! other. Which page is whose, and until when, is decided by `larchfall_paged_rest`; where a request goes, by the module.
 
 use super::Reason;
 use crate::intake::{self, Refused};
@@ -8,7 +8,7 @@
 use crate::state::lock;
 use crate::state::pages::{Found, Pages};
 use crate::task::{Final, Reader};
-use crate::wire::request::{self, Request};
+use crate::wire::client_request::{self, ClientRequest};
 use larchfall_operator_config::Rest;
 use larchfall_paged_rest::call::{self, Call, Read as Got, Verb};
 use larchfall_paged_rest::cursor::{End, Page, Settled};
@@ -16,7 +16,7 @@
 use larchfall_paged_rest::results::Name;
 use larchfall_paged_rest::slug::{self, Key, Place};
 use larchfall_paged_rest::words::{self, Worded};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use may::net::{TcpListener, TcpStream};
 use nanorand::{Rng, WyRand};
 use slog::{info, warn};
@@ -26,17 +26,17 @@
 use std::sync::{Arc, Mutex};
 
 /// What has begun to come is whole by then, and a connection says something within it.
-const WHOLE_WITHIN: Span = Span::from_millis(2_000);
+const WHOLE_WITHIN: Duration = Duration::from_millis(2_000);
 /// Clients pause between pages; what is quiet for longer costs others their place.
-const QUIET: Span = Span::from_millis(10_000);
+const QUIET: Duration = Duration::from_millis(10_000);
 /// An answer is read by then, or its client reads none.
-const READ_WITHIN: Span = Span::from_millis(10_000);
+const READ_WITHIN: Duration = Duration::from_millis(10_000);
 const CHUNK: usize = 4 * 1024;
-/// A connection on which nothing comes looks this often whether this front has ended.
-const LOOK: Span = Span::from_millis(100);
-const PAUSE: Span = Span::from_millis(5);
-/// What is not taken in because this front ends is best tried again so much later, at another front.
-const ENDS: Span = Span::from_millis(1_000);
+/// A connection on which nothing comes looks this often whether this gateway has ended.
+const LOOK: Duration = Duration::from_millis(100);
+const PAUSE: Duration = Duration::from_millis(5);
+/// What is not taken in because this gateway ends is best tried again so much later, at another gateway.
+const ENDS: Duration = Duration::from_millis(1_000);
 const STATEMENT: &str = "/v1/statement";
 const JSON: &str = "application/json";
 
@@ -52,7 +52,7 @@
 }
 
 impl RestService {
-    /// The key is drawn from the machine's chance: whoever knows this front's seed must not know its addresses.
+    /// The key is drawn from the machine's chance: whoever knows this gateway's seed must not know its addresses.
     pub fn new(site: Rest, seed: u64) -> Result<RestService, getrandom::Error> {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret)?;
@@ -66,7 +66,7 @@
         lock(&self.site).clone()
     }
 
-    /// Other words for batches from the next call on. Listener, bounds and shares change with the next start.
+    /// Other words for requests from the next call on. Listener, bounds and shares change with the next start.
     pub fn reload(&self, site: Rest) {
         *lock(&self.site) = Arc::new(site);
     }
@@ -210,7 +210,7 @@
     }
 
     /// Trying again is harmless: nothing was taken in, or nothing has run.
-    fn pushed_back(after: Option<Span>) -> Answer {
+    fn pushed_back(after: Option<Duration>) -> Answer {
         let ms = after.map(|a| a.micros() / 1000);
         let seconds = ms.unwrap_or(1000).div_ceil(1000).max(1);
         let fields = vec![("Retry-After", seconds.to_string())];
@@ -245,7 +245,7 @@
         (Verb::Delete, path) => match service.key.read(path) {
             Some(place) => {
                 if let Some(left) = service.pages.leave(place.name) {
-                    give_up(state, left.batch);
+                    give_up(state, left.request);
                 }
                 Answer::bare(204)
             }
@@ -255,10 +255,10 @@
     }
 }
 
-/// Nobody reads what this batch makes.
-pub fn give_up(state: &State, batch: Option<usize>) {
+/// Nobody reads what this request makes.
+pub fn give_up(state: &State, request: Option<usize>) {
     state.counters.rest(|c| c.results_left += 1);
-    if let Some(b) = batch {
+    if let Some(b) = request {
         state.facade.leave(b);
     }
 }
@@ -279,7 +279,7 @@
         return unusable("no statement".into());
     }
     let site = service.site();
-    let worded = match words::read(call, site.headers, &site.batch) {
+    let worded = match words::read(call, site.headers, &site.request) {
         Ok(worded) => worded,
         Err(why) => return unusable(why),
     };
@@ -287,15 +287,15 @@
         let number: u64 = lock(&service.ids).generate();
         (number, format!("{number:016x}"))
     };
-    let request = match request_of(&worded, number, &id, &call.body) {
-        Ok(request) => request,
+    let client_request = match request_of(&worded, number, &id, &call.body) {
+        Ok(client_request) => client_request,
         Err(why) => return unusable(why.to_owned()),
     };
     let Some(name) = service.pages.begin(now) else {
         state.counters.rest(|c| c.over_limits += 1);
-        return Answer::pushed_back(state.come_back);
+        return Answer::pushed_back(state.max_retry_after);
     };
-    let taken = intake::take(state, &request, now, |b| {
+    let taken = intake::take(state, &client_request, now, |b| {
         service.pages.is_made_by(name, b);
         let (state, service, pending) = (state.clone(), service.clone(), Mutex::new(None));
         Arc::new(Paged { state, service, name, began: now, pending })
@@ -306,7 +306,7 @@
             service.pages.leave(name);
             return match refused {
                 Refused::Unusable(why) => Answer::fault(400, Fault::unusable(part_of(why))),
-                Refused::NoRoom => Answer::pushed_back(state.come_back),
+                Refused::NoRoom => Answer::pushed_back(state.max_retry_after),
             };
         }
     }
@@ -316,7 +316,7 @@
         Found::Page(Page { end: Some(End::PushedBack), body, .. }, settled) => {
             settle(state, settled);
             service.pages.leave(name);
-            let after = body.fault.and_then(|f| f.retry_after_millis).map(Span::from_millis);
+            let after = body.fault.and_then(|f| f.retry_after_millis).map(Duration::from_millis);
             Answer::pushed_back(after)
         }
         found => answer(state, service, call, place, found),
@@ -337,21 +337,21 @@
     number: u64,
     id: &'a str,
     statement: &'a [u8],
-) -> Result<Request<'a>, &'static str> {
+) -> Result<ClientRequest<'a>, &'static str> {
     let reference = worded.reference.as_deref();
-    if reference.is_some_and(|r| !request::is_reference(r)) {
+    if reference.is_some_and(|r| !client_request::is_reference(r)) {
         return Err("reference is unusable");
     }
-    let part = worded.key.as_deref().map(|t| request::key(t).ok_or("key is unusable"));
+    let part = worded.key.as_deref().map(|t| client_request::key(t).ok_or("key is unusable"));
     let key = part.transpose()?;
-    let wait = worded.time_limit.as_deref().map(|t| request::wait(t).ok_or("time-limit is unusable"));
-    let work = worded.work.as_deref().map(|t| request::work(t).ok_or("work is unusable"));
-    let memory = worded.memory.as_deref().map(|t| request::memory(t).ok_or("memory is unusable"));
-    Ok(Request {
-        group: worded.group.as_deref().ok_or("group is missing")?,
+    let wait = worded.time_limit.as_deref().map(|t| client_request::wait(t).ok_or("time-limit is unusable"));
+    let work = worded.work.as_deref().map(|t| client_request::work(t).ok_or("work is unusable"));
+    let memory = worded.memory.as_deref().map(|t| client_request::memory(t).ok_or("memory is unusable"));
+    Ok(ClientRequest {
+        class: worded.class.as_deref().ok_or("group is missing")?,
         id,
         number,
-        customer: worded.customer.as_deref().unwrap_or(""),
+        tenant: worded.tenant.as_deref().unwrap_or(""),
         wait: wait.transpose()?,
         reference,
         key,
@@ -366,7 +366,7 @@
     answer(state, service, call, place, found)
 }
 
-fn found(state: &State, service: &RestService, place: Place, began: At) -> Found {
+fn found(state: &State, service: &RestService, place: Place, began: Timestamp) -> Found {
     let empty = || Body { elapsed_ms: state.clock.now().since(began).micros() / 1000, ..Body::default() };
     service.pages.ask(place, (&state.clock, &state.alarms), service.site().poll, empty)
 }
@@ -404,7 +404,7 @@
     state: Arc<State>,
     service: Arc<RestService>,
     name: Name,
-    began: At,
+    began: Timestamp,
     pending: Mutex<Option<Vec<u8>>>,
 }
 
--- a/crates/gateway/src/protocols/rpc.rs
+++ b/crates/gateway/src/protocols/rpc.rs
@@ -5,9 +5,9 @@
 use crate::state::peer::{Opening, Peer};
 use crate::state::{State, lock};
 use crate::task::{Final, Reader};
-use crate::wire::request::Request;
+use crate::wire::client_request::ClientRequest;
 use crate::wire::rpc::{self, Message, Scan};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use may::io::WaitIo;
 use may::net::TcpStream;
 use slog::info;
@@ -16,34 +16,34 @@
 use std::sync::{Arc, Mutex};
 
 /// Clients close what is idle after 4 s; what some keep beyond that for good costs others their place.
-pub const QUIET: Span = Span::from_millis(5_000);
+pub const QUIET: Duration = Duration::from_millis(5_000);
 /// A message that has begun, or the first one of a connection, is whole by then: against those that connect and
 /// say nothing, or stop half way, and hold a descriptor.
-pub const WHOLE_WITHIN: Span = Span::from_millis(2_000);
+pub const WHOLE_WITHIN: Duration = Duration::from_millis(2_000);
 /// So many reads or writes one after the other, and then a pause.
 const BURST: usize = 8;
-const PAUSE: Span = Span::from_millis(5);
+const PAUSE: Duration = Duration::from_millis(5);
 /// On the stack, so that an idle connection keeps no buffer.
 const CHUNK: usize = 4 * 1024;
 /// Read before it is taken in, a chunk at a time: whoever sent much and left is seen to have left first.
 const READ_AHEAD: usize = 16 * 1024;
-/// What still comes in this long on a connection that this front ends is passed over. With bytes unread its end would
+/// What still comes in this long on a connection that this gateway ends is passed over. With bytes unread its end would
 /// be a reset, which takes answers along that are still on their way.
-const LINGER: Span = Span::from_millis(50);
+const LINGER: Duration = Duration::from_millis(50);
 
-/// A connection that counts among those of this front.
+/// A connection that counts among those of this gateway.
 pub struct Joined {
     stream: TcpStream,
     from: SocketAddr,
     place: usize,
     peer: Arc<Peer>,
     /// Where it may have waited in the listener's queue, since when.
-    queued_since: Option<At>,
+    queued_since: Option<Timestamp>,
 }
 
 /// Counts a connection as soon as it is accepted: its coroutine may run much later, and meanwhile others would
 /// take descriptors that are not there.
-pub fn join(state: &State, stream: TcpStream, from: SocketAddr, queued_since: Option<At>) -> Joined {
+pub fn join(state: &State, stream: TcpStream, from: SocketAddr, queued_since: Option<Timestamp>) -> Joined {
     let _ = stream.set_nodelay(true);
     let (place, peer) = state.peers.join(stream.waker(), state.clock.now());
     Joined { stream, from, place, peer, queued_since }
@@ -90,9 +90,9 @@
     bytes: Vec<u8>,
     scan: Scan,
     /// When the first byte of the next message may have been sent.
-    began: At,
+    began: Timestamp,
     /// The same of what was read last.
-    read: At,
+    read: Timestamp,
     /// Whether more messages may be whole: so many bytes at a time are taken in, and then others have their turn.
     more: bool,
 }
@@ -119,7 +119,7 @@
     }
 
     /// What was read may have been sent then.
-    fn came(&mut self, sent: At, anew: bool) {
+    fn came(&mut self, sent: Timestamp, anew: bool) {
         self.read = sent;
         if anew {
             self.began = sent;
@@ -128,7 +128,7 @@
 
     /// The next whole message, its bytes from the place given, and when it may have been sent: its client's time runs
     /// from the first byte on.
-    fn next(&mut self, at: usize) -> Result<Option<(Message<'_>, usize, At)>, Reason> {
+    fn next(&mut self, at: usize) -> Result<Option<(Message<'_>, usize, Timestamp)>, Reason> {
         self.more = at >= CHUNK;
         if self.more {
             return Ok(None);
@@ -149,13 +149,13 @@
     state: &Arc<State>,
     stream: &TcpStream,
     peer: &Arc<Peer>,
-    mut queued_since: Option<At>,
+    mut queued_since: Option<Timestamp>,
 ) -> Reason {
     let (mut inbox, mut rounds) = (Inbox::default(), 0);
     // A client that broke the protocol is heard no more, and has its answers to what it asked for before.
     let mut broken = None;
     // A new connection may have waited in the listener's queue for as long as a stall lasted.
-    let mut slept_since = At::default();
+    let mut slept_since = Timestamp::default();
     loop {
         let wrote = match peer.write(|bytes| without_wait(stream.inner().write(bytes))) {
             Ok(n) => n,
@@ -201,9 +201,9 @@
     }
 }
 
-/// Why this front ends a connection on which nothing happens, if it does: never while it owes an answer there that its
+/// Why this gateway ends a connection on which nothing happens, if it does: never while it owes an answer there that its
 /// client may still read.
-fn over(state: &State, peer: &Peer, broken: Option<Reason>, now: At) -> Option<Reason> {
+fn over(state: &State, peer: &Peer, broken: Option<Reason>, now: Timestamp) -> Option<Reason> {
     let quiet = now.since(peer.quiet_since());
     if peer.is_unread() && quiet >= state.answers_kept {
         return Some(Reason::NotRead);
@@ -235,7 +235,7 @@
     }
 }
 
-/// Whether a batch may be opened under this id; one that was used before ends the connection.
+/// Whether a request may be opened under this id; one that was used before ends the connection.
 fn open(peer: &Peer, id: u32) -> Result<bool, Reason> {
     match peer.opening(id) {
         Opening::Open => Ok(true),
@@ -262,9 +262,9 @@
                 state.counters.rest(|c| c.unusable += 1);
                 peer.say(id, &rpc::Answer::Errored(why));
             }
-            Message::Batch(id, request) => {
+            Message::Request(id, client_request) => {
                 if open(peer, id)? {
-                    take(state, peer, id, &request, sent);
+                    take(state, peer, id, &client_request, sent);
                 } else {
                     over_limits(state, peer, id);
                 }
@@ -279,7 +279,7 @@
     Ok(())
 }
 
-/// A batch of this connection: its rows wait here until all have come, since an answer holds them whole.
+/// A request of this connection: its rows wait here until all have come, since an answer holds them whole.
 struct Whole {
     peer: Arc<Peer>,
     message: u32,
@@ -316,8 +316,8 @@
     }
 }
 
-fn take(state: &Arc<State>, peer: &Arc<Peer>, message: u32, request: &Request, sent: At) {
-    let taken = intake::take(state, request, sent, |b| {
+fn take(state: &Arc<State>, peer: &Arc<Peer>, message: u32, client_request: &ClientRequest, sent: Timestamp) {
+    let taken = intake::take(state, client_request, sent, |b| {
         peer.open(message, b);
         Arc::new(Whole { peer: peer.clone(), message, rows: Mutex::default() })
     });
@@ -331,5 +331,5 @@
 /// Never taken in, and told when to come back: those who send hundreds at once may do so again at once.
 fn over_limits(state: &State, peer: &Peer, message: u32) {
     state.counters.rest(|c| c.over_limits += 1);
-    peer.say(message, &rpc::Answer::PushedBack(state.come_back));
+    peer.say(message, &rpc::Answer::PushedBack(state.max_retry_after));
 }
--- a/crates/gateway/src/run/command.rs
+++ b/crates/gateway/src/run/command.rs
@@ -2,8 +2,8 @@
 
 use super::parts::Parts;
 use super::{config as files, serve, stop, survey};
-use crate::fronts::{ask, mind};
-use larchfall_policy::time::Span;
+use crate::cluster::{ask, mind};
+use larchfall_policy::time::Duration;
 use lexopt::prelude::*;
 use std::process::ExitCode;
 
@@ -40,17 +40,17 @@
 const VERSION_HELP: &str = "usage: larchfall version\n\nPrints the version.\n";
 
 /// A plan of more is no use to anybody.
-const MOST_FRONTS: usize = 10_000;
+const MOST_GATEWAYS: usize = 10_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Task {
     Serve,
     Check,
-    /// Ask a running front.
+    /// Ask a running gateway.
     Ask(ask::What),
     /// Work out what subsets come to.
     Subsets,
-    /// Run a program while a lease lasts; for fronts themselves.
+    /// Run a program while a lease lasts; for gateways themselves.
     Mind,
     Version,
     Help(&'static str),
@@ -64,17 +64,17 @@
     pub site: Option<String>,
     /// Of a minder: the program, and what it has between being told to end and being killed.
     pub command: Vec<String>,
-    pub end: Span,
-    /// Of subsets: over so many fronts, and where the chart goes.
-    pub fronts: usize,
+    pub end: Duration,
+    /// Of subsets: over so many gateways, and where the chart goes.
+    pub gateways: usize,
     pub chart: Option<String>,
 }
 
 pub fn parse(args: impl IntoIterator<Item = String>) -> Result<Asked, String> {
     let mut parser = lexopt::Parser::from_args(args);
     let (mut task, mut config, mut site, mut help) = (None, None, None, false);
-    let (mut command, mut end) = (Vec::new(), Span::ZERO);
-    let (mut fronts, mut chart) = (0, None);
+    let (mut command, mut end) = (Vec::new(), Duration::ZERO);
+    let (mut gateways, mut chart) = (0, None);
     let plain = |e: lexopt::Error| e.to_string();
     while let Some(arg) = parser.next().map_err(plain)? {
         match arg {
@@ -86,13 +86,13 @@
                 site = Some(parser.value().map_err(plain)?.string().map_err(plain)?);
             }
             Long("fronts") if task == Some(Task::Subsets) => {
-                fronts = parser.value().map_err(plain)?.parse().map_err(plain)?;
+                gateways = parser.value().map_err(plain)?.parse().map_err(plain)?;
             }
             Long("chart") if task == Some(Task::Subsets) => {
                 chart = Some(parser.value().map_err(plain)?.string().map_err(plain)?);
             }
             Long("end-ms") if task == Some(Task::Mind) => {
-                end = Span::from_millis(parser.value().map_err(plain)?.parse().map_err(plain)?);
+                end = Duration::from_millis(parser.value().map_err(plain)?.parse().map_err(plain)?);
             }
             Value(word) if task == Some(Task::Mind) => {
                 let all = std::iter::once(word).chain(parser.raw_args().map_err(plain)?);
@@ -102,7 +102,7 @@
                 task = Some(match word.to_string_lossy().as_ref() {
                     "serve" => Task::Serve,
                     "check" => Task::Check,
-                    "fronts" => Task::Ask(ask::What::Fronts),
+                    "fronts" => Task::Ask(ask::What::Gateways),
                     "duties" => Task::Ask(ask::What::Duties),
                     "shares" => Task::Ask(ask::What::Shares),
                     "engines" => Task::Ask(ask::What::Engines),
@@ -125,9 +125,9 @@
             Some(Task::Version) => VERSION_HELP,
             _ => HELP,
         });
-        return Ok(Asked { task, config: None, site: None, command, end, fronts, chart });
+        return Ok(Asked { task, config: None, site: None, command, end, gateways, chart });
     }
-    Ok(Asked { task: task.unwrap_or(Task::Serve), config, site, command, end, fronts, chart })
+    Ok(Asked { task: task.unwrap_or(Task::Serve), config, site, command, end, gateways, chart })
 }
 
 fn takes_files(task: Option<Task>) -> bool {
@@ -139,7 +139,7 @@
 }
 
 pub fn main_on(parts: Parts) -> ExitCode {
-    let Asked { task, config, site, command, end, fronts, chart } = match parse(std::env::args().skip(1)) {
+    let Asked { task, config, site, command, end, gateways, chart } = match parse(std::env::args().skip(1)) {
         Ok(asked) => asked,
         Err(why) => {
             eprintln!("larchfall: {why}; see larchfall help");
@@ -179,10 +179,10 @@
                 }
             };
             if let Task::Ask(what) = task {
-                return asked(what, site.and_then(|(_, site)| site.fronts));
+                return asked(what, site.and_then(|(_, site)| site.gateways));
             }
             if task == Task::Subsets {
-                return surveyed(&config, site.and_then(|(_, site)| site.subsets), fronts, chart);
+                return surveyed(&config, site.and_then(|(_, site)| site.subsets), gateways, chart);
             }
             let Some(caught) = caught else {
                 println!("{file}: sound");
@@ -204,16 +204,16 @@
 fn surveyed(
     config: &files::Config,
     site: Option<larchfall_operator_config::Subsets>,
-    fronts: usize,
+    gateways: usize,
     chart: Option<String>,
 ) -> ExitCode {
-    let Some(site) = site.filter(|_| (1..=MOST_FRONTS).contains(&fronts)) else {
+    let Some(site) = site.filter(|_| (1..=MOST_GATEWAYS).contains(&gateways)) else {
         eprintln!(
-            "larchfall: wanted --site FILE with a [subsets] table, and --fronts from 1 to {MOST_FRONTS}"
+            "larchfall: wanted --site FILE with a [subsets] table, and --fronts from 1 to {MOST_GATEWAYS}"
         );
         return ExitCode::from(2);
     };
-    let (engines, all) = survey::of(config, &site, fronts);
+    let (engines, all) = survey::of(config, &site, gateways);
     println!("{}", survey::text(&engines, &all));
     if let Some(Err(why)) = chart.map(|file| survey::chart(&file, &all)) {
         eprintln!("larchfall: {why}");
@@ -222,13 +222,13 @@
     ExitCode::SUCCESS
 }
 
-fn asked(what: ask::What, fronts: Option<larchfall_operator_config::Fronts>) -> ExitCode {
-    let Some(fronts) = fronts else {
+fn asked(what: ask::What, gateways: Option<larchfall_operator_config::Gateways>) -> ExitCode {
+    let Some(gateways) = gateways else {
         eprintln!("larchfall: the site file has no [fronts] table; give --site FILE");
         return ExitCode::from(2);
     };
     let head: &[&str] = match what {
-        ask::What::Fronts => {
+        ask::What::Gateways => {
             &["front", "standing", "generation", "address", "zone", "since s", "heard s ago"]
         }
         ask::What::Duties => &["duty", "holder", "token", "left ms", "last ended here"],
@@ -248,7 +248,7 @@
         ],
         ask::What::Shares => &["what", "part", "by", "kept here: fronts", "in use", "jain", "factor"],
     };
-    match ask::ask(fronts.address, &fronts.settings.cluster, what) {
+    match ask::ask(gateways.address, &gateways.settings.cluster, what) {
         Ok(rows) => println!("{}", ask::table(head, rows)),
         Err(e) => {
             eprintln!("larchfall: {e}");
--- a/crates/gateway/src/run/config.rs
+++ b/crates/gateway/src/run/config.rs
@@ -1,7 +1,7 @@
-//! The configuration of one front, read whole and checked before anything starts.
+//! The configuration of one gateway, read whole and checked before anything starts.
 
 use crate::state::limits::Limits;
-use crate::wire::board::{self, Event, Known};
+use crate::wire::discovery::{self, Event, Known};
 use larchfall_config::{self as settings, Settings};
 use serde::Deserialize;
 use serde_json::Value;
@@ -13,7 +13,8 @@
     listen: String,
     seed: String,
     limits: RawLimits,
-    board: String,
+    #[serde(rename = "board")]
+    discovery: String,
     known: Known,
     settings: Value,
 }
@@ -29,7 +30,7 @@
     pub listen: SocketAddrV4,
     pub seed: u64,
     pub limits: Limits,
-    pub board: SocketAddrV4,
+    pub discovery: SocketAddrV4,
     pub known: Vec<Event>,
     pub settings: Settings,
 }
@@ -46,7 +47,7 @@
         text.parse::<SocketAddrV4>().map_err(|_| format!("{field}: '{text}' is no address with a port"))
     };
     let settings = settings::read(raw.settings.to_string().as_bytes())?;
-    if settings.names.groups.is_empty() {
+    if settings.names.classes.is_empty() {
         return Err("settings.classes: no service group is named".into());
     }
     let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| format!("seed: '{}' is not hex", raw.seed))?;
@@ -54,8 +55,8 @@
     let limits = limits.ok_or("limits: too little memory or too few sockets to serve anybody")?;
     Ok(Config {
         listen: address("listen", &raw.listen)?,
-        board: address("board", &raw.board)?,
-        known: board::known(&raw.known, &settings.names)?,
+        discovery: address("board", &raw.discovery)?,
+        known: discovery::known(&raw.known, &settings.names)?,
         name: raw.name,
         seed,
         limits,
--- a/crates/gateway/src/run/log.rs
+++ b/crates/gateway/src/run/log.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output, written by a thread of their own: a slow reader stalls no batch, and what it
+//! Log lines on standard output, written by a thread of their own: a slow reader stalls no request, and what it
 //! can't take in time is counted and dropped.
 
 use slog::{Drain, Logger, o};
--- a/crates/gateway/src/run/parts.rs
+++ b/crates/gateway/src/run/parts.rs
@@ -1,8 +1,8 @@
-//! What of the machine fronts among themselves stand on: a steady clock that also runs in sleep, the Unix clock, and a
+//! What of the machine gateways among themselves stand on: a steady clock that also runs in sleep, the Unix clock, and a
 //! folder. A test's program puts others in their place; the shipped one has no way to.
 
 use larchfall_leases::record::{Disk, keep};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use rustix::time::{ClockId, clock_gettime};
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
@@ -12,9 +12,9 @@
 
 #[derive(Clone)]
 pub struct Parts {
-    pub clock: Arc<dyn Fn() -> At + Send + Sync>,
+    pub clock: Arc<dyn Fn() -> Timestamp + Send + Sync>,
     /// Since 1970, as the machine has it now: it may jump.
-    pub wall: Arc<dyn Fn() -> Span + Send + Sync>,
+    pub wall: Arc<dyn Fn() -> Duration + Send + Sync>,
     pub disk: fn(&Path) -> Box<dyn Disk>,
 }
 
@@ -26,14 +26,14 @@
 }
 
 /// Since the machine's start, its sleep included.
-pub fn boot_time() -> At {
+pub fn boot_time() -> Timestamp {
     let now = clock_gettime(ClockId::Boottime);
-    At::from_micros(now.tv_sec.max(0) as u64 * 1_000_000 + now.tv_nsec.max(0) as u64 / 1000)
+    Timestamp::from_micros(now.tv_sec.max(0) as u64 * 1_000_000 + now.tv_nsec.max(0) as u64 / 1000)
 }
 
-pub fn unix_time() -> Span {
+pub fn unix_time() -> Duration {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    Span::from_micros(since.as_micros() as u64)
+    Duration::from_micros(since.as_micros() as u64)
 }
 
 /// A folder of the file system.
@@ -61,7 +61,7 @@
     }
 }
 
-/// Keeps records as they come, on a thread of its own: a disk may be slow or hang, and no batch waits for it.
+/// Keeps records as they come, on a thread of its own: a disk may be slow or hang, and no request waits for it.
 pub fn keeper(
     mut disk: Box<dyn Disk>,
     records: std::sync::mpsc::Receiver<larchfall_leases::record::Record>,
--- a/crates/gateway/src/run/reload.rs
+++ b/crates/gateway/src/run/reload.rs
@@ -1,13 +1,13 @@
-//! SIGHUP: the configuration file is read again while the front serves on. What it says of the notice board is
-//! taken; the rest is how this front was started, and changes with the next start.
+//! SIGHUP: the configuration file is read again while the gateway serves on. What it says of the discovery service is
+//! taken; the rest is how this gateway was started, and changes with the next start.
 
 use super::config::{self, Config};
-use crate::board;
-use crate::fronts::Fronts;
+use crate::cluster::Gateways;
+use crate::discovery;
 use crate::protocols::rest::RestService;
 use crate::state::State;
 use larchfall_operator_config::Site;
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 use may::io::CoIo;
 use may::sync::mpsc;
 use slog::{info, warn};
@@ -17,7 +17,7 @@
 
 /// Whoever replaces the file may still be writing it: it is read this often before the old one is kept.
 const TRIES: usize = 5;
-const PAUSE: Span = Span::from_millis(100);
+const PAUSE: Duration = Duration::from_millis(100);
 
 /// What is read again.
 #[derive(Clone)]
@@ -38,28 +38,28 @@
     state: &Arc<State>,
     mut asked: CoIo<UnixStream>,
     files: &Files,
-    (service, fronts): (Option<&Arc<RestService>>, Option<&Fronts>),
+    (service, gateways): (Option<&Arc<RestService>>, Option<&Gateways>),
     seed: u64,
 ) {
     let mut byte = [0];
     while matches!(asked.read(&mut byte), Ok(1)) {
         // Both files or neither: each is checked against the other.
         if let Some(Read { config, site }) = read(state, files) {
-            let Site { rest, fronts: site, duties, .. } = *site;
+            let Site { rest, gateways: site, duties, .. } = *site;
             if let Some((service, rest)) = service.zip(rest) {
                 service.reload(rest);
             }
-            if let Some((fronts, site)) = fronts.zip(site) {
-                fronts.set(state, site.settings, duties);
+            if let Some((gateways, site)) = gateways.zip(site) {
+                gateways.set(state, site.settings, duties);
             }
             for event in &config.known {
-                board::take(state, event);
+                discovery::take(state, event);
             }
-            info!(state.log, "configuration read again"; "board" => config.board.to_string());
-            // A follower of its own, at once: the old board may stay silent and hold its connection open.
-            let era = state.next_board();
+            info!(state.log, "configuration read again"; "board" => config.discovery.to_string());
+            // A follower of its own, at once: the old discovery service may stay silent and hold its connection open.
+            let era = state.next_discovery();
             let state = state.clone();
-            may::go!(move || board::follow(&state, config.board, seed, era));
+            may::go!(move || discovery::follow(&state, config.discovery, seed, era));
         }
     }
 }
--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -3,10 +3,10 @@
 use super::config::Config;
 use super::parts::Parts;
 use super::{log, reload, stop};
+use crate::cluster::duties::{Duty, Keeper, Shared};
+use crate::cluster::signals::Signals;
+use crate::cluster::{self, Gateways};
 use crate::engines::attempt::RUNS_ON;
-use crate::fronts::duties::{Duty, Keeper, Shared};
-use crate::fronts::signals::Signals;
-use crate::fronts::{self, Fronts};
 use crate::protocols::rest::{self, RestService};
 use crate::protocols::rpc;
 use crate::state::State;
@@ -18,16 +18,16 @@
 use crate::state::pool::Pool;
 use crate::state::stalls::Stalls;
 use crate::subset::{self, Subset};
-use crate::{board, timer};
+use crate::{discovery, timer};
 use larchfall_leases::probing::Probing;
 use larchfall_leases::wire::Who;
 use larchfall_membership::claim::About;
 use larchfall_membership::count::Count;
 use larchfall_membership::members::Members;
 use larchfall_operator_config::{Kinds, Site};
-use larchfall_policy::interface::{Caps, Effect, Given};
+use larchfall_policy::interface::{Caps, Idempotency, PolicyConfig};
 use larchfall_policy::policy::Policy;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::capacity::Capacity;
 use may::net::TcpListener;
 use slog::{info, warn};
@@ -38,28 +38,28 @@
 /// Bytes of each coroutine's stack. Only pages that were touched count as memory; see docs/front.md.
 const STACK: usize = 64 * 1024;
 /// Coroutines that are kept for reuse, and made at the start. Each has touched two pages of its stack: a thousand, as
-/// the crate has it unless told, are 8 MB and two thousand page faults of a front that uses some dozens.
+/// the crate has it unless told, are 8 MB and two thousand page faults of a gateway that uses some dozens.
 const SPARE_COROUTINES: usize = 64;
-const PAUSE: Span = Span::from_millis(2);
+const PAUSE: Duration = Duration::from_millis(2);
 /// One in so many places for clients is kept free.
 const SPARE: usize = 8;
 /// A connection that is newer than this may be about to speak. Clients write as soon as they are connected: with
 /// more, hundreds that say nothing keep those that would speak waiting in the queue.
-const FRESH: Span = Span::from_millis(50);
+const FRESH: Duration = Duration::from_millis(50);
 /// What waited in the listener's queue while nobody was taken in is out of it by so long after.
-const QUEUE_EMPTIES: Span = Span::from_millis(100);
+const QUEUE_EMPTIES: Duration = Duration::from_millis(100);
 
 /// What was picked longer ago is not sent to an engine that drains by now: its grace runs. Nor is what would begin in
 /// the later part of that grace.
-const PICK_HOLDS: Span = Span::from_millis(600);
+const PICK_HOLDS: Duration = Duration::from_millis(600);
 const PICK_GRACE: f64 = 0.5;
 /// Answers that wait unread for so long, and for longer than any of them is still owed, have no reader; who only stands
 /// still for a while is owed them.
-const ANSWERS_KEPT: Span = Span::from_millis(10_000);
+const ANSWERS_KEPT: Duration = Duration::from_millis(10_000);
 /// An answer still counts as given for so long after its request's time.
-const LATE_ANSWERS: Span = Span::from_millis(500);
+const LATE_ANSWERS: Duration = Duration::from_millis(500);
 
-/// Runs a front to its end; a failure with the exit code for it.
+/// Runs a gateway to its end; a failure with the exit code for it.
 pub fn run(
     file: String,
     config: Config,
@@ -72,7 +72,7 @@
     let address = config.listen;
     let listener = listen(address)?;
     let (site_file, site) = site.map_or((None, Site::default()), |(file, site)| (Some(file), site));
-    let Site { rest, fronts, duties, subsets, signals: told } = site;
+    let Site { rest, gateways, duties, subsets, signals: told } = site;
     let rest = match rest {
         Some(site) => {
             let service = RestService::new(site.clone(), config.seed)
@@ -90,42 +90,42 @@
         ));
     }
     let (log, _writes_the_rest) = log::start(&config.name);
-    let (seed, board_address) = (config.seed, config.board);
+    let (seed, discovery_address) = (config.seed, config.discovery);
     let known = config.known;
     let s = &config.settings;
     let shared = Shared {
-        fronts: s.given.fleet.fronts,
-        cold: s.given.cold.clone(),
-        groups: s.given.groups.clone(),
-        customers: s.names.customers.iter().map(|name| Capacity::customer(name)).collect(),
+        gateways: s.given.fleet.gateways,
+        slow_start: s.given.slow_start.clone(),
+        classes: s.given.classes.clone(),
+        tenants: s.names.tenants.iter().map(|name| Capacity::tenant(name)).collect(),
         kinds: Kinds::default(),
     };
-    let subset = subsets.map(|site| Subset::new(site, s.given.groups.clone(), s.given.fleet.clone()));
+    let subset = subsets.map(|site| Subset::new(site, s.given.classes.clone(), s.given.fleet.clone()));
     let probing = duties.as_ref().and_then(|site| site.probing);
     let clock = Clock::start((parts.wall)());
     let state = Arc::new(start(config.settings, limits, seed, log, probing, clock));
-    // The configuration's list is as good as the board's, now.
+    // The configuration's list is as good as the discovery service's, now.
     state.facade.heard(state.clock.now());
     for event in &known {
-        board::take(&state, event);
+        discovery::take(&state, event);
     }
     let looks = timer::Looks::open().map_err(|e| (1, format!("a pair of sockets: {e}")))?;
     let mut signals = stop::Signals::listen(caught).map_err(|e| (1, format!("signals: {e}")))?;
     info!(state.log, "listening"; "clients" => state.limits.clients, "engine_links" => state.limits.engine_links,
-        "batches" => state.limits.batches, "address" => listener.local_addr().unwrap_or(address.into()).to_string());
+        "batches" => state.limits.requests, "address" => listener.local_addr().unwrap_or(address.into()).to_string());
     if let Some((_, listener, site)) = &rest {
         info!(state.log, "listening for rest"; "connections" => site.connections, "results" => site.caps.results,
             "address" => listener.local_addr().unwrap_or(site.listen.into()).to_string());
     }
-    let (fronts, keeper) = match fronts {
+    let (gateways, keeper) = match gateways {
         Some(site) => {
-            let (fronts, keeper) = join_fronts(&state, site, (duties, told), shared, seed, parts)?;
-            (Some(fronts), keeper)
+            let (gateways, keeper) = join_gateways(&state, site, (duties, told), shared, seed, parts)?;
+            (Some(gateways), keeper)
         }
         None => (None, None),
     };
-    if let (Some(keeper), Some(fronts)) = (keeper, &fronts) {
-        keeper.run(&state, fronts).map_err(|e| (1, format!("the thread that keeps records: {e}")))?;
+    if let (Some(keeper), Some(gateways)) = (keeper, &gateways) {
+        keeper.run(&state, gateways).map_err(|e| (1, format!("the thread that keeps records: {e}")))?;
     }
     let (timed, service) = (state.clone(), rest.as_ref().map(|(service, ..)| service.clone()));
     let timer = std::thread::Builder::new().name("timer".to_owned());
@@ -135,25 +135,25 @@
     let main = {
         let state = state.clone();
         may::go!(move || {
-            if let Some(fronts) = fronts.clone() {
+            if let Some(gateways) = gateways.clone() {
                 let state = state.clone();
-                may::go!(move || fronts::run(&state, &fronts));
+                may::go!(move || cluster::run(&state, &gateways));
             }
             if let Some(subset) = subset {
-                subset::start(&state, fronts.clone(), subset);
+                subset::start(&state, gateways.clone(), subset);
             }
             let (s2, s3) = (state.clone(), state.clone());
             let service = rest.as_ref().map(|(service, ..)| service.clone());
-            let era = s2.next_board();
-            may::go!(move || board::follow(&s2, board_address, seed, era));
+            let era = s2.next_discovery();
+            may::go!(move || discovery::follow(&s2, discovery_address, seed, era));
             if let Some(asked) = signals.reload.take() {
-                let (state, service, fronts) = (state.clone(), service.clone(), fronts.clone());
+                let (state, service, gateways) = (state.clone(), service.clone(), gateways.clone());
                 let files = reload::Files { config: file, site: site_file };
                 may::go!(move || reload::on_signal(
                     &state,
                     asked,
                     &files,
-                    (service.as_ref(), fronts.as_deref()),
+                    (service.as_ref(), gateways.as_deref()),
                     seed
                 ));
             }
@@ -164,7 +164,7 @@
                 let state = state.clone();
                 may::go!(move || rest::accept(&state, &listener, &service));
             }
-            stop::until_ended(&state, signals, service.as_ref(), fronts);
+            stop::until_ended(&state, signals, service.as_ref(), gateways);
         })
     };
     let ended = main.join();
@@ -172,11 +172,11 @@
     ended.map_err(|_| (1, "the coroutine that waits for signals panicked".to_owned()))
 }
 
-/// Opens the socket between fronts; who is there is found out once it runs, and until then as many count as the
+/// Opens the socket between gateways; who is there is found out once it runs, and until then as many count as the
 /// settings name.
-fn join_fronts(
+fn join_gateways(
     state: &State,
-    site: larchfall_operator_config::Fronts,
+    site: larchfall_operator_config::Gateways,
     (duties, signals): (
         Option<larchfall_operator_config::Duties>,
         Option<larchfall_operator_config::Signals>,
@@ -184,10 +184,10 @@
     shared: Shared,
     seed: u64,
     parts: Parts,
-) -> Result<(Arc<Fronts>, Option<Keeper>), (u8, String)> {
+) -> Result<(Arc<Gateways>, Option<Keeper>), (u8, String)> {
     let about = About { address: site.told, zone: site.zone, serves: site.serves };
     let now = state.clock.now();
-    let count = site.count.map(|settings| Count::new(settings, shared.fronts, now));
+    let count = site.count.map(|settings| Count::new(settings, shared.gateways, now));
     let me = Who { name: site.name, generation: now.micros() };
     let cluster = site.settings.cluster.clone();
     let members = Members::new(&me.name, me.generation, about, site.settings, seed, now);
@@ -195,10 +195,10 @@
     let opened = opened.transpose().map_err(|e| (1, format!("duties: {e}")))?;
     let (duties, keeper) = opened.map_or((None, None), |(duties, keeper)| (Some(duties), keeper));
     let signals = signals.map(|site| Signals::new(state, site, seed, now));
-    let opened = Fronts::open(site.address, members, (cluster, me.name.clone()), count, duties, signals);
-    let fronts = opened.map_err(|e| (2, format!("fronts.address: {}: {e}", site.address)))?;
-    info!(state.log, "fronts: listening"; "name" => &me.name, "address" => fronts.address().to_string());
-    Ok((fronts, keeper))
+    let opened = Gateways::open(site.address, members, (cluster, me.name.clone()), count, duties, signals);
+    let gateways = opened.map_err(|e| (2, format!("fronts.address: {}: {e}", site.address)))?;
+    info!(state.log, "fronts: listening"; "name" => &me.name, "address" => gateways.address().to_string());
+    Ok((gateways, keeper))
 }
 
 /// may's listener shares its port with any other of ours; a plain one finds out whether the port is free.
@@ -215,29 +215,36 @@
     probing: Option<larchfall_leases::probing::Settings>,
     clock: Clock,
 ) -> State {
-    let in_order = s.given.groups.iter().map(|g| g.in_order).collect();
-    let referenced = s.given.groups.iter().map(|g| matches!(g.effect, Effect::Referenced { .. })).collect();
-    let come_back = s.given.caps.come_back;
+    let in_order = s.given.classes.iter().map(|g| g.in_order).collect();
+    let referenced =
+        s.given.classes.iter().map(|g| matches!(g.effect, Idempotency::IdempotentWithKey { .. })).collect();
+    let max_retry_after = s.given.caps.max_retry_after;
     let longest = s.limits.iter().max().copied().unwrap_or_default();
-    let list_holds = Some(board::TOLD_WITHIN + s.drain_grace);
-    let links_kept = Pool::kept(s.idle_close);
-    let (forgets, one_at_a_time) = (Some(RUNS_ON), s.one_at_a_time);
-    let caps = Caps { forgets, links_kept, list_holds, one_at_a_time, ..s.given.caps };
+    let endpoint_list_lifetime = Some(discovery::TOLD_WITHIN + s.drain_grace);
+    let idle_connection_lifetime = Pool::kept(s.idle_close);
+    let (unobserved_attempt_lifetime, single_attempt) = (Some(RUNS_ON), s.single_attempt);
+    let caps = Caps {
+        unobserved_attempt_lifetime,
+        idle_connection_lifetime,
+        endpoint_list_lifetime,
+        single_attempt,
+        ..s.given.caps
+    };
     let alarms = Arc::new(Alarms::new(clock));
-    let policy = Policy::new(seed, Given { caps, ..s.given });
+    let policy = Policy::new(seed, PolicyConfig { caps, ..s.given });
     State {
         clock,
-        counters: Counters::new(s.names.groups.len()),
+        counters: Counters::new(s.names.classes.len()),
         names: s.names,
-        group_limits: s.limits,
+        class_limits: s.limits,
         in_order,
-        one_at_a_time,
+        single_attempt,
         referenced,
-        come_back,
+        max_retry_after,
         connect_within: s.connect_within,
         pick_holds: PICK_HOLDS.min(s.drain_grace * PICK_GRACE),
         answers_kept: ANSWERS_KEPT.max(longest + LATE_ANSWERS),
-        facade: Facade::new(policy, clock, limits.batches, alarms.clone()),
+        facade: Facade::new(policy, clock, limits.requests, alarms.clone()),
         alarms,
         peers: Peers::new(limits.unread),
         pool: Pool::new(limits.engine_links, s.idle_close),
@@ -246,20 +253,20 @@
         log,
         ends: Mutex::new(None),
         done: AtomicBool::new(false),
-        board: AtomicU64::new(0),
-        board_heard: AtomicU64::new(clock.now().micros()),
+        discovery: AtomicU64::new(0),
+        discovery_heard: AtomicU64::new(clock.now().micros()),
         probing: probing.map(|settings| Mutex::new(Probing::new(settings, clock.now()))),
     }
 }
 
 /// Takes connections in while there are descriptors for them. What has to wait in the listener's queue counts as
-/// taken all the same, and a batch in it would be overtaken by later ones of its key: so the last places are
+/// taken all the same, and a request in it would be overtaken by later ones of its key: so the last places are
 /// kept free by ending connections that nobody uses.
 fn accept(state: &Arc<State>, listener: &TcpListener) {
     let most = state.limits.clients;
     let spare = most / SPARE + 1;
     // Since when nobody was taken in, and when that was over.
-    let mut held_up: Option<(At, At)> = None;
+    let mut held_up: Option<(Timestamp, Timestamp)> = None;
     loop {
         let called = state.clock.now();
         if state.peers.len() + spare >= most {
--- a/crates/gateway/src/run/stop.rs
+++ b/crates/gateway/src/run/stop.rs
@@ -1,10 +1,10 @@
-//! Signals, and the end: a front that was told to stop goes on serving for as long as clients may still come,
+//! Signals, and the end: a gateway that was told to stop goes on serving for as long as clients may still come,
 //! answers what it holds, and ends before it can be killed.
 
-use crate::fronts::Fronts;
+use crate::cluster::Gateways;
 use crate::protocols::rest::RestService;
 use crate::state::State;
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 use may::io::CoIo;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::low_level::pipe;
@@ -15,17 +15,17 @@
 use std::sync::atomic::Ordering;
 
 /// New connections come for 0.4 s after SIGTERM, requests on open ones for 0.2 s more.
-const CLIENTS_COME: Span = Span::from_millis(800);
+const CLIENTS_COME: Duration = Duration::from_millis(800);
 /// SIGKILL comes no sooner than the longest time limit, or this, and `KILL_AFTER` more.
-const LONGEST_WAIT: Span = Span::from_millis(3000);
-const KILL_AFTER: Span = Span::from_millis(700);
+const LONGEST_WAIT: Duration = Duration::from_millis(3000);
+const KILL_AFTER: Duration = Duration::from_millis(700);
 /// What is left then has this long to get its answer.
-const LAST_ANSWERS: Span = Span::from_millis(400);
-const LAST_LINES: Span = Span::from_millis(200);
-const LOOK: Span = Span::from_millis(20);
+const LAST_ANSWERS: Duration = Duration::from_millis(400);
+const LAST_LINES: Duration = Duration::from_millis(200);
+const LOOK: Duration = Duration::from_millis(20);
 
 /// Signals that are caught from the program's first moment on, as bytes that wait to be read: one that comes before this
-/// front is ready must not end it by the system's default.
+/// gateway is ready must not end it by the system's default.
 pub struct Caught {
     term: UnixStream,
     ask: UnixStream,
@@ -60,30 +60,30 @@
     Ok(read)
 }
 
-/// Blocks until this front has ended.
+/// Blocks until this gateway has ended.
 pub fn until_ended(
     state: &Arc<State>,
     signals: Signals,
     service: Option<&Arc<RestService>>,
-    fronts: Option<Arc<Fronts>>,
+    gateways: Option<Arc<Gateways>>,
 ) {
     let Signals { mut term, mut ask, .. } = signals;
-    let (asked, told_of) = (state.clone(), fronts.clone());
+    let (asked, told_of) = (state.clone(), gateways.clone());
     may::go!(move || {
         let mut byte = [0];
         while matches!(ask.read(&mut byte), Ok(1)) {
             asked.log_counters();
-            if let Some(fronts) = &told_of {
-                fronts.log(&asked);
+            if let Some(gateways) = &told_of {
+                gateways.log(&asked);
             }
         }
     });
     let _ = term.read(&mut [0]);
     let told = state.clock.now();
-    if let Some(fronts) = &fronts {
-        fronts.leave(state);
+    if let Some(gateways) = &gateways {
+        gateways.leave(state);
     }
-    let longest = state.group_limits.iter().max().copied().unwrap_or_default().min(LONGEST_WAIT);
+    let longest = state.class_limits.iter().max().copied().unwrap_or_default().min(LONGEST_WAIT);
     let ends = told + (longest + KILL_AFTER).saturating_sub(LAST_ANSWERS);
     state.end_at(ends);
     info!(state.log, "told to stop"; "in_hand" => state.facade.in_hand(), "clients" => state.peers.len());
@@ -93,7 +93,7 @@
         let now = state.clock.now();
         // Half-read results go on until then.
         let read = service.is_none_or(|service| service.pages.unread() == 0);
-        // A front that stood still has come here before it heard its sockets: what clients wrote meanwhile is unread.
+        // A gateway that stood still has come here before it heard its sockets: what clients wrote meanwhile is unread.
         let heard = state.stalls.looked_since(told + CLIENTS_COME);
         if (!is_owed(state) && read && heard) || now >= killed {
             break;
--- a/crates/gateway/src/run/survey.rs
+++ b/crates/gateway/src/run/survey.rs
@@ -1,28 +1,29 @@
-//! `larchfall subsets`: what the operator's `[subsets]` comes to over so many fronts, from the files alone; no front is asked.
+//! `larchfall subsets`: what the operator's `[subsets]` comes to over so many gateways, from the files alone; no gateway is asked.
 
 use super::config::Config;
-use crate::fronts::ask::table;
+use crate::cluster::ask::table;
 use crate::state::engines::Engines;
 use larchfall_operator_config::Subsets;
 use larchfall_subsetting::survey::{Survey, survey};
-use larchfall_subsetting::{Front, Listed};
+use larchfall_subsetting::{Gateway, Listed};
 use plotters::prelude::*;
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64;
 
 const SIZE: (u32, u32) = (900, 320);
 
-/// The engines that the configuration names, and fronts by number, spread over the zones that it names.
-pub fn of(config: &Config, site: &Subsets, fronts: usize) -> (Vec<Listed>, Survey) {
+/// The engines that the configuration names, and gateways by number, spread over the zones that it names.
+pub fn of(config: &Config, site: &Subsets, gateways: usize) -> (Vec<Listed>, Survey) {
     let mut engines = Engines::default();
     for event in &config.known {
         engines.follow(event);
     }
     let engines: Vec<Listed> = engines.ready().into_iter().map(|(_, id, told)| Listed { id, told }).collect();
     let zones = config.settings.names.zones.len().max(1);
-    let front = |i: usize| Front { number: xxh3_64(format!("front {i}").as_bytes()), zone: Some(i % zones) };
-    let fronts: BTreeSet<Front> = (0..fronts).map(front).collect();
-    let all = survey(site.plan, &fronts, &engines, &config.settings.given.groups);
+    let gateway =
+        |i: usize| Gateway { number: xxh3_64(format!("front {i}").as_bytes()), zone: Some(i % zones) };
+    let gateways: BTreeSet<Gateway> = (0..gateways).map(gateway).collect();
+    let all = survey(site.plan, &gateways, &engines, &config.settings.given.classes);
     (engines, all)
 }
 
@@ -39,14 +40,14 @@
         .into()
     };
     let rows = table(&["engine", "zone", "kind", "cell", "fronts"], engines.iter().map(row).collect());
-    let ((pairs, every), (least, mean, most), (front, engine)) = (all.pairs, all.users, all.moved);
+    let ((pairs, every), (least, mean, most), (gateway, engine)) = (all.pairs, all.users, all.moved);
     format!(
         "{rows}\n{pairs} pairs of {every}; fronts of an engine: {least} at least, {mean:.1} in the mean, {most} at most\n\
-         new to those that stay, in parts of what the one that went had: {front:.2} as a front goes, {engine:.2} as an engine goes"
+         new to those that stay, in parts of what the one that went had: {gateway:.2} as a front goes, {engine:.2} as an engine goes"
     )
 }
 
-/// Fronts by engine as bars, in the order of their number.
+/// Gateways by engine as bars, in the order of their number.
 pub fn chart(file: &str, all: &Survey) -> Result<(), String> {
     let said = |e: &dyn std::fmt::Display| format!("{file}: {e}");
     let mut users: Vec<usize> = all.plan.users.values().copied().collect();
--- a/crates/gateway/src/state/alarms.rs
+++ b/crates/gateway/src/state/alarms.rs
@@ -2,15 +2,15 @@
 //!
 //! Nobody waits by the coroutine crate's own times but on sockets, whose times the worker itself looks after. Its `park`
 //! sets the time before it has put the coroutine where that time looks for it: where the worker's thread loses its core in
-//! between for longer than the wait, the coroutine stays there for good. Once, with fourteen fleets on six cores, a front's
-//! timer came by no more, and no batch that rested had its answer; that this was the cause is inferred. And a coroutine that
+//! between for longer than the wait, the coroutine stays there for good. Once, with fourteen fleets on six cores, a gateway's
+//! timer came by no more, and no request that rested had its answer; that this was the cause is inferred. And a coroutine that
 //! the crate's timer lets go on does so on that timer's thread, beside the worker, where a wait on a socket spoils lists that
 //! only the worker may touch.
 
 use super::clock::Clock;
 use super::due::Due;
 use super::lock;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use may::sync::Blocker;
 use slab::Slab;
 use std::sync::{Arc, Mutex};
@@ -33,7 +33,7 @@
     }
 
     /// Parks until somebody wakes this blocker or that time has come, and goes on at the worker.
-    pub fn park(&self, blocker: &Arc<Blocker>, until: At) {
+    pub fn park(&self, blocker: &Arc<Blocker>, until: Timestamp) {
         let at = {
             let mut inner = lock(&self.inner);
             let at = inner.asleep.insert(blocker.clone());
@@ -50,13 +50,13 @@
         inner.asleep.remove(at);
     }
 
-    pub fn sleep(&self, span: Span) {
-        self.park(&Blocker::current(), self.clock.now() + span);
+    pub fn sleep(&self, duration: Duration) {
+        self.park(&Blocker::current(), self.clock.now() + duration);
     }
 
     /// The timer came by, which is to be woken by this where something earlier comes: whoever is due goes on. The time
     /// of the next.
-    pub fn ring(&self, timer: &Arc<Blocker>) -> Option<At> {
+    pub fn ring(&self, timer: &Arc<Blocker>) -> Option<Timestamp> {
         let mut inner = lock(&self.inner);
         inner.timer = Some(timer.clone());
         for at in inner.due.take(self.clock.now()) {
--- a/crates/gateway/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what was taken in, sent and answered, by service group and outcome.
+//! Counts of what was taken in, sent and answered, by request class and outcome.
 
 use super::lock;
 use crate::task::Final;
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Group {
     pub taken: u64,
-    pub dispatches: u64,
+    pub attempts: u64,
     pub outcomes: [u64; 8],
     pub returned: u64,
     pub pushed_back: u64,
@@ -19,20 +19,20 @@
 
 #[derive(Default)]
 pub struct Counters {
-    groups: Mutex<Vec<Group>>,
+    classes: Mutex<Vec<Group>>,
     rest: Mutex<Rest>,
 }
 
-/// What belongs to no service group.
+/// What belongs to no request class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rest {
     pub connections: u64,
     pub unusable: u64,
-    /// Pushed back by the front itself: too many open on a connection, or in hand.
+    /// Pushed back by the gateway itself: too many open on a connection, or in hand.
     pub over_limits: u64,
     pub pings: u64,
     pub probes: u64,
-    pub board_events: u64,
+    pub discovery_events: u64,
     /// Paged results whose last page was handed out, and those that their clients left.
     pub results_read: u64,
     pub results_left: u64,
@@ -50,24 +50,24 @@
     (Outcome::TimedOut, "timed_out"),
     (Outcome::ConnectFailed, "connect_failed"),
     (Outcome::Reset, "reset"),
-    (Outcome::CalledOff, "called_off"),
+    (Outcome::Cancelled, "called_off"),
     (Outcome::Moot, "moot"),
 ];
 
 impl Counters {
-    pub fn new(groups: usize) -> Counters {
-        Counters { groups: Mutex::new(vec![Group::default(); groups]), rest: Mutex::default() }
+    pub fn new(classes: usize) -> Counters {
+        Counters { classes: Mutex::new(vec![Group::default(); classes]), rest: Mutex::default() }
     }
 
-    pub fn group(&self, g: usize, count: impl FnOnce(&mut Group)) {
-        if let Some(group) = lock(&self.groups).get_mut(g) {
-            count(group);
+    pub fn class(&self, g: usize, count: impl FnOnce(&mut Group)) {
+        if let Some(class) = lock(&self.classes).get_mut(g) {
+            count(class);
         }
     }
 
-    /// A batch whose client was still there.
+    /// A request whose client was still there.
     pub fn ended(&self, g: usize, end: Final) {
-        self.group(g, |c| match end {
+        self.class(g, |c| match end {
             Final::Returned => c.returned += 1,
             Final::PushedBack(_) => c.pushed_back += 1,
             Final::Errored(_) => c.errored += 1,
@@ -76,8 +76,8 @@
 
     pub fn outcome(&self, g: usize, outcome: Outcome) {
         let at = OUTCOMES.iter().position(|(o, _)| *o == outcome).unwrap_or(0);
-        self.group(g, |c| {
-            c.dispatches += 1;
+        self.class(g, |c| {
+            c.attempts += 1;
             c.outcomes[at] += 1;
         });
     }
@@ -86,10 +86,10 @@
         count(&mut lock(&self.rest));
     }
 
-    /// One line a service group, and one for the rest.
+    /// One line a request class, and one for the rest.
     pub fn lines(&self, names: &[String]) -> Vec<String> {
-        let groups = lock(&self.groups);
-        let mut lines: Vec<String> = groups
+        let classes = lock(&self.classes);
+        let mut lines: Vec<String> = classes
             .iter()
             .zip(names)
             .map(|(g, name)| {
@@ -102,7 +102,7 @@
                     g.pushed_back,
                     g.errored,
                     g.left,
-                    g.dispatches,
+                    g.attempts,
                     outcomes.join(" ")
                 )
             })
@@ -111,7 +111,7 @@
         lines.push(format!(
             "connections={} unusable={} over_limits={} pings={} probes={} board_events={} results_read={} results_left={} most_in_hand={} most_clients={} most_links={} most_lag_ms={}",
             r.connections, r.unusable,
-            r.over_limits, r.pings, r.probes, r.board_events, r.results_read, r.results_left, r.most_in_hand, r.most_clients, r.most_links,
+            r.over_limits, r.pings, r.probes, r.discovery_events, r.results_read, r.results_left, r.most_in_hand, r.most_clients, r.most_links,
             r.most_lag_ms
         ));
         lines
--- a/crates/gateway/src/state/due.rs
+++ b/crates/gateway/src/state/due.rs
@@ -1,31 +1,31 @@
-//! Due times in order, one for each batch that waits.
+//! Due times in order, one for each request that waits.
 
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
 #[derive(Default)]
 pub struct Due {
-    order: BTreeSet<(At, usize)>,
+    order: BTreeSet<(Timestamp, usize)>,
 }
 
 impl Due {
     /// True when this is now the first of all.
-    pub fn insert(&mut self, at: At, b: usize) -> bool {
+    pub fn insert(&mut self, at: Timestamp, b: usize) -> bool {
         self.order.insert((at, b));
         self.order.first() == Some(&(at, b))
     }
 
-    pub fn remove(&mut self, at: At, b: usize) {
+    pub fn remove(&mut self, at: Timestamp, b: usize) {
         self.order.remove(&(at, b));
     }
 
-    pub fn first(&self) -> Option<At> {
+    pub fn first(&self) -> Option<Timestamp> {
         self.order.first().map(|(at, _)| *at)
     }
 
     /// Those that have come due, in order.
-    pub fn take(&mut self, now: At) -> Vec<usize> {
-        let later = self.order.split_off(&(now + Span::from_micros(1), 0));
+    pub fn take(&mut self, now: Timestamp) -> Vec<usize> {
+        let later = self.order.split_off(&(now + Duration::from_micros(1), 0));
         std::mem::replace(&mut self.order, later).into_iter().map(|(_, b)| b).collect()
     }
 }
--- a/crates/gateway/src/state/engines.rs
+++ b/crates/gateway/src/state/engines.rs
@@ -1,9 +1,9 @@
-//! Engines by their ids on the notice board, as the small indices that decisions use.
+//! Engines by their ids on the discovery service, as the small indices that decisions use.
 
-use crate::wire::board::{Entry, Event};
+use crate::wire::discovery::{Entry, Event};
 use larchfall_health_gossip::Process;
 use larchfall_policy::interface::{Engine, EngineState};
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 use slab::Slab;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -103,12 +103,12 @@
         listed.is_some_and(|l| fresh || l.entry.state == EngineState::Ready)
     }
 
-    /// Those that the board calls gone.
+    /// Those that the discovery service calls gone.
     pub fn gone(&self) -> Vec<usize> {
         self.listed.iter().filter(|(_, l)| l.is_gone()).map(|(e, _)| e).collect()
     }
 
-    /// An index is free for another: engines come and go for as long as a front runs.
+    /// An index is free for another: engines come and go for as long as a gateway runs.
     pub fn forget(&mut self, e: usize) {
         if let Some(listed) = self.listed.try_remove(e) {
             self.by_id.remove(&listed.entry.id);
@@ -163,6 +163,6 @@
         kind: entry.kind,
         cell: entry.cell,
         state: entry.state,
-        started: (entry.started_ms > 0).then(|| At::from_micros(entry.started_ms * 1000)),
+        started: (entry.started_ms > 0).then(|| Timestamp::from_micros(entry.started_ms * 1000)),
     }
 }
--- a/crates/gateway/src/state/facade.rs
+++ b/crates/gateway/src/state/facade.rs
@@ -1,16 +1,16 @@
-//! The decisions in blocking style. Nothing else calls the module: a batch is taken, asked about with `pick`,
-//! rests while it has to wait, and each dispatch's outcome goes to `report`; `tick` runs from the one timer.
+//! The decisions in blocking style. Nothing else calls the module: a request is taken, asked about with `pick`,
+//! rests while it has to wait, and each attempt's outcome goes to `report`; `tick` runs from the one timer.
 
 use super::alarms::Alarms;
 use super::clock::Clock;
 use super::engines::{Engines, Home};
 use super::lock;
-use crate::wire::board::Event;
+use crate::wire::discovery::Event;
 use larchfall_health_gossip::sights::{Saw, Sights};
 use larchfall_health_gossip::{Counts, Process};
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::Policy;
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::Came;
 use may::sync::Blocker;
@@ -20,7 +20,7 @@
 
 pub use larchfall_policy::policy::TICK;
 
-/// Why a batch was not taken in.
+/// Why a request was not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotTaken {
     NoRoom,
@@ -29,7 +29,7 @@
     InHand,
 }
 
-/// What this front makes of an engine.
+/// What this gateway makes of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Verdict {
     pub process: Process,
@@ -40,7 +40,7 @@
     pub used: bool,
 }
 
-/// A batch in hand.
+/// A request in hand.
 #[derive(Default)]
 struct InHand {
     id: u64,
@@ -56,9 +56,9 @@
     ids: HashSet<u64>,
     came: Came,
     careful: Option<f64>,
-    /// Engines that this front uses, by id, where it does not use all, and the part of each that is its own.
+    /// Engines that this gateway uses, by id, where it does not use all, and the part of each that is its own.
     used: Option<BTreeMap<u32, f64>>,
-    /// What this front saw of engines, where others are told.
+    /// What this gateway saw of engines, where others are told.
     sights: Option<Sights>,
 }
 
@@ -67,7 +67,7 @@
         self.used.as_ref().is_none_or(|used| used.contains_key(&id))
     }
 
-    /// This front's part of an engine among those that use it, where the plan says one.
+    /// This gateway's part of an engine among those that use it, where the plan says one.
     fn mine(&self, id: u32) -> Option<f64> {
         self.used.as_ref()?.get(&id).copied().filter(|part| *part > 0.0)
     }
@@ -87,7 +87,7 @@
         Facade { inner: Mutex::new(inner), clock, most, alarms }
     }
 
-    pub fn take(&self, id: u64, batch: Batch) -> Result<usize, NotTaken> {
+    pub fn take(&self, id: u64, request: Request) -> Result<usize, NotTaken> {
         let mut inner = lock(&self.inner);
         if inner.hand.len() >= self.most {
             return Err(NotTaken::NoRoom);
@@ -96,22 +96,22 @@
             return Err(NotTaken::InHand);
         }
         let b = inner.hand.insert(InHand { id, ..InHand::default() });
-        inner.came.add(batch.group, batch.customer);
-        inner.policy.take(self.clock.now(), b, batch);
+        inner.came.add(request.class, request.tenant);
+        inner.policy.take(self.clock.now(), b, request);
         Ok(b)
     }
 
-    /// Where to send this batch, or not yet, or never.
-    pub fn pick(&self, b: usize) -> Place {
+    /// Where to send this request, or not yet, or never.
+    pub fn pick(&self, b: usize) -> RoutingDecision {
         lock(&self.inner).policy.place(self.clock.now(), b)
     }
 
-    /// The final answer of a batch whose time is up, while the end of what is out is still waited for.
-    pub fn give_up(&self, b: usize) -> Place {
+    /// The final answer of a request whose time is up, while the end of what is out is still waited for.
+    pub fn give_up(&self, b: usize) -> RoutingDecision {
         lock(&self.inner).policy.give_up(b)
     }
 
-    /// Blocks until it is time to ask again, or something happened to the batch.
+    /// Blocks until it is time to ask again, or something happened to the request.
     pub fn rest(&self, b: usize) {
         let blocker = Blocker::current();
         let at = {
@@ -126,17 +126,17 @@
         lock(&self.inner).hand.get_mut(b).into_iter().for_each(|hand| hand.resting = None);
     }
 
-    /// What became of a dispatch, and what to do after it.
-    pub fn report(&self, b: usize, number: u8, answer: &Answer) -> Next {
+    /// What became of a attempt, and what to do after it.
+    pub fn report(&self, b: usize, number: u8, answer: &AttemptResult) -> AfterAttempt {
         lock(&self.inner).policy.after(self.clock.now(), b, number, answer)
     }
 
-    /// Others are to be told what this front sees, of so many processes at most.
+    /// Others are to be told what this gateway sees, of so many processes at most.
     pub fn notes_sights(&self, most: usize) {
         lock(&self.inner).sights = Some(Sights::new(most));
     }
 
-    /// What a dispatch to the process that had this index then tells of it.
+    /// What a attempt to the process that had this index then tells of it.
     pub fn saw(&self, e: usize, home: Home, outcome: Outcome) {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
@@ -169,7 +169,7 @@
         }
     }
 
-    /// All that this front saw itself.
+    /// All that this gateway saw itself.
     pub fn own_sights(&self) -> Vec<(Process, Counts)> {
         lock(&self.inner).sights.iter().flat_map(Sights::all).collect()
     }
@@ -189,7 +189,7 @@
         inner.engines.standing().map(verdict).collect()
     }
 
-    /// Whether it is this front's turn to try a process that is left out.
+    /// Whether it is this gateway's turn to try a process that is left out.
     pub fn turn(&self, process: Process, mine: bool) {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
@@ -198,22 +198,22 @@
         }
     }
 
-    /// The coroutine of this batch ended without a word.
+    /// The coroutine of this request ended without a word.
     pub fn lost(&self, b: usize) {
         lock(&self.inner).policy.lost(self.clock.now(), b);
     }
 
-    /// So many fronts are to be counted.
-    pub fn count(&self, fronts: usize) {
-        lock(&self.inner).policy.count(fronts);
+    /// So many gateways are to be counted.
+    pub fn count(&self, gateways: usize) {
+        lock(&self.inner).policy.count(gateways);
     }
 
-    /// This front ends then.
-    pub fn end_by(&self, at: At) {
+    /// This gateway ends then.
+    pub fn end_by(&self, at: Timestamp) {
         lock(&self.inner).policy.end_by(at);
     }
 
-    pub fn note(&self, b: usize, number: u8, note: Note) {
+    pub fn note(&self, b: usize, number: u8, note: ProgressUpdate) {
         lock(&self.inner).policy.note(self.clock.now(), b, number, note);
     }
 
@@ -233,7 +233,7 @@
         lock(&self.inner).hand.get(b).and_then(|h| h.left)
     }
 
-    /// A batch that is over, with nothing of it out: its index is free.
+    /// A request that is over, with nothing of it out: its index is free.
     pub fn release(&self, b: usize) {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
@@ -264,15 +264,15 @@
     }
 
     /// The report of the engine that had this index when it was asked.
-    pub fn probed(&self, e: usize, home: Home, report: Report) {
+    pub fn probed(&self, e: usize, home: Home, report: LoadReport) {
         let mut inner = lock(&self.inner);
         if inner.engines.home(e) == Some(home) {
             inner.policy.probed(self.clock.now(), e, report);
         }
     }
 
-    /// A report of an engine that another front asked.
-    pub fn told(&self, id: u64, report: Report) {
+    /// A report of an engine that another gateway asked.
+    pub fn told(&self, id: u64, report: LoadReport) {
         let mut inner = lock(&self.inner);
         if let Some(e) = u32::try_from(id).ok().and_then(|id| inner.engines.of_id(id)) {
             inner.policy.probed(self.clock.now(), e, report);
@@ -285,10 +285,10 @@
     }
 
     /// Those that are ready, by id, and whether they are cold by this rule.
-    pub fn ready(&self, rule: &ColdRule) -> Vec<(u32, Engine, bool)> {
+    pub fn ready(&self, rule: &SlowStartPolicy) -> Vec<(u32, Engine, bool)> {
         let (inner, now) = (lock(&self.inner), self.clock.now());
         let used = inner.engines.ready().into_iter().filter(|(_, id, _)| inner.uses(*id));
-        used.map(|(_, id, x)| (id, x, rule.warmth(x.started, now) < 1.0)).collect()
+        used.map(|(_, id, x)| (id, x, rule.warm_up_factor(x.started, now) < 1.0)).collect()
     }
 
     /// All that are ready, used or not, by id.
@@ -302,7 +302,7 @@
         inner.engines.of_id(id).and_then(|e| inner.policy.standing(e))
     }
 
-    /// From now on this front uses only engines that it is told to; until then those that it knows.
+    /// From now on this gateway uses only engines that it is told to; until then those that it knows.
     pub fn narrow(&self) {
         let mut inner = lock(&self.inner);
         let known = inner.engines.ready().into_iter().map(|(_, id, _)| (id, 0.0)).collect();
@@ -324,7 +324,7 @@
         }
     }
 
-    /// What came so far, by service group and customer.
+    /// What came so far, by request class and tenant.
     pub fn came(&self) -> Came {
         lock(&self.inner).came.clone()
     }
@@ -337,17 +337,17 @@
         inner.engines.ready().iter().for_each(|(e, ..)| inner.policy.share(*e, Some(part), None));
     }
 
-    /// This front's parts of what engines bear and of customers' allowances; of all others they are even ones.
-    pub fn share(&self, customers: &[Capacity], parts: &BTreeMap<Capacity, f64>) {
+    /// This gateway's parts of what engines bear and of tenants' allowances; of all others they are even ones.
+    pub fn share(&self, tenants: &[Capacity], parts: &BTreeMap<Capacity, f64>) {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         for (e, id, _) in inner.engines.ready() {
             let part = |what| parts.get(&what).copied();
-            let cold = part(Capacity::Cold(id)).or(inner.careful);
-            inner.policy.share(e, cold, part(Capacity::Threads(id)).or(inner.mine(id)));
+            let slow_start = part(Capacity::SlowStart(id)).or(inner.careful);
+            inner.policy.share(e, slow_start, part(Capacity::Threads(id)).or(inner.mine(id)));
         }
-        for (c, customer) in customers.iter().enumerate() {
-            inner.policy.allowance(c, parts.get(customer).copied());
+        for (c, tenant) in tenants.iter().enumerate() {
+            inner.policy.quota_rate(c, parts.get(tenant).copied());
         }
     }
 
@@ -355,12 +355,12 @@
         lock(&self.inner).engines.id(e)
     }
 
-    /// The notice board said something, be it that there is nothing new: the list holds as of then.
-    pub fn heard(&self, at: At) {
+    /// The discovery service said something, be it that there is nothing new: the list holds as of then.
+    pub fn heard(&self, at: Timestamp) {
         lock(&self.inner).policy.heard(at);
     }
 
-    /// Takes in an event of the notice board; the engines whose connections are of no more use.
+    /// Takes in an event of the discovery service; the engines whose connections are of no more use.
     pub fn follow(&self, event: &Event) -> Vec<usize> {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
@@ -381,19 +381,19 @@
         gone.map(|(e, _)| *e).chain(changes.moved).collect()
     }
 
-    /// The last event of the notice board that was taken in.
+    /// The last event of the discovery service that was taken in.
     pub fn seen(&self) -> u64 {
         lock(&self.inner).engines.seen()
     }
 
-    /// Whether a dispatch that was picked for this process may begin there now; `fresh` where it was picked so lately
+    /// Whether a attempt that was picked for this process may begin there now; `fresh` where it was picked so lately
     /// that one which drains by now may still have it.
     pub fn may_begin(&self, b: usize, number: u8, (e, home): (usize, Home), fresh: bool) -> bool {
         let inner = lock(&self.inner);
         inner.engines.is_open(e, home, fresh) && inner.policy.may_begin(self.clock.now(), b, number)
     }
 
-    /// None once it is gone and nothing of this front's is out there.
+    /// None once it is gone and nothing of this gateway's is out there.
     pub fn home(&self, e: usize) -> Option<Home> {
         lock(&self.inner).engines.home(e)
     }
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -3,20 +3,20 @@
 /// Clients hold a third of the descriptors at most; what crosses a close comes on top.
 const CLIENTS: (usize, usize) = (2, 5);
 const ENGINES: (usize, usize) = (1, 2);
-/// Listener, board, signals, log, epoll, standard streams, probes.
+/// Listener, discovery service, signals, log, epoll, standard streams, probes.
 const REST: usize = 24;
 /// Memory that answers on their way out may take, of all there is.
 const ANSWERS: usize = 4;
-/// A batch in hand costs a stack and its statement; this much of the memory may go there, at this much each.
-const BATCHES: usize = 3;
-const BATCH_BYTES: usize = 24 * 1024;
+/// A request in hand costs a stack and its statement; this much of the memory may go there, at this much each.
+const REQUESTS: usize = 3;
+const REQUEST_BYTES: usize = 24 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     pub clients: usize,
     pub engine_links: usize,
-    /// Batches in hand of all clients together.
-    pub batches: usize,
+    /// Requests in hand of all clients together.
+    pub requests: usize,
     /// Bytes of answers that clients have not read.
     pub unread: usize,
 }
@@ -35,9 +35,9 @@
         let limits = Limits {
             clients: open * CLIENTS.0 / CLIENTS.1,
             engine_links: open * ENGINES.0 / ENGINES.1,
-            batches: memory / BATCHES / BATCH_BYTES,
+            requests: memory / REQUESTS / REQUEST_BYTES,
             unread: memory / ANSWERS,
         };
-        (limits.clients > 0 && limits.engine_links > 0 && limits.batches > 0).then_some(limits)
+        (limits.clients > 0 && limits.engine_links > 0 && limits.requests > 0).then_some(limits)
     }
 }
--- a/crates/gateway/src/state/pages.rs
+++ b/crates/gateway/src/state/pages.rs
@@ -8,7 +8,7 @@
 use larchfall_paged_rest::document::Body;
 use larchfall_paged_rest::results::{Caps, Left, Name, Results};
 use larchfall_paged_rest::slug::Place;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use may::sync::Blocker;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -49,7 +49,7 @@
         result
     }
 
-    pub fn begin(&self, now: At) -> Option<Name> {
+    pub fn begin(&self, now: Timestamp) -> Option<Name> {
         self.change(|r| r.begin(now))
     }
 
@@ -81,7 +81,7 @@
         &self,
         place: Place,
         (clock, alarms): (&Clock, &Alarms),
-        within: Span,
+        within: Duration,
         empty: impl Fn() -> Body,
     ) -> Found {
         let until = clock.now() + within;
@@ -116,7 +116,7 @@
     }
 
     /// Those that nobody asked for in time.
-    pub fn expire(&self, now: At) -> Vec<Left> {
+    pub fn expire(&self, now: Timestamp) -> Vec<Left> {
         let left = self.change(|r| r.expire(now));
         left.iter().for_each(|l| self.wake(l.name, |_| ()));
         left
--- a/crates/gateway/src/state/peer.rs
+++ b/crates/gateway/src/state/peer.rs
@@ -3,7 +3,7 @@
 
 use super::lock;
 use crate::wire::rpc::{self, Answer};
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 use may::io::WaitIoWaker;
 use slab::Slab;
 use std::collections::BTreeMap;
@@ -20,9 +20,9 @@
     open: BTreeMap<u32, usize>,
     last_id: u32,
     unread: Vec<u8>,
-    quiet_since: At,
+    quiet_since: Timestamp,
     /// Since when a message is awaited whole: the first one, or one that has begun.
-    awaits_since: Option<At>,
+    awaits_since: Option<Timestamp>,
     /// It asked for something.
     spoke: bool,
     /// Its place is needed.
@@ -66,7 +66,7 @@
         lock(&self.desk).open.insert(id, b);
     }
 
-    /// The batch that this id no longer waits for.
+    /// The request that this id no longer waits for.
     pub fn abort(&self, id: u32) -> Option<usize> {
         lock(&self.desk).open.remove(&id)
     }
@@ -124,7 +124,7 @@
     }
 
     /// Some of what came was whole, and something is left that is not.
-    pub fn awaits(&self, any_whole: bool, more: bool, now: At) {
+    pub fn awaits(&self, any_whole: bool, more: bool, now: Timestamp) {
         let mut desk = lock(&self.desk);
         let since = desk.awaits_since.filter(|_| !any_whole).unwrap_or(now);
         desk.awaits_since = (more || !any_whole).then_some(since);
@@ -134,7 +134,7 @@
         lock(&self.desk).spoke
     }
 
-    pub fn awaits_since(&self) -> Option<At> {
+    pub fn awaits_since(&self) -> Option<Timestamp> {
         lock(&self.desk).awaits_since
     }
 
@@ -149,11 +149,11 @@
     }
 
     /// Something came or went.
-    pub fn stirred(&self, now: At) {
+    pub fn stirred(&self, now: Timestamp) {
         lock(&self.desk).quiet_since = now;
     }
 
-    pub fn quiet_since(&self) -> At {
+    pub fn quiet_since(&self) -> Timestamp {
         lock(&self.desk).quiet_since
     }
 
@@ -181,7 +181,7 @@
         Peers { all: Mutex::new(Slab::new()), unread: Arc::default(), most_unread }
     }
 
-    pub fn join(&self, waker: WaitIoWaker, now: At) -> (usize, Arc<Peer>) {
+    pub fn join(&self, waker: WaitIoWaker, now: Timestamp) -> (usize, Arc<Peer>) {
         let desk = Mutex::new(Desk { quiet_since: now, awaits_since: Some(now), ..Desk::default() });
         let (unread_by_all, most_unread) = (self.unread.clone(), self.most_unread);
         let peer = Arc::new(Peer { desk, waker, unread_by_all, most_unread });
@@ -207,7 +207,7 @@
 
     /// Wakes those that have been quiet since before `quiet`, or await a message since before `awaits`: each
     /// looks for itself whether to end.
-    pub fn wake_quiet(&self, quiet: At, awaits: At) {
+    pub fn wake_quiet(&self, quiet: Timestamp, awaits: Timestamp) {
         let due = |p: &Peer| {
             let desk = lock(&p.desk);
             desk.quiet_since <= quiet || desk.awaits_since.is_some_and(|since| since <= awaits)
@@ -218,7 +218,7 @@
 
     /// Asks up to `most` connections to go, of those on which nobody is owed an answer: first those that never
     /// said anything whole, then those that were quiet longest. What is as new as `fresh` may be about to speak.
-    pub fn make_room(&self, most: usize, fresh: At) {
+    pub fn make_room(&self, most: usize, fresh: Timestamp) {
         let mut idle: Vec<_> = lock(&self.all)
             .iter()
             .filter_map(|(_, p)| {
--- a/crates/gateway/src/state/permits.rs
+++ b/crates/gateway/src/state/permits.rs
@@ -1,10 +1,10 @@
-//! Permits: how many dispatches may be out at a time. Whoever waits for one is let in by the priority that the
-//! module gave, then in turn: while permits are short, they are where batches meet first, and a plain queue would
+//! Permits: how many attempts may be out at a time. Whoever waits for one is let in by the priority that the
+//! module gave, then in turn: while permits are short, they are where requests meet first, and a plain queue would
 //! let the many short ones keep the few of a higher rank out.
 
 use super::alarms::Alarms;
 use super::lock;
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 use may::sync::Blocker;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     }
 
     /// Takes a permit, or waits for one until then; false when none came free in time.
-    pub fn take(&self, priority: u8, wait: Option<(&Alarms, At)>) -> bool {
+    pub fn take(&self, priority: u8, wait: Option<(&Alarms, Timestamp)>) -> bool {
         let blocker = Blocker::current();
         let place = {
             let mut inner = lock(&self.inner);
--- a/crates/gateway/src/subset.rs
+++ b/crates/gateway/src/subset.rs
@@ -1,13 +1,13 @@
-//! The engines that this front uses, where the operator's file has a `[subsets]` table: one coroutine looks at steady times
+//! The engines that this gateway uses, where the operator's file has a `[subsets]` table: one coroutine looks at steady times
 //! at who lives and which engines are ready, and tells the module. However many changes there were since, it is one look.
 
-use crate::fronts::Fronts;
+use crate::cluster::Gateways;
 use crate::state::State;
 use larchfall_operator_config::Subsets;
-use larchfall_policy::interface::{Fleet, ServiceGroup};
+use larchfall_policy::interface::{Fleet, RequestClass};
 use larchfall_subsetting::aperture::{Aperture, Sight};
 use larchfall_subsetting::plan::Plan;
-use larchfall_subsetting::{Front, Listed, needs};
+use larchfall_subsetting::{Gateway, Listed, needs};
 use slog::info;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,51 +19,52 @@
 /// What the plan is worked out from beside what changes.
 pub struct Subset {
     site: Subsets,
-    groups: Vec<ServiceGroup>,
-    /// How many fronts the settings name and which is this one: what counts where fronts do not know each other.
+    classes: Vec<RequestClass>,
+    /// How many gateways the settings name and which is this one: what counts where gateways do not know each other.
     fleet: Fleet,
 }
 
 /// A plan and what it was worked out from.
 #[derive(Default)]
 struct Made {
-    fronts: BTreeSet<Front>,
+    gateways: BTreeSet<Gateway>,
     engines: Vec<Listed>,
     plan: Plan,
 }
 
 impl Subset {
-    pub fn new(site: Subsets, groups: Vec<ServiceGroup>, fleet: Fleet) -> Subset {
-        Subset { site, groups, fleet }
+    pub fn new(site: Subsets, classes: Vec<RequestClass>, fleet: Fleet) -> Subset {
+        Subset { site, classes, fleet }
     }
 
-    /// This front, and all that live; those that only the settings count are in no zone that is known.
-    fn fronts(&self, state: &State, fronts: Option<&Fronts>) -> (Front, BTreeSet<Front>) {
-        let Some(fronts) = fronts else {
-            let front = |number: usize| Front { number: number as u64, zone: None };
-            return (front(self.fleet.me), (0..self.fleet.fronts.max(1)).map(front).collect());
+    /// This gateway, and all that live; those that only the settings count are in no zone that is known.
+    fn gateways(&self, state: &State, gateways: Option<&Gateways>) -> (Gateway, BTreeSet<Gateway>) {
+        let Some(gateways) = gateways else {
+            let gateway = |number: usize| Gateway { number: number as u64, zone: None };
+            return (gateway(self.fleet.me), (0..self.fleet.gateways.max(1)).map(gateway).collect());
         };
         let zone = |name: &str| state.names.zones.iter().position(|zone| zone == name);
-        let living = fronts.living();
-        let front =
-            |name: &str, zone_name: &str| Front { number: xxh3_64(name.as_bytes()), zone: zone(zone_name) };
-        let me = living.iter().find(|(name, _)| *name == fronts.name()).map(|(name, zone)| front(name, zone));
-        let all = living.iter().map(|(name, zone)| front(name, zone)).collect();
-        (me.unwrap_or(Front { number: xxh3_64(fronts.name().as_bytes()), zone: None }), all)
+        let living = gateways.living();
+        let gateway =
+            |name: &str, zone_name: &str| Gateway { number: xxh3_64(name.as_bytes()), zone: zone(zone_name) };
+        let me =
+            living.iter().find(|(name, _)| *name == gateways.name()).map(|(name, zone)| gateway(name, zone));
+        let all = living.iter().map(|(name, zone)| gateway(name, zone)).collect();
+        (me.unwrap_or(Gateway { number: xxh3_64(gateways.name().as_bytes()), zone: None }), all)
     }
 }
 
-/// Looks until the front ends.
-pub fn run(state: &Arc<State>, fronts: Option<&Fronts>, subset: &Subset) {
+/// Looks until the gateway ends.
+pub fn run(state: &Arc<State>, gateways: Option<&Gateways>, subset: &Subset) {
     let mut aperture = Aperture::new(subset.site.aperture, state.clock.now());
     let (mut made, mut used) = (Made::default(), BTreeSet::new());
     while !state.is_done() {
         let engines: Vec<Listed> =
             state.facade.listed_ready().into_iter().map(|(id, told)| Listed { id, told }).collect();
-        let (me, all) = subset.fronts(state, fronts);
-        if all != made.fronts || engines != made.engines {
-            let plan = Plan::make(subset.site.plan, &all, &engines, &needs(&engines, &subset.groups));
-            made = Made { fronts: all, engines, plan };
+        let (me, all) = subset.gateways(state, gateways);
+        if all != made.gateways || engines != made.engines {
+            let plan = Plan::make(subset.site.plan, &all, &engines, &needs(&engines, &subset.classes));
+            made = Made { gateways: all, engines, plan };
         }
         let now = state.clock.now();
         if !used.is_empty() {
@@ -81,7 +82,7 @@
         if now_used != used {
             let ids: Vec<String> = now_used.iter().take(NAMED).map(|id| format!("{id:08x}")).collect();
             info!(state.log, "subset: {} of {} engines", now_used.len(), made.engines.len(); "ids" => ids.join(" "),
-                "beyond" => aperture.beyond(), "fronts" => made.fronts.len(),
+                "beyond" => aperture.beyond(), "fronts" => made.gateways.len(),
                 "new" => now_used.difference(&used).count(), "left" => used.difference(&now_used).count());
             used = now_used;
         }
@@ -92,8 +93,8 @@
 }
 
 /// Where it is on: what the next look works with.
-pub fn start(state: &Arc<State>, fronts: Option<Arc<Fronts>>, subset: Subset) {
+pub fn start(state: &Arc<State>, gateways: Option<Arc<Gateways>>, subset: Subset) {
     let state = state.clone();
     state.facade.narrow();
-    may::go!(move || run(&state, fronts.as_deref(), &subset));
+    may::go!(move || run(&state, gateways.as_deref(), &subset));
 }
--- a/crates/gateway/src/task.rs
+++ b/crates/gateway/src/task.rs
@@ -1,28 +1,28 @@
-//! A batch on its way, in no protocol's words: what is sent, who reads its rows, and how it ends.
+//! A request on its way, in no protocol's words: what is sent, who reads its rows, and how it ends.
 
-use larchfall_policy::interface::{Outcome, Report, Seen};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::interface::{AttemptEvidence, LoadReport, Outcome};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::sync::Arc;
 
-/// What a batch needs to be sent, and who reads it.
+/// What a request needs to be sent, and who reads it.
 pub struct Task {
     pub id: String,
-    pub group: usize,
+    pub class: usize,
     pub in_order: bool,
     /// When its client gives up.
-    pub limit: At,
+    pub limit: Timestamp,
     pub reference: Option<String>,
     pub statement: Vec<u8>,
     pub reader: Arc<dyn Reader>,
 }
 
-/// The one final answer of a batch.
+/// The one final answer of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Final<'a> {
     /// All rows have come.
     Returned,
     /// Trying again is harmless, best after the time given.
-    PushedBack(Option<Span>),
+    PushedBack(Option<Duration>),
     /// Nothing is promised about what it did; why.
     Errored(&'a str),
 }
@@ -49,12 +49,12 @@
     fn end(&self, end: Final) -> bool;
 }
 
-/// What a dispatch came to.
+/// What a attempt came to.
 pub struct Ended {
     pub outcome: Outcome,
-    pub report: Report,
-    pub seen: Seen,
-    /// Its rows broke off after some were handed on: the batch can only end in an error.
+    pub report: LoadReport,
+    pub seen: AttemptEvidence,
+    /// Its rows broke off after some were handed on: the request can only end in an error.
     pub torn: bool,
     /// Its time ran out and its key waits for its end: `seen` holds nothing until that is settled.
     pub unsettled: bool,
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -8,7 +8,7 @@
 use crate::state::clock::wait;
 use crate::state::facade::TICK;
 use crate::state::stalls::TIMER_PERIOD;
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 use may::os::unix::net::UnixStream;
 use may::sync::Blocker;
 use slog::{info, warn};
@@ -27,10 +27,10 @@
         if now >= next_tick {
             tick(state);
             if let Some(service) = service {
-                service.pages.expire(now).iter().for_each(|left| rest::give_up(state, left.batch));
+                service.pages.expire(now).iter().for_each(|left| rest::give_up(state, left.request));
             }
             // Ticks that a stall left out are not made up for.
-            next_tick = (next_tick + TICK).max(now + Span::from_millis(1));
+            next_tick = (next_tick + TICK).max(now + Duration::from_millis(1));
         }
         let until = next_due.map_or(next_tick, |due| due.min(next_tick)).min(now + TIMER_PERIOD);
         let left = state.clock.left(until);
--- a/crates/gateway/src/wire/request.rs
+++ b/crates/gateway/src/wire/client_request.rs
@@ -1,6 +1,6 @@
-//! One batch as its client words it, in any protocol: texts become figures here, once.
+//! One request as its client words it, in any protocol: texts become figures here, once.
 
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 
 /// No wait or work of a day and no memory of a terabyte is meant: what is beyond is no figure of ours, and would
 /// only reach an engine that can't use it.
@@ -11,17 +11,17 @@
 const LONGEST_REFERENCE: usize = 128;
 
 #[derive(Debug, PartialEq)]
-pub struct Request<'a> {
-    pub group: &'a str,
+pub struct ClientRequest<'a> {
+    pub class: &'a str,
     pub id: &'a str,
     /// The same as a number.
     pub number: u64,
-    pub customer: &'a str,
+    pub tenant: &'a str,
     /// How long its client waits; none where it does not say.
-    pub wait: Option<Span>,
+    pub wait: Option<Duration>,
     pub reference: Option<&'a str>,
     pub key: Option<u64>,
-    pub work: Option<Span>,
+    pub work: Option<Duration>,
     pub memory_mb: Option<f64>,
     pub statement: &'a [u8],
 }
@@ -51,13 +51,13 @@
 }
 
 /// Milliseconds, one at least.
-pub fn wait(text: &str) -> Option<Span> {
-    figure(text, MOST_MS).filter(|ms| *ms >= 1.0).map(|ms| Span::from_secs(ms / 1e3))
+pub fn wait(text: &str) -> Option<Duration> {
+    figure(text, MOST_MS).filter(|ms| *ms >= 1.0).map(|ms| Duration::from_secs(ms / 1e3))
 }
 
 /// Milliseconds on one core; none inside where nothing is known.
-pub fn work(text: &str) -> Option<Option<Span>> {
-    figure(text, MOST_MS).map(|ms| Some(Span::from_secs(ms / 1e3)).filter(|_| ms > 0.0))
+pub fn work(text: &str) -> Option<Option<Duration>> {
+    figure(text, MOST_MS).map(|ms| Some(Duration::from_secs(ms / 1e3)).filter(|_| ms > 0.0))
 }
 
 /// Megabytes; none inside where nothing is known.
--- a/crates/gateway/src/wire/board.rs
+++ b/crates/gateway/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! The notice board: numbered changes of the list of engines, as JSON in the configuration and as frames.
+//! The discovery service: numbered changes of the list of engines, as JSON in the configuration and as frames.
 
 use larchfall_config::Names;
 use larchfall_policy::interface::EngineState;
@@ -84,7 +84,7 @@
     })
 }
 
-/// The number of the last event seen, as a front writes it.
+/// The number of the last event seen, as a gateway writes it.
 pub fn since(number: u64) -> [u8; 8] {
     number.to_be_bytes()
 }
--- a/crates/gateway/src/wire/http.rs
+++ b/crates/gateway/src/wire/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as it is spoken to query engines.
 
-use larchfall_policy::interface::{Note, Report};
-use larchfall_policy::time::Span;
+use larchfall_policy::interface::{LoadReport, ProgressUpdate};
+use larchfall_policy::time::Duration;
 use std::fmt::Display;
 
 /// No head of an engine is longer, and none has more lines.
@@ -13,8 +13,8 @@
 /// What starts a statement on an engine.
 pub struct Start<'a> {
     pub id: &'a str,
-    pub group: &'a str,
-    pub patience: Span,
+    pub class: &'a str,
+    pub patience: Duration,
     pub reference: Option<&'a str>,
     pub memory_mb: Option<f64>,
     pub priority: u8,
@@ -25,7 +25,7 @@
     let patience = (s.patience.micros() / 1000).max(1);
     let mut head = format!(
         "POST /obj HTTP/1.1\r\nHost: {host}\r\nX-Trace: {}\r\nX-Profile: {}\r\nX-Patience: {patience}\r\nRank: {}\r\n",
-        s.id, s.group, s.priority
+        s.id, s.class, s.priority
     );
     if let Some(reference) = s.reference {
         head += &format!("X-Op-Key: {reference}\r\n");
@@ -59,8 +59,8 @@
     pub declined: bool,
     pub pages: Option<u32>,
     pub page: Option<u32>,
-    pub note: Option<Note>,
-    pub report: Report,
+    pub note: Option<ProgressUpdate>,
+    pub report: LoadReport,
     /// The engine ends the connection after this.
     pub closes: bool,
     pub body: Vec<u8>,
@@ -135,19 +135,19 @@
     Ok(Some((reply, start + length)))
 }
 
-fn note(what: &str, figure: f64) -> Option<Note> {
+fn note(what: &str, figure: f64) -> Option<ProgressUpdate> {
     match what {
-        "advance" => Some(Note::Done(figure)),
-        "disk" => Some(Note::SpillsMb(figure)),
-        "stall" if figure < 1.5 => Some(Note::WaitsForMemory),
-        "stall" => Some(Note::WaitsForHolder),
+        "advance" => Some(ProgressUpdate::Done(figure)),
+        "disk" => Some(ProgressUpdate::SpillsMb(figure)),
+        "stall" if figure < 1.5 => Some(ProgressUpdate::WaitsForMemory),
+        "stall" => Some(ProgressUpdate::WaitsForHolder),
         _ => None,
     }
 }
 
 /// `inflight:7;util:0.61`, under the names of either page.
-fn report(text: &str) -> Report {
-    let mut report = Report::default();
+fn report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|part| part.split_once(':')) {
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite());
         match name.trim() {
--- a/crates/gateway/src/wire/rpc.rs
+++ b/crates/gateway/src/wire/rpc.rs
@@ -1,7 +1,7 @@
 //! MessagePack-RPC as clients speak it.
 
-use super::request::{self, Request};
-use larchfall_policy::time::Span;
+use super::client_request::{self, ClientRequest};
+use larchfall_policy::time::Duration;
 use rmp::Marker;
 use rmpv::ValueRef;
 use rmpv::decode::read_value_ref_with_max_depth;
@@ -17,7 +17,7 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
-    Batch(u32, Request<'a>),
+    Request(u32, ClientRequest<'a>),
     Ping(u32),
     /// The client stopped waiting for these.
     Abort(Vec<u32>),
@@ -147,8 +147,8 @@
             if method == "ping" {
                 return Ok(Message::Ping(id));
             }
-            Ok(match batch(method, params) {
-                Ok(request) => Message::Batch(id, request),
+            Ok(match request(method, params) {
+                Ok(client_request) => Message::Request(id, client_request),
                 Err(why) => Message::Unusable(id, why),
             })
         }
@@ -161,7 +161,7 @@
     }
 }
 
-fn batch<'a>(group: &'a str, params: &[ValueRef<'a>]) -> Result<Request<'a>, Malformed> {
+fn request<'a>(class: &'a str, params: &[ValueRef<'a>]) -> Result<ClientRequest<'a>, Malformed> {
     let [ValueRef::Map(fields), body] = params else { return Err("wanted fields and a body") };
     let ValueRef::Binary(statement) = body else { return Err("body is no bin") };
     // A field that is there in another form is no field that was left out.
@@ -171,24 +171,25 @@
     };
     let bad_id = "req is missing or unusable";
     let id = field("req", bad_id)?.ok_or(bad_id)?;
-    let number = request::id(id).ok_or(bad_id)?;
+    let number = client_request::id(id).ok_or(bad_id)?;
     let bad_wait = "timeout is missing or unusable";
-    let wait = field("timeout", bad_wait)?.and_then(request::wait).ok_or(bad_wait)?;
+    let wait = field("timeout", bad_wait)?.and_then(client_request::wait).ok_or(bad_wait)?;
     let bad_reference = "opkey is unusable";
     let reference = field("opkey", bad_reference)?;
-    if reference.is_some_and(|r| !request::is_reference(r)) {
+    if reference.is_some_and(|r| !client_request::is_reference(r)) {
         return Err(bad_reference);
     }
     let bad_key = "subject is unusable";
-    let key = field("subject", bad_key)?.map(|s| request::key(s).ok_or(bad_key)).transpose()?;
+    let key = field("subject", bad_key)?.map(|s| client_request::key(s).ok_or(bad_key)).transpose()?;
     let (bad_work, bad_memory) = ("ms is unusable", "est_mb is unusable");
-    let work = field("ms", bad_work)?.map(|t| request::work(t).ok_or(bad_work)).transpose()?;
-    let memory = field("est_mb", bad_memory)?.map(|t| request::memory(t).ok_or(bad_memory)).transpose()?;
-    Ok(Request {
-        group,
+    let work = field("ms", bad_work)?.map(|t| client_request::work(t).ok_or(bad_work)).transpose()?;
+    let memory =
+        field("est_mb", bad_memory)?.map(|t| client_request::memory(t).ok_or(bad_memory)).transpose()?;
+    Ok(ClientRequest {
+        class,
         id,
         number,
-        customer: field("owner", "owner is unusable")?.unwrap_or(""),
+        tenant: field("owner", "owner is unusable")?.unwrap_or(""),
         wait: Some(wait),
         reference,
         key,
@@ -203,7 +204,7 @@
 pub enum Answer<'a> {
     Returned(&'a [u8]),
     /// Trying again is harmless, best after the time given.
-    PushedBack(Option<Span>),
+    PushedBack(Option<Duration>),
     Errored(&'a str),
     Pong,
 }
--- a/crates/gateway/src/wire/statement.rs
+++ b/crates/gateway/src/wire/statement.rs
@@ -1,4 +1,4 @@
-//! The group of tables that a statement reads or writes: the number behind the underscore in the name of its
+//! The class of tables that a statement reads or writes: the number behind the underscore in the name of its
 //! schema. Names in strings and comments do not count, nor does the schema `staging`.
 
 /// One name of a chain like `sales_17.orders`, or what ends a chain.
--- a/crates/gateway/tests/front/codecs.rs
+++ b/crates/gateway/tests/gateway/codecs.rs
@@ -3,11 +3,11 @@
 use larchfall_config::Names;
 use larchfall_gateway::wire::http::{self, Reply, Start};
 use larchfall_gateway::wire::rpc::{self, Answer, Message, Scan};
-use larchfall_gateway::wire::{board, statement};
-use larchfall_policy::interface::{EngineState, Note, Report};
-use larchfall_policy::time::Span;
-use larchfall_stub::board::{Listed, frame};
+use larchfall_gateway::wire::{discovery, statement};
+use larchfall_policy::interface::{EngineState, LoadReport, ProgressUpdate};
+use larchfall_policy::time::Duration;
 use larchfall_stub::client::request;
+use larchfall_stub::discovery::{Listed, frame};
 use rmpv::Value;
 
 fn bytes(value: &Value) -> Vec<u8> {
@@ -35,9 +35,9 @@
         assert_eq!(Scan::default().whole(&input[..cut]), Ok(None), "cut at {cut}");
     }
     let twice = [&input[..], &input[..]].concat();
-    let Ok(Some((Message::Batch(7, r), used))) = rpc::decode(&twice) else { panic!("no batch") };
-    assert_eq!((used, r.group, r.id, r.customer), (input.len(), "report", "9b1f03aa5c7e2d41", "acme"));
-    assert_eq!((r.wait, r.work), (Some(Span::from_millis(1500)), Some(Span::from_micros(820_500))));
+    let Ok(Some((Message::Request(7, r), used))) = rpc::decode(&twice) else { panic!("no batch") };
+    assert_eq!((used, r.class, r.id, r.tenant), (input.len(), "report", "9b1f03aa5c7e2d41", "acme"));
+    assert_eq!((r.wait, r.work), (Some(Duration::from_millis(1500)), Some(Duration::from_micros(820_500))));
     assert_eq!((r.memory_mb, r.key), (Some(96.0), Some(0x7f3a_9c21_e0b4_d655)));
     assert_eq!((r.reference, r.statement), (Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), &b"select 1"[..]));
 }
@@ -144,7 +144,7 @@
         (Answer::Returned(b"1\ta\n"), Value::Nil, vec![Value::Binary(b"1\ta\n".to_vec()), none()].into()),
         (Answer::PushedBack(None), vec!["Rejected".into(), none()].into(), Value::Nil),
         (
-            Answer::PushedBack(Some(Span::from_millis(500))),
+            Answer::PushedBack(Some(Duration::from_millis(500))),
             vec!["Rejected".into(), field("holdoff", "500")].into(),
             Value::Nil,
         ),
@@ -165,8 +165,8 @@
         "10.0.0.1:7001",
         &Start {
             id: "9b1f03aa5c7e2d41",
-            group: "report",
-            patience: Span::from_micros(1_500_900),
+            class: "report",
+            patience: Duration::from_micros(1_500_900),
             reference: Some("5c0f"),
             memory_mb: Some(96.2),
             priority: 3,
@@ -201,7 +201,7 @@
             b"HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Stats: inflight:7;util:0.61\r\nContent-Length: 4\r\n\r\n1\ta\n",
             Ok(Some(Reply {
                 pages: Some(2),
-                report: Report { in_hand: Some(7.0), busy: Some(0.61) },
+                report: LoadReport { in_hand: Some(7.0), busy: Some(0.61) },
                 body: b"1\ta\n".to_vec(),
                 ..reply(200)
             })),
@@ -212,11 +212,11 @@
         ),
         (
             b"HTTP/1.1 202 OK\r\nX-Result: advance\r\nFigure: 0.25\r\nContent-Length: 0\r\n\r\n",
-            Ok(Some(Reply { note: Some(Note::Done(0.25)), ..reply(202) })),
+            Ok(Some(Reply { note: Some(ProgressUpdate::Done(0.25)), ..reply(202) })),
         ),
         (
             b"HTTP/1.1 202 OK\r\nX-Result: stall\r\nFigure: 2\r\nContent-Length: 0\r\n\r\n",
-            Ok(Some(Reply { note: Some(Note::WaitsForHolder), ..reply(202) })),
+            Ok(Some(Reply { note: Some(ProgressUpdate::WaitsForHolder), ..reply(202) })),
         ),
         (
             b"HTTP/1.1 202 OK\r\nX-Result: dance\r\nFigure: nan\r\nContent-Length: 0\r\n\r\n",
@@ -254,28 +254,30 @@
 }
 
 #[test]
-fn board_frames_and_known_lists_say_the_same() {
+fn discovery_frames_and_known_lists_say_the_same() {
     let listed =
         |id, state| Listed { id, address: "10.1.0.9:7001".parse().unwrap(), state, zone: 1, kind: 0 };
     let input = frame(41, true, &[listed(0x00c4_1f7a, 0), listed(2, 1), listed(3, 2)]);
     for cut in 0..input.len() {
-        assert_eq!(board::decode(&input[..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(discovery::decode(&input[..cut]), Ok(None), "cut at {cut}");
     }
-    let Ok(Some((board::Frame::News(event), used))) = board::decode(&input) else { panic!("no event") };
+    let Ok(Some((discovery::Frame::News(event), used))) = discovery::decode(&input) else {
+        panic!("no event")
+    };
     assert_eq!((used, event.number, event.whole), (input.len(), 41, true));
     let states: Vec<_> = event.entries.iter().map(|e| e.state).collect();
     assert_eq!(states, [EngineState::Ready, EngineState::Draining, EngineState::Gone]);
     let json = r#"{"rev":41,"notices":[{"rev":41,"pool":{"generation":7,"reset":true,"instances":[
         {"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:7001","zone":"west","machineType":"std","cell":0,
          "lifecycle":"up","weight":1,"startedAtMs":0}]}}]}"#;
-    let known = board::known(&serde_json::from_str(json).unwrap(), &names()).unwrap();
+    let known = discovery::known(&serde_json::from_str(json).unwrap(), &names()).unwrap();
     assert_eq!(known[0].entries[0], event.entries[0]);
     assert_eq!((known[0].number, known[0].whole), (41, true));
-    assert_eq!(board::since(41), [0, 0, 0, 0, 0, 0, 0, 41]);
+    assert_eq!(discovery::since(41), [0, 0, 0, 0, 0, 0, 0, 41]);
 }
 
 #[test]
-fn board_frames_that_are_none_are_told_apart() {
+fn discovery_frames_that_are_none_are_told_apart() {
     let mut unknown_kind = frame(1, true, &[]);
     unknown_kind[12] = 9;
     let mut odd = frame(1, true, &[]);
@@ -286,16 +288,16 @@
         true,
         &[Listed { id: 1, address: "10.0.0.1:1".parse().unwrap(), state: 7, zone: 0, kind: 0 }],
     );
-    assert!(board::decode(&state).is_err());
+    assert!(discovery::decode(&state).is_err());
     state[23] = 0;
-    assert!(board::decode(&state).is_ok());
+    assert!(discovery::decode(&state).is_ok());
     for (input, says) in [
         (vec![0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0], "frame of 8 bytes"),
         (vec![0xff, 0xff, 0xff, 0xff], "frame of 4294967295 bytes"),
         (unknown_kind, "frame of unknown kind 9"),
         (odd, "records of 1 bytes"),
     ] {
-        assert_eq!(board::decode(&input), Err(says.to_owned()));
+        assert_eq!(discovery::decode(&input), Err(says.to_owned()));
     }
 }
 
@@ -328,13 +330,13 @@
         ("select * from _4.orders", None),
         ("", None),
     ];
-    for (text, group) in cases {
-        assert_eq!(statement::table_group(text.as_bytes()), *group, "{text}");
+    for (text, class) in cases {
+        assert_eq!(statement::table_group(text.as_bytes()), *class, "{text}");
     }
 }
 
 /// Guards against messages that come in pieces and were read from their start at each: one without end took the
-/// whole front's processor time.
+/// whole gateway's processor time.
 #[test]
 fn a_message_is_looked_through_once_in_whatever_pieces_it_comes() {
     use rmpv::Value;
--- a/crates/gateway/tests/front/common.rs
+++ b/crates/gateway/tests/gateway/common.rs
@@ -1,7 +1,7 @@
-//! One front as a program of its own, with toy engines and a toy board around it.
+//! One gateway as a program of its own, with toy engines and a toy discovery service around it.
 
 use larchfall_fault_tests::process;
-use larchfall_stub::board::Board;
+use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::Engine;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,42 +12,47 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall");
 
-pub struct Front(process::Front);
+pub struct Gateway(process::Gateway);
 
-impl Deref for Front {
-    type Target = process::Front;
-    fn deref(&self) -> &process::Front {
+impl Deref for Gateway {
+    type Target = process::Gateway;
+    fn deref(&self) -> &process::Gateway {
         &self.0
     }
 }
 
-impl DerefMut for Front {
-    fn deref_mut(&mut self) -> &mut process::Front {
+impl DerefMut for Gateway {
+    fn deref_mut(&mut self) -> &mut process::Gateway {
         &mut self.0
     }
 }
 
-impl Front {
-    /// A front that knows this engine.
-    pub fn start(engine: Option<SocketAddr>) -> Front {
-        let board = Board::start("127.0.0.1:0").unwrap();
-        Front::start_on("127.0.0.1:0", board, engine, 256)
+impl Gateway {
+    /// A gateway that knows this engine.
+    pub fn start(engine: Option<SocketAddr>) -> Gateway {
+        let discovery = Discovery::start("127.0.0.1:0").unwrap();
+        Gateway::start_on("127.0.0.1:0", discovery, engine, 256)
     }
 
-    pub fn start_on(listen: &str, board: Board, engine: Option<SocketAddr>, sockets: usize) -> Front {
-        let text = config(listen, board.address, engine, sockets);
-        Front::start_with(board, &text)
+    pub fn start_on(
+        listen: &str,
+        discovery: Discovery,
+        engine: Option<SocketAddr>,
+        sockets: usize,
+    ) -> Gateway {
+        let text = config(listen, discovery.address, engine, sockets);
+        Gateway::start_with(discovery, &text)
     }
 
-    pub fn start_with(board: Board, text: &str) -> Front {
-        Front::start_site(board, text, None)
+    pub fn start_with(discovery: Discovery, text: &str) -> Gateway {
+        Gateway::start_site(discovery, text, None)
     }
 
     /// With the operator's own settings beside the configuration, and the paged protocol among them.
-    pub fn start_site(board: Board, text: &str, site: Option<&str>) -> Front {
-        let mut front = process::Front::start(PROGRAM, board, text, site, &[]);
-        front.rest = site.map(|_| process::address_in(&front.log.wait_for("listening for rest,")));
-        Front(front)
+    pub fn start_site(discovery: Discovery, text: &str, site: Option<&str>) -> Gateway {
+        let mut gateway = process::Gateway::start(PROGRAM, discovery, text, site, &[]);
+        gateway.rest = site.map(|_| process::address_in(&gateway.log.wait_for("listening for rest,")));
+        Gateway(gateway)
     }
 }
 
@@ -85,7 +90,7 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits until the front is about to connect here.
+    /// Waits until the gateway is about to connect here.
     pub fn until_dialled(&self) {
         let port = format!(":{:04X} 02 ", self.address().port());
         wait_for("the front to connect", || {
@@ -93,7 +98,7 @@
         });
     }
 
-    /// The front's own connection.
+    /// The gateway's own connection.
     pub fn let_in(&self) -> TcpStream {
         for _ in 0..self.filled {
             self.listener.accept().unwrap();
--- a/crates/gateway/tests/front/crossings.rs
+++ b/crates/gateway/tests/gateway/crossings.rs
@@ -1,10 +1,10 @@
 //! Moments in which two things cross, each forced: engines and clients here are scripts that hold, split or release bytes at
 //! a marked point. The list of them is docs/races.md.
 
-use crate::common::{Front, Full, PROGRAM, config, config_of, settings, wait_for};
+use crate::common::{Full, Gateway, PROGRAM, config, config_of, settings, wait_for};
 use larchfall_fault_tests::relay::{Relays, Way};
-use larchfall_stub::board::Board;
 use larchfall_stub::client::{Answer, Client, request};
+use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::{Act, Engine};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -135,8 +135,8 @@
         thread::sleep(Duration::from_millis(10));
         stream.write_all(&answer).is_ok()
     });
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     for (id, statement) in [(ID, "first"), (NEXT, "second")] {
         client.send("look", &fields(id, "20000"), statement).unwrap();
         assert_eq!(client.answer().unwrap().1, rows(&format!("{statement}\n")));
@@ -160,8 +160,8 @@
             let answer = if call.line.starts_with("post") { answer.clone() } else { served("own\n") };
             stream.write_all(&answer).is_ok()
         });
-        let front = Front::start(Some(engine.address));
-        let mut client = front.client();
+        let gateway = Gateway::start(Some(engine.address));
+        let mut client = gateway.client();
         client.send("once", &fields(ID, "20000"), "").unwrap();
         assert_eq!(client.answer().unwrap().1, rows("own\n"), "{said}");
         assert_eq!(engine.posts().len(), 1, "{said}");
@@ -172,16 +172,16 @@
 #[test]
 fn what_its_client_left_during_a_slow_dial_is_not_sent() {
     let engine = Full::start();
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", board.address, &[engine.address()], 256, &patient());
-    let front = Front::start_with(board, &text);
-    let mut client = front.client();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let text = config_of("127.0.0.1:0", discovery.address, &[engine.address()], 256, &patient());
+    let gateway = Gateway::start_with(discovery, &text);
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
     engine.until_dialled();
     drop(client);
-    front.log.wait_for("reason: client-closed");
+    gateway.log.wait_for("reason: client-closed");
     let stream = engine.let_in();
-    let mut next = front.client();
+    let mut next = gateway.client();
     // Whatever went out has come by then, and this one goes out on the connection that is up.
     next.send("look", &fields(NEXT, "25000"), "").unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -196,51 +196,51 @@
     let at_first = first.local_addr().unwrap();
     let second = Full::start();
     let short = patient().replace(r#""dedup_window":12000000"#, r#""dedup_window":1500000"#);
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", board.address, &[at_first], 256, &short);
-    let front = Front::start_with(board, &text);
-    let mut client = front.client();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let text = config_of("127.0.0.1:0", discovery.address, &[at_first], 256, &short);
+    let gateway = Gateway::start_with(discovery, &text);
+    let mut client = gateway.client();
     let sent = client.send("load", &keyed(ID, "25000"), "").unwrap();
     let (held, _) = first.accept().unwrap();
     let began = Instant::now();
     assert!(read_call(&mut BufReader::new(held.try_clone().unwrap())).is_some());
     // The other one joins before the first one dies with the call in its hands.
-    front.list(2, &[(1, at_first, 0), (2, second.address(), 0)]);
+    gateway.list(2, &[(1, at_first, 0), (2, second.address(), 0)]);
     wait_for("the front to hear of it", || {
-        front.signal("-USR1");
-        front.log.last("board_events=")?.contains("board_events=2").then_some(())
+        gateway.signal("-USR1");
+        gateway.log.last("board_events=")?.contains("board_events=2").then_some(())
     });
     drop((first, held));
     second.until_dialled();
     wait_for("the window to end", || (began.elapsed() > Duration::from_millis(1600)).then_some(()));
     let stream = second.let_in();
     assert!(matches!(client.answer().unwrap(), (id, Answer::Error(..)) if id == sent));
-    drop(front);
+    drop(gateway);
     assert_eq!(all_of(stream), "", "a repeat after its window");
 }
 
-/// Guards against a client that sends much and goes: all of it lies there when the front reads, its end behind it.
+/// Guards against a client that sends much and goes: all of it lies there when the gateway reads, its end behind it.
 #[test]
 fn what_a_client_sent_that_is_gone_when_it_is_read_is_not_sent_on() {
     let engine =
         Engine::start("127.0.0.1:0", |_| Act::Serve(Duration::ZERO, vec![b"ok\n".to_vec()])).unwrap();
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
     // The connection to the engine is at hand by then: nothing holds a call back.
     thread::sleep(Duration::from_millis(100));
-    front.stop();
+    gateway.stop();
     let stopped = Instant::now();
-    let mut much = front.client();
+    let mut much = gateway.client();
     for n in 0..200 {
         much.send("look", &fields(&format!("{n:016x}"), "20000"), "gone").unwrap();
     }
     drop(much);
     // As after a stall: between two reads of one connection others have their turn.
     wait_for("it to have stood still", || (stopped.elapsed() > Duration::from_millis(400)).then_some(()));
-    front.signal("-CONT");
-    front.log.wait_for("client connection ended");
+    gateway.signal("-CONT");
+    gateway.log.wait_for("client connection ended");
     client.send("look", &fields(NEXT, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
     let gone = engine.seen().started.iter().filter(|c| c.statement == b"gone").count();
@@ -264,13 +264,13 @@
         let takes = Duration::from_millis(takes);
         let engine =
             Engine::start("127.0.0.1:0", move |_| Act::Serve(takes, vec![b"ok\n".to_vec()])).unwrap();
-        let front = Front::start(Some(engine.address));
-        let mut client = front.client();
+        let gateway = Gateway::start(Some(engine.address));
+        let mut client = gateway.client();
         let bytes = [bytes_of(1, &fields(ID, "20000"), ""), more].concat();
         client.raw(&bytes).unwrap();
         assert_eq!(client.answer().unwrap(), (1, rows("ok\n")), "{reason}");
         assert!(client.is_ended(), "{reason}");
-        front.log.wait_for(&format!("reason: {reason}"));
+        gateway.log.wait_for(&format!("reason: {reason}"));
     }
 }
 
@@ -288,9 +288,9 @@
     });
     let left = |began: Instant| 5_000 - began.elapsed().as_millis() as u64 + SLACK;
     // Of 64 descriptors 16 are for clients.
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let front = Front::start_on("127.0.0.1:0", board, Some(engine.address), 64);
-    let mut slow = front.client();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let gateway = Gateway::start_on("127.0.0.1:0", discovery, Some(engine.address), 64);
+    let mut slow = gateway.client();
     let bytes = bytes_of(1, &fields(ID, "5000"), "slow");
     let began = Instant::now();
     slow.raw(&bytes[..bytes.len() / 2]).unwrap();
@@ -301,12 +301,12 @@
     assert!(patience(&posts[0].head) <= left(began), "written slowly: {}", posts[0].head);
     drop(slow);
     // One that waits in the listener's queue while all places are taken and in use.
-    let mut busy: Vec<Client> = (0..16).map(|_| front.client()).collect();
+    let mut busy: Vec<Client> = (0..16).map(|_| gateway.client()).collect();
     for (n, client) in busy.iter_mut().enumerate() {
         client.send("look", &fields(&format!("{n:016x}"), "25000"), "long").unwrap();
     }
     wait_for("all places to be in use", || (engine.posts().len() >= 17).then_some(()));
-    let mut queued = front.client();
+    let mut queued = gateway.client();
     let began = Instant::now();
     queued.send("look", &fields(NEXT, "5000"), "queued").unwrap();
     thread::sleep(Duration::from_millis(500));
@@ -317,11 +317,11 @@
     assert!(patience(&call.head) <= left(began), "waited in the queue: {}", call.head);
     // One whose connection comes up late.
     let full = Full::start();
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", board.address, &[full.address()], 256, &patient());
-    let front = Front::start_with(board, &text);
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let text = config_of("127.0.0.1:0", discovery.address, &[full.address()], 256, &patient());
+    let gateway = Gateway::start_with(discovery, &text);
     let began = Instant::now();
-    let mut client = front.client();
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "5000"), "").unwrap();
     full.until_dialled();
     thread::sleep(Duration::from_millis(500));
@@ -329,9 +329,9 @@
     assert!(patience(&call.head) <= left(began), "dialled: {}", call.head);
 }
 
-/// Guards against a signal that ends a front which is not ready yet: its handlers came last.
+/// Guards against a signal that ends a gateway which is not ready yet: its handlers came last.
 #[test]
-fn a_signal_before_a_front_is_ready_waits_until_it_is() {
+fn a_signal_before_a_gateway_is_ready_waits_until_it_is() {
     for (signal, line) in [("-HUP", "configuration read again"), ("-TERM", "told to stop")] {
         let path = std::env::temp_dir().join(format!("larchfall-{}{signal}", std::process::id()));
         let _ = std::fs::remove_file(&path);
@@ -347,8 +347,8 @@
             (u64::from_str_radix(&caught, 16).unwrap() & 0x4001 == 0x4001).then_some(())
         });
         assert!(Command::new("kill").args([signal, &id.to_string()]).status().unwrap().success());
-        let board = Board::start("127.0.0.1:0").unwrap();
-        let text = config("127.0.0.1:0", board.address, None, 256);
+        let discovery = Discovery::start("127.0.0.1:0").unwrap();
+        let text = config("127.0.0.1:0", discovery.address, None, 256);
         let writes = {
             let (path, text) = (path.clone(), text.clone());
             thread::spawn(move || std::fs::write(path, text))
@@ -376,7 +376,7 @@
     }
 }
 
-/// Guards against an answer that waits for the end of what was called off: a key in order whose batch may run again is
+/// Guards against an answer that waits for the end of what was called off: a key in order whose request may run again is
 /// called off for its pace, and its engine, asked to stop, says nothing.
 #[test]
 fn what_is_called_off_has_its_answer_in_time_whatever_its_key_waits_for() {
@@ -391,10 +391,10 @@
         r#""effect":"idempotency_key","key_scope":"all","dedup_window":12000000"#,
         r#""effect":"read_like""#,
     );
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", board.address, &[engine.address], 256, &again);
-    let front = Front::start_with(board, &text);
-    let mut client = front.client();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let text = config_of("127.0.0.1:0", discovery.address, &[engine.address], 256, &again);
+    let gateway = Gateway::start_with(discovery, &text);
+    let mut client = gateway.client();
     let began = Instant::now();
     client.send("load", &keyed(ID, "1500"), "").unwrap();
     assert_eq!(client.answer().unwrap(), (1, refused()));
@@ -404,24 +404,24 @@
 
 /// Guards against an end that comes by a second signal, or while the files are read again, or between two pieces of a request.
 #[test]
-fn told_to_stop_twice_and_while_it_reads_its_files_a_front_answers_what_comes_in_pieces() {
+fn told_to_stop_twice_and_while_it_reads_its_files_a_gateway_answers_what_comes_in_pieces() {
     let takes = Duration::from_millis(300);
     let engine = Engine::start("127.0.0.1:0", move |_| Act::Serve(takes, vec![b"ok\n".to_vec()])).unwrap();
-    let mut front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let mut gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     let bytes = bytes_of(1, &fields(ID, "20000"), "");
     client.raw(&bytes[..9]).unwrap();
     // A file that nobody writes: whoever reads it waits.
-    std::fs::remove_file(&front.file).unwrap();
-    assert!(Command::new("mkfifo").arg(&front.file).status().unwrap().success());
-    front.signal("-HUP");
-    front.signal("-TERM");
-    front.log.wait_for("told to stop");
-    front.signal("-TERM");
+    std::fs::remove_file(&gateway.file).unwrap();
+    assert!(Command::new("mkfifo").arg(&gateway.file).status().unwrap().success());
+    gateway.signal("-HUP");
+    gateway.signal("-TERM");
+    gateway.log.wait_for("told to stop");
+    gateway.signal("-TERM");
     client.raw(&bytes[9..]).unwrap();
     assert_eq!(client.answer().unwrap(), (1, rows("ok\n")));
     assert!(client.is_ended());
-    assert!(front.ended().success());
+    assert!(gateway.ended().success());
 }
 
 /// Guards against idle clients that take what a connection to discovery or to an engine needs.
@@ -430,27 +430,27 @@
     let serves =
         || Engine::start("127.0.0.1:0", |_| Act::Serve(Duration::ZERO, vec![b"ok\n".to_vec()])).unwrap();
     let (old, new) = (serves(), serves());
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let way = Relays::start(1, &[board.address]).unwrap();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let way = Relays::start(1, &[discovery.address]).unwrap();
     // Of 64 descriptors 16 are for clients.
     let text = config_of("127.0.0.1:0", way.address(0, 0), &[old.address], 64, &settings());
-    let front = Front::start_with(board, &text);
-    let mut client = front.client();
+    let gateway = Gateway::start_with(discovery, &text);
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
     way.set(|_, _| true, Way::Cut);
-    front.log.wait_for("notice board connection ended");
+    gateway.log.wait_for("notice board connection ended");
     // More than it has descriptors for, and as many as it takes say something.
-    let mut idle: Vec<Client> = (0..100).map(|_| front.client()).collect();
+    let mut idle: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
     idle.iter_mut().take(16).for_each(|client| _ = client.ping());
     wait_for("all places to be taken", || {
-        front.signal("-USR1");
-        front.log.last("most_clients=")?.contains("most_clients=16").then_some(())
+        gateway.signal("-USR1");
+        gateway.log.last("most_clients=")?.contains("most_clients=16").then_some(())
     });
-    front.list(2, &[(2, new.address, 0)]);
+    gateway.list(2, &[(2, new.address, 0)]);
     way.set(|_, _| true, Way::Sound);
     wait_for("what discovery told to be heard", || {
-        let mut client = front.client();
+        let mut client = gateway.client();
         client.send("look", &fields(NEXT, "20000"), "").ok()?;
         let _ = client.answer();
         (!new.seen().started.is_empty()).then_some(())
--- a/crates/gateway/tests/front/memory.rs
+++ b/crates/gateway/tests/gateway/memory.rs
@@ -1,8 +1,8 @@
 //! What memory keeps, part by part, and the configuration and command line, without the program.
 
 use crate::common;
+use larchfall_gateway::cluster::ask::What;
 use larchfall_gateway::engines::link::{Fault, Link, NoLink};
-use larchfall_gateway::fronts::ask::What;
 use larchfall_gateway::run::command::{Asked, Task, parse};
 use larchfall_gateway::run::config;
 use larchfall_gateway::run::parts::unix_time;
@@ -16,10 +16,10 @@
 use larchfall_gateway::state::permits::Permits;
 use larchfall_gateway::state::pool::{Pool, RESTS};
 use larchfall_gateway::state::stalls::Stalls;
-use larchfall_gateway::wire::board::{Entry, Event};
+use larchfall_gateway::wire::discovery::{Entry, Event};
 use larchfall_gateway::wire::{http, rpc};
 use larchfall_policy::interface::{EngineState, Outcome};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_stub::engine::{Act, Engine};
 use may::io::WaitIo;
 use may::sync::Blocker;
@@ -28,16 +28,16 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
-fn ms(n: u64) -> At {
-    At::from_micros(1_000_000_000) + Span::from_millis(n)
+fn ms(n: u64) -> Timestamp {
+    Timestamp::from_micros(1_000_000_000) + Duration::from_millis(n)
 }
 
 #[test]
 fn waits_are_never_rounded_down_to_none() {
     for (us, expected) in [(0, 0), (1, 1), (999, 1), (1000, 1), (1001, 2), (250_000, 250)] {
-        assert_eq!(wait(Span::from_micros(us)), Duration::from_millis(expected), "{us} us");
+        assert_eq!(wait(Duration::from_micros(us)), StdDuration::from_millis(expected), "{us} us");
     }
 }
 
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn after_a_long_stall_the_board_is_heard_first() {
-    // Stood still until, asked at, the board heard last at; how long nothing is sent yet.
+fn after_a_long_stall_the_discovery_is_heard_first() {
+    // Stood still until, asked at, the discovery service heard last at; how long nothing is sent yet.
     let cases = [
         ("none", 130, 140, 0, 0),
         ("a short one", 900, 910, 0, 0),
@@ -97,7 +97,7 @@
         let stalls = Stalls::start(ms(100));
         stalls.beat(ms(woke));
         (woke..now).step_by(20).for_each(|n| _ = stalls.beat(ms(n)));
-        assert_eq!(stalls.deaf_for(ms(now), ms(heard)), Span::from_millis(expected), "{what}");
+        assert_eq!(stalls.deaf_for(ms(now), ms(heard)), Duration::from_millis(expected), "{what}");
     }
 }
 
@@ -139,7 +139,7 @@
         let Changes { told: got, moved, new } = engines.follow(&event);
         let told: Vec<usize> = got.iter().map(|(e, _)| *e).collect();
         assert_eq!([&told[..], &new, &moved], expected, "{event:?}");
-        assert!(got.iter().all(|(_, e)| e.started == Some(At::from_micros(5000))));
+        assert!(got.iter().all(|(_, e)| e.started == Some(Timestamp::from_micros(5000))));
     }
     let port = |e| engines.home(e).map(|home: Home| home.address.port());
     assert_eq!((engines.seen(), port(2), port(1)), (5, Some(4), Some(2)));
@@ -162,7 +162,7 @@
     Home { address: address.to_string().parse().unwrap(), era: 1 }
 }
 
-const SOON: Duration = Duration::from_secs(20);
+const SOON: StdDuration = StdDuration::from_secs(20);
 
 /// Alarms and the timer that goes through them, for as long as somebody has them.
 fn alarms() -> (Clock, Arc<Alarms>) {
@@ -174,8 +174,8 @@
         while let Some(alarms) = all.upgrade() {
             let next = alarms.ring(&timer);
             drop(alarms);
-            let _ =
-                timer.park(Some(next.map_or(SOON, |next| clock.left(next)).min(Duration::from_millis(20))));
+            let _ = timer
+                .park(Some(next.map_or(SOON, |next| clock.left(next)).min(StdDuration::from_millis(20))));
         }
     });
     (clock, alarms)
@@ -192,7 +192,7 @@
     in_coroutine(|| {
         let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
         let closing = TcpListener::bind("127.0.0.1:0").unwrap();
-        let pool = Pool::new(2, Span::from_millis(10_000));
+        let pool = Pool::new(2, Duration::from_millis(10_000));
         let open = |address| Link::open(v4(address), SOON).unwrap();
         pool.keep(0, open(engine.address), ms(0));
         assert!(pool.idle(1, v4(engine.address), ms(10)).is_none(), "of another engine");
@@ -215,7 +215,7 @@
         pool.keep(0, open(engine.address), ms(0));
         pool.forget(0);
         assert!(pool.idle(0, v4(engine.address), ms(1)).is_none(), "its engine is gone");
-        let pool = Pool::new(4, Span::from_millis(10_000));
+        let pool = Pool::new(4, Duration::from_millis(10_000));
         [0, 20, 100].iter().for_each(|at| pool.keep(0, open(engine.address), ms(*at)));
         let rested = |now| pool.idle(0, v4(engine.address), ms(now)).map(|(_, rested)| rested);
         assert_eq!(rested(110), Some(ms(20) + RESTS), "the youngest of those that have rested");
@@ -228,11 +228,11 @@
 fn permits_bound_all_connections_and_idle_ones_make_room() {
     in_coroutine(|| {
         let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
-        let pool = Pool::new(2, Span::from_millis(10_000));
+        let pool = Pool::new(2, Duration::from_millis(10_000));
         let (clock, alarms) = alarms();
         assert!(pool.acquire(1, None) && pool.acquire(1, None));
         assert!(!pool.acquire(1, None), "all taken");
-        assert!(!pool.acquire(1, Some((&alarms, clock.now() + Span::from_millis(1)))), "none came free");
+        assert!(!pool.acquire(1, Some((&alarms, clock.now() + Duration::from_millis(1)))), "none came free");
         for e in 0..4 {
             pool.keep(e, Link::open(v4(engine.address), SOON).unwrap(), ms(e as u64));
         }
@@ -249,7 +249,7 @@
     in_coroutine(|| {
         let permits = Arc::new(Permits::new(1));
         let (clock, alarms) = alarms();
-        let (all, within) = (alarms.clone(), move |wait| clock.now() + Span::from_millis(wait));
+        let (all, within) = (alarms.clone(), move |wait| clock.now() + Duration::from_millis(wait));
         assert!(permits.take(1, None) && !permits.take(3, None));
         let order = Arc::new(Mutex::new(Vec::new()));
         let waiting: Vec<_> = [(1, 'a'), (3, 'b'), (1, 'c'), (2, 'd'), (3, 'e')]
@@ -264,7 +264,7 @@
                     held
                 });
                 while permits.waiting() <= before {
-                    may::coroutine::sleep(Duration::from_millis(1));
+                    may::coroutine::sleep(StdDuration::from_millis(1));
                 }
                 waits
             })
@@ -283,7 +283,7 @@
 fn calls_on_a_connection_fail_by_what_is_known() {
     in_coroutine(|| {
         let clock = Clock::start(unix_time());
-        let until = |ms| clock.now() + Span::from_millis(ms);
+        let until = |ms| clock.now() + Duration::from_millis(ms);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = v4(listener.local_addr().unwrap());
         let mut late = Link::open(address, SOON).unwrap();
@@ -297,7 +297,7 @@
         cutter.join().unwrap().unwrap();
         let nobody = common::nobody();
         assert_eq!(Link::open(v4(nobody.address), SOON).err(), Some(NoLink::Refused));
-        assert_eq!(Link::open(address, Duration::ZERO).err(), Some(NoLink::Silent));
+        assert_eq!(Link::open(address, StdDuration::ZERO).err(), Some(NoLink::Silent));
         let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
         let mut link = Link::open(v4(engine.address), SOON).unwrap();
         for _ in 0..2 {
@@ -329,7 +329,7 @@
             let mut link = Link::open(v4(listener.local_addr().unwrap()), SOON).unwrap();
             let (mut engine, _) = listener.accept().unwrap();
             engine.write_all(writes.as_bytes()).unwrap();
-            let got = link.call(b"x", &clock, clock.now() + Span::from_millis(600_000)).map(|r| r.status);
+            let got = link.call(b"x", &clock, clock.now() + Duration::from_millis(600_000)).map(|r| r.status);
             assert_eq!(got, brings, "{writes}");
             assert!(got.is_err() || link.is_quiet() == of_use, "{writes}");
         });
@@ -386,12 +386,12 @@
 }
 
 #[test]
-fn counters_tell_groups_and_outcomes_apart() {
+fn counters_tell_classes_and_outcomes_apart() {
     let counters = Counters::new(2);
-    counters.group(0, |c| c.taken += 2);
+    counters.class(0, |c| c.taken += 2);
     counters.outcome(1, Outcome::Reset);
     counters.outcome(1, Outcome::Moot);
-    counters.group(9, |c| c.taken += 1);
+    counters.class(9, |c| c.taken += 1);
     let lines = counters.lines(&["a".into(), "b".into()]);
     assert!(lines[0].starts_with("group=a taken=2 returned=0"), "{}", lines[0]);
     assert!(lines[1].contains("dispatches=2") && lines[1].contains("reset=1") && lines[1].contains("moot=1"));
@@ -468,7 +468,7 @@
 fn the_command_line_refuses_what_it_does_not_know() {
     let ok = |task, config: Option<&str>, site: Option<&str>| {
         let (config, site) = (config.map(str::to_owned), site.map(str::to_owned));
-        Ok(Asked { task, config, site, command: Vec::new(), end: Span::ZERO, fronts: 0, chart: None })
+        Ok(Asked { task, config, site, command: Vec::new(), end: Duration::ZERO, gateways: 0, chart: None })
     };
     let minds = Asked {
         command: vec!["sh".into(), "-c".into(), "--end-ms".into()],
@@ -476,15 +476,15 @@
     };
     type Case<'a> = (&'a [&'a str], Result<Asked, &'static str>);
     let subsets =
-        Asked { fronts: 300, chart: Some("c".into()), ..ok(Task::Subsets, Some("a"), None).unwrap() };
+        Asked { gateways: 300, chart: Some("c".into()), ..ok(Task::Subsets, Some("a"), None).unwrap() };
     let cases: [Case; 19] = [
         (&["engines", "--site", "b"], ok(Task::Ask(What::Engines), None, Some("b"))),
         (&["subsets", "--config", "a", "--fronts", "300", "--chart=c"], Ok(subsets)),
         (&["serve", "--fronts", "3"], Err("invalid option '--fronts'")),
-        (&["fronts", "--site", "b"], ok(Task::Ask(What::Fronts), None, Some("b"))),
+        (&["fronts", "--site", "b"], ok(Task::Ask(What::Gateways), None, Some("b"))),
         (
             &["mind", "--end-ms", "7", "--", "sh", "-c", "--end-ms"],
-            Ok(Asked { end: Span::from_millis(7), ..minds }),
+            Ok(Asked { end: Duration::from_millis(7), ..minds }),
         ),
         (&["mind", "--site", "b"], Err("invalid option '--site'")),
         (&[], ok(Task::Serve, None, None)),
@@ -525,9 +525,9 @@
     let here = || thread::current().id();
     let at = may::go!(move || {
         let before = here();
-        alarms.sleep(Span::from_millis(3));
+        alarms.sleep(Duration::from_millis(3));
         let rested = here();
-        alarms.park(&Blocker::current(), clock.now() + Span::from_millis(3));
+        alarms.park(&Blocker::current(), clock.now() + Duration::from_millis(3));
         (before, rested, here(), alarms.asleep())
     });
     let (before, rested, parked, asleep) = at.join().unwrap();
@@ -553,7 +553,7 @@
         let (alarms, ended) = (alarms.clone(), ended.clone());
         may::go!(move || {
             for _ in 0..times {
-                alarms.sleep(Span::from_millis(1));
+                alarms.sleep(Duration::from_millis(1));
                 ended.fetch_add(1, Ordering::Relaxed);
             }
         });
