--- a/crates/gateway/tests/front/rest.rs
+++ b/crates/gateway/tests/gateway/rest.rs
@@ -1,9 +1,9 @@
-//! The paged protocol on loopback sockets: a front with its site file, toy engines and toy clients of both kinds.
+//! The paged protocol on loopback sockets: a gateway with its site file, toy engines and toy clients of both kinds.
 
-use crate::common::{Front, config, site, until_seen, wait_for};
+use crate::common::{Gateway, config, site, until_seen, wait_for};
 use larchfall_paged_rest::document::{Document, State};
-use larchfall_stub::board::Board;
 use larchfall_stub::client::Answer as Whole;
+use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::{Act, Engine};
 use larchfall_stub::rest::{Answer, RestClient, path};
 use std::io::Write;
@@ -20,10 +20,10 @@
 kept-for-ms = 700
 statement-bytes = 1000";
 
-fn front(engine: Option<SocketAddr>) -> Front {
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let text = config("127.0.0.1:0", board.address, engine, 256);
-    Front::start_site(board, &text, Some(&site(REST)))
+fn gateway(engine: Option<SocketAddr>) -> Gateway {
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let text = config("127.0.0.1:0", discovery.address, engine, 256);
+    Gateway::start_site(discovery, &text, Some(&site(REST)))
 }
 
 fn engine(act: Act) -> Engine {
@@ -34,12 +34,12 @@
     texts.iter().map(|t| t.as_bytes().to_vec()).collect()
 }
 
-fn head(group: &str) -> Vec<(&str, &str)> {
-    vec![("X-Trino-User", "acme"), ("X-Trino-Source", group)]
+fn head(class: &str) -> Vec<(&str, &str)> {
+    vec![("X-Trino-User", "acme"), ("X-Trino-Source", class)]
 }
 
-fn post(client: &mut RestClient, group: &str, statement: &str) -> Answer {
-    client.call("POST", "/v1/statement", &head(group), statement.as_bytes()).unwrap()
+fn post(client: &mut RestClient, class: &str, statement: &str) -> Answer {
+    client.call("POST", "/v1/statement", &head(class), statement.as_bytes()).unwrap()
 }
 
 fn document(answer: &Answer) -> Document {
@@ -64,14 +64,14 @@
 fn a_result_comes_in_pages_that_stay_the_same() {
     let texts = ["a\tb\n", "c\td\n", "e\tf\ng\th\n", "i\tj\n"];
     let engine = engine(Act::Serve(Duration::ZERO, pages(&texts)));
-    let front = front(Some(engine.address));
-    let mut client = front.rest_client();
+    let gateway = gateway(Some(engine.address));
+    let mut client = gateway.rest_client();
     let first = post(&mut client, "look", "select 1");
     let mut seen = vec![document(&first)];
     let mut paths = Vec::new();
     while let Some(next) = seen.last().unwrap().next_uri.clone() {
         let page = client.call("GET", path(&next), &[], b"").unwrap();
-        let again = front.rest_client().call("GET", path(&next), &[], b"").unwrap();
+        let again = gateway.rest_client().call("GET", path(&next), &[], b"").unwrap();
         assert_eq!(document(&page).data, document(&again).data, "asked for again, on another connection");
         seen.push(document(&page));
         paths.push(path(&next).to_owned());
@@ -87,13 +87,13 @@
     assert_eq!((status("/v1/info"), status("/"), status("/v1/statement")), (200, 404, 405));
     wait_for("the result to leave memory", || (status(paths.last().unwrap()) == 410).then_some(()));
     assert_eq!(engine.seen().started.len(), 1);
-    front.signal("-USR1");
-    assert!(front.log.wait_for("results_read").contains("results_read=1 results_left=0"));
+    gateway.signal("-USR1");
+    assert!(gateway.log.wait_for("results_read").contains("results_read=1 results_left=0"));
 }
 
 #[test]
-fn each_end_of_a_batch_has_its_one_answer() {
-    // What the engine does, the group, the answer's status and error, how often the statement came.
+fn each_end_of_a_request_has_its_one_answer() {
+    // What the engine does, the class, the answer's status and error, how often the statement came.
     let cases = [
         (Act::Serve(Duration::from_millis(500), pages(&["late\n"])), "look", 200, None, 1),
         (Act::Serve(Duration::ZERO, pages(&[""])), "once", 200, None, 1),
@@ -102,29 +102,29 @@
         (Act::Cut, "once", 200, Some("GENERIC_INTERNAL_ERROR"), 1),
         (Act::Fail, "look", 429, Some("QUERY_QUEUE_FULL"), 0),
     ];
-    for (act, group, status, error, times) in cases {
+    for (act, class, status, error, times) in cases {
         let engine = engine(act.clone());
-        let front = front(Some(engine.address));
-        let mut client = front.rest_client();
-        let first = post(&mut client, group, "select 1");
-        assert_eq!(first.status, status, "{act:?} for {group}: {}", String::from_utf8_lossy(&first.body));
+        let gateway = gateway(Some(engine.address));
+        let mut client = gateway.rest_client();
+        let first = post(&mut client, class, "select 1");
+        assert_eq!(first.status, status, "{act:?} for {class}: {}", String::from_utf8_lossy(&first.body));
         if status == 429 {
             assert_eq!(first.field("retry-after"), Some("1"));
             assert!(String::from_utf8_lossy(&first.body).contains(error.unwrap()), "{act:?}");
         } else {
             let last = follow(&mut client, first).pop().unwrap();
-            assert_eq!(last.error.map(|e| e.error_name), error.map(str::to_owned), "{act:?} for {group}");
+            assert_eq!(last.error.map(|e| e.error_name), error.map(str::to_owned), "{act:?} for {class}");
         }
         let started = engine.seen().started.len();
-        assert!(times == 0 || started == times, "{act:?} for {group}: started {started}");
+        assert!(times == 0 || started == times, "{act:?} for {class}: started {started}");
     }
 }
 
 #[test]
 fn what_can_not_be_used_is_named_and_sent_to_no_engine() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
-    let front = front(Some(engine.address));
-    let mut client = front.rest_client();
+    let gateway = gateway(Some(engine.address));
+    let mut client = gateway.rest_client();
     let user = ("X-Trino-User", "acme");
     let load = ("X-Trino-Source", "load");
     let session = ("X-Trino-Session", "time_limit_ms=soon");
@@ -149,14 +149,14 @@
     assert_eq!(post(&mut client, "look", &long).status, 200, "at the limit");
     assert_eq!(post(&mut client, "look", &(long + "x")).status, 413);
     assert!(client.answer().is_err(), "the connection ends");
-    front.log.wait_for("detail: body too long");
+    gateway.log.wait_for("detail: body too long");
 }
 
 #[test]
 fn calls_come_in_chunks_in_a_row_and_with_a_word_before_the_body() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
-    let front = front(Some(engine.address));
-    let mut client = front.rest_client();
+    let gateway = gateway(Some(engine.address));
+    let mut client = gateway.rest_client();
     let fields = "Host: h\r\nX-Trino-User: acme\r\nX-Trino-Source: look\r\n";
     let chunked = format!("POST /v1/statement HTTP/1.1\r\n{fields}Transfer-Encoding: chunked\r\n\r\n");
     client
@@ -177,7 +177,7 @@
     // Both families of headers are told apart by the file; a connection ends when its client asks for that.
     let closes = client.call("GET", "/v1/info", &[("Connection", "close")], b"").unwrap();
     assert_eq!(closes.field("connection"), Some("close"));
-    front.log.wait_for("reason: asked-to-close");
+    gateway.log.wait_for("reason: asked-to-close");
 }
 
 #[test]
@@ -188,9 +188,9 @@
     for (engine, reads, says) in
         [(&slow, 0, false), (&slow, 1, true), (&many, 0, false), (&many, 2, false), (&many, 1, true)]
     {
-        let front = front(Some(engine.address));
+        let gateway = gateway(Some(engine.address));
         let given_up = engine.seen().given_up.len();
-        let mut client = front.rest_client();
+        let mut client = gateway.rest_client();
         let mut last = document(&post(&mut client, "once", "select 1"));
         for _ in 0..reads {
             last = document(&client.call("GET", path(&last.next_uri.unwrap()), &[], b"").unwrap());
@@ -204,24 +204,24 @@
             drop(client);
         }
         until_seen(engine, "the query to be given up", |s| s.given_up.len() > given_up);
-        let answer = front.rest_client().call("GET", path(&next), &[], b"").unwrap();
+        let answer = gateway.rest_client().call("GET", path(&next), &[], b"").unwrap();
         assert_eq!(answer.status, 410, "its pages are gone");
         wait_for("the end to be counted", || {
-            front.signal("-USR1");
-            (front.log.count("results_read=0 results_left=1") > 0).then_some(())
+            gateway.signal("-USR1");
+            (gateway.log.count("results_read=0 results_left=1") > 0).then_some(())
         });
     }
 }
 
 #[test]
 fn a_page_lost_after_others_were_handed_on_ends_the_result_and_before_that_it_begins_anew() {
-    for (group, act) in [("once", Act::LosePage), ("look", Act::LosePage)] {
+    for (class, act) in [("once", Act::LosePage), ("look", Act::LosePage)] {
         let engine = engine(act);
-        let front = front(Some(engine.address));
-        let mut client = front.rest_client();
-        let first = post(&mut client, group, "select 1");
+        let gateway = gateway(Some(engine.address));
+        let mut client = gateway.rest_client();
+        let first = post(&mut client, class, "select 1");
         // None of its rows was handed on: once-only ends in an error, what may run again was tried again.
-        if group == "once" {
+        if class == "once" {
             let all = follow(&mut client, first);
             assert!(rows(&all).is_empty() && all.last().unwrap().error.is_some());
             assert_eq!(engine.seen().started.len(), 1);
@@ -236,8 +236,8 @@
 fn a_slow_reader_holds_its_engine_back_and_loses_nothing() {
     let texts: Vec<String> = (0..12).map(|n| format!("{n}\n")).collect();
     let engine = engine(Act::Serve(Duration::ZERO, texts.iter().map(|t| t.clone().into_bytes()).collect()));
-    let front = front(Some(engine.address));
-    let mut client = front.rest_client();
+    let gateway = gateway(Some(engine.address));
+    let mut client = gateway.rest_client();
     let mut all = vec![document(&post(&mut client, "once", "select 1"))];
     while let Some(next) = all.last().unwrap().next_uri.clone() {
         std::thread::sleep(Duration::from_millis(250));
@@ -248,12 +248,12 @@
 }
 
 #[test]
-fn batches_of_one_key_run_one_at_a_time_over_both_protocols() {
+fn requests_of_one_key_run_one_at_a_time_over_both_protocols() {
     let engine = engine(Act::Serve(Duration::from_millis(150), pages(&["ok\n"])));
-    let front = front(Some(engine.address));
+    let gateway = gateway(Some(engine.address));
     let key = "00000000000000ab";
-    let mut whole = front.client();
-    let mut paged: Vec<RestClient> = (0..2).map(|_| front.rest_client()).collect();
+    let mut whole = gateway.client();
+    let mut paged: Vec<RestClient> = (0..2).map(|_| gateway.rest_client()).collect();
     let session = format!("order_key={key}");
     for n in 0..6 {
         let reference = format!("{n:016x}");
@@ -273,9 +273,9 @@
             client.send("POST", "/v1/statement", &head, statement.as_bytes()).unwrap();
         }
         wait_for("it to be taken", || {
-            front.signal("-USR1");
+            gateway.signal("-USR1");
             let taken = format!("group=load taken={}", if n == 5 { 5 } else { n + 1 });
-            (front.log.count(&taken) > 0).then_some(())
+            (gateway.log.count(&taken) > 0).then_some(())
         });
     }
     for _ in 0..3 {
@@ -296,22 +296,23 @@
         Act::Serve(if call.statement == b"long" { FOREVER } else { Duration::ZERO }, pages(&["ok\n"]))
     })
     .unwrap();
-    let front = front(Some(engine.address));
-    let mut client = front.rest_client();
-    let silent: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(front.rest.unwrap()).unwrap()).collect();
-    let mut trickle = TcpStream::connect(front.rest.unwrap()).unwrap();
+    let gateway = gateway(Some(engine.address));
+    let mut client = gateway.rest_client();
+    let silent: Vec<TcpStream> =
+        (0..300).map(|_| TcpStream::connect(gateway.rest.unwrap()).unwrap()).collect();
+    let mut trickle = TcpStream::connect(gateway.rest.unwrap()).unwrap();
     trickle.write_all(b"POST /v1/sta").unwrap();
     let began = Instant::now();
     let first = post(&mut client, "look", "select 1");
     assert_eq!(rows(&follow(&mut client, first)), ["ok"]);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     // The other protocol has its own connections.
-    let mut whole = front.client();
+    let mut whole = gateway.client();
     let ping = whole.ping().unwrap();
     assert_eq!(whole.answer().unwrap(), (ping, Whole::Pong));
     // As many results as may be in the making; the next is told to come back.
     drop((silent, trickle));
-    let mut others: Vec<RestClient> = (0..6).map(|_| front.rest_client()).collect();
+    let mut others: Vec<RestClient> = (0..6).map(|_| gateway.rest_client()).collect();
     for other in &mut others {
         other.send("POST", "/v1/statement", &head("look"), b"long").unwrap();
     }
@@ -326,31 +327,31 @@
 #[test]
 fn the_operators_file_is_taken_whole_or_not_at_all() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
-    let front = front(Some(engine.address));
-    let mut client = front.rest_client();
+    let gateway = gateway(Some(engine.address));
+    let mut client = gateway.rest_client();
     let presto = [("X-Presto-User", "acme"), ("X-Presto-Source", "look")];
     let mut status = || client.call("POST", "/v1/statement", &presto, b"select 1").unwrap().status;
     assert_eq!(status(), 400);
-    front.reload_site(&site(&REST.replace("poll-ms = 200", "poll-ms = 200000")));
-    front.log.wait_for("line 8: rest.poll-ms: 200000 ms is not within 1 to 60000");
+    gateway.reload_site(&site(&REST.replace("poll-ms = 200", "poll-ms = 200000")));
+    gateway.log.wait_for("line 8: rest.poll-ms: 200000 ms is not within 1 to 60000");
     assert_eq!(status(), 400, "as before");
-    front.reload_site(&site(&format!("headers = \"presto\"\n{REST}")));
-    front.log.wait_for("configuration read again");
+    gateway.reload_site(&site(&format!("headers = \"presto\"\n{REST}")));
+    gateway.log.wait_for("configuration read again");
     wait_for("the other headers", || (status() == 200).then_some(()));
 }
 
 #[test]
-fn told_to_stop_a_front_lets_results_be_read_and_takes_nothing_new() {
+fn told_to_stop_a_gateway_lets_results_be_read_and_takes_nothing_new() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n"])));
-    let mut front = front(Some(engine.address));
-    let mut client = front.rest_client();
+    let mut gateway = gateway(Some(engine.address));
+    let mut client = gateway.rest_client();
     let first = post(&mut client, "once", "select 1");
-    front.signal("-TERM");
-    front.log.wait_for("told to stop");
-    let refused = post(&mut front.rest_client(), "once", "select 2");
+    gateway.signal("-TERM");
+    gateway.log.wait_for("told to stop");
+    let refused = post(&mut gateway.rest_client(), "once", "select 2");
     assert_eq!((refused.status, refused.field("retry-after")), (503, Some("1")));
     assert_eq!(rows(&follow(&mut client, first)), ["1", "2", "3"]);
-    // What was read to its end is kept for a while, and keeps no front from ending.
-    assert!(front.ended().success());
-    front.log.wait_for("reason: stopped");
+    // What was read to its end is kept for a while, and keeps no gateway from ending.
+    assert!(gateway.ended().success());
+    gateway.log.wait_for("reason: stopped");
 }
--- a/crates/gateway/tests/front/sockets.rs
+++ b/crates/gateway/tests/gateway/sockets.rs
@@ -1,9 +1,9 @@
-//! The program on loopback sockets, between toy engines, a toy board and toy clients.
+//! The program on loopback sockets, between toy engines, a toy discovery service and toy clients.
 
-use crate::common::{Front, Full, config, config_of, nobody, settings, until_seen, wait_for};
+use crate::common::{Full, Gateway, config, config_of, nobody, settings, until_seen, wait_for};
 use larchfall_fault_tests::relay::{Relays, Way};
-use larchfall_stub::board::{Board, Listed, frame};
 use larchfall_stub::client::{Answer, Client, request};
+use larchfall_stub::discovery::{Discovery, Listed, frame};
 use larchfall_stub::engine::{Act, Engine};
 use larchfall_stub::hall::{Fate, Hall, RUNS_ON};
 use std::io::{Read, Write};
@@ -22,10 +22,10 @@
     vec![("req", id), ("timeout", wait), ("owner", "acme"), ("ms", "10"), ("est_mb", "5")]
 }
 
-/// As clients word batches of this service group: loads carry a mark and a key.
-fn of<'a>(group: &str, id: &'a str, wait: &'a str) -> Vec<(&'a str, &'a str)> {
+/// As clients word requests of this request class: loads carry a mark and a key.
+fn of<'a>(class: &str, id: &'a str, wait: &'a str) -> Vec<(&'a str, &'a str)> {
     let mut fields = fields(id, wait);
-    if group == "load" {
+    if class == "load" {
         fields.extend([("opkey", id), ("subject", "00000000000000ab")]);
     }
     fields
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn each_end_of_a_dispatch_has_its_answer() {
+fn each_end_of_a_attempt_has_its_answer() {
     let errored = Answer::Error("Errored".into(), None);
     let pushed_back = Answer::Error("Rejected".into(), Some("500".into()));
-    // What the engine does, the group, the answer, and how often the statement came to the engine.
+    // What the engine does, the class, the answer, and how often the statement came to the engine.
     let cases = [
         (Act::Serve(NOW, pages(&["a\tb\n"])), "look", rows("a\tb\n"), 1),
         (Act::Serve(NOW, pages(&["1\n", "2\n", "3\n"])), "look", rows("1\n2\n3\n"), 1),
@@ -63,67 +63,67 @@
         (Act::Say(b"SSH-2.0-toy\r\n".to_vec()), "once", errored.clone(), 1),
         (Act::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()), "once", errored, 1),
     ];
-    for (act, group, expected, times) in cases {
+    for (act, class, expected, times) in cases {
         let engine = engine(act.clone());
-        let front = Front::start(Some(engine.address));
-        let mut client = front.client();
-        let sent = client.send(group, &of(group, ID, "20000"), "select 1").unwrap();
-        assert_eq!(client.answer().unwrap(), (sent, expected), "{act:?} for {group}");
+        let gateway = Gateway::start(Some(engine.address));
+        let mut client = gateway.client();
+        let sent = client.send(class, &of(class, ID, "20000"), "select 1").unwrap();
+        assert_eq!(client.answer().unwrap(), (sent, expected), "{act:?} for {class}");
         let started = engine.seen().started;
-        assert!(times == 0 || started.len() == times, "{act:?} for {group}: started {}", started.len());
+        assert!(times == 0 || started.len() == times, "{act:?} for {class}: started {}", started.len());
         let call = &started[0];
         assert_eq!((call.id.as_str(), &call.statement[..]), (ID, &b"select 1"[..]));
-        assert_eq!(call.head["x-profile"], group);
+        assert_eq!(call.head["x-profile"], class);
     }
 }
 
 #[test]
 fn what_cannot_have_run_is_pushed_back() {
     let nobody = nobody();
-    let front = Front::start(Some(nobody.address));
-    let mut client = front.client();
-    for group in ["once", "load", "look"] {
-        let sent = client.send(group, &of(group, ID, "5000"), "").unwrap();
+    let gateway = Gateway::start(Some(nobody.address));
+    let mut client = gateway.client();
+    for class in ["once", "load", "look"] {
+        let sent = client.send(class, &of(class, ID, "5000"), "").unwrap();
         let pushed_back = Answer::Error("Rejected".into(), Some("500".into()));
-        assert_eq!(client.answer().unwrap(), (sent, pushed_back), "{group}");
+        assert_eq!(client.answer().unwrap(), (sent, pushed_back), "{class}");
     }
 }
 
 #[test]
 fn what_a_dead_engine_may_have_run_is_not_pushed_back() {
-    for (group, name) in [("once", "Errored"), ("load", "Rejected")] {
+    for (class, name) in [("once", "Errored"), ("load", "Rejected")] {
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-        let front = Front::start(Some(engine.local_addr().unwrap()));
-        let mut client = front.client();
-        client.send(group, &of(group, ID, "20000"), "").unwrap();
+        let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
+        let mut client = gateway.client();
+        client.send(class, &of(class, ID, "20000"), "").unwrap();
         // It dies with the call in its hands, and nobody listens there any more.
         let (mut stream, _) = engine.accept().unwrap();
         assert!(stream.read(&mut [0; 1024]).unwrap() > 0);
         drop(engine);
         drop(stream);
-        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == name), "{group}");
+        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == name), "{class}");
     }
 }
 
 #[test]
-fn a_batch_that_runs_out_of_time_is_answered_and_given_up() {
+fn a_request_that_runs_out_of_time_is_answered_and_given_up() {
     let engine = engine(Act::Serve(FOREVER, pages(&[""])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     let cases = [("look", "aaaa", "Rejected"), ("once", "bbbb", "Errored"), ("load", "cccc", "Rejected")];
-    for (group, id, name) in cases {
+    for (class, id, name) in cases {
         let id = &id.repeat(4);
-        client.send(group, &of(group, id, "700"), "").unwrap();
-        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == name), "{group}");
+        client.send(class, &of(class, id, "700"), "").unwrap();
+        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == name), "{class}");
         until_seen(&engine, "the query to be given up", |s| s.given_up.contains(&id.to_owned()));
     }
 }
 
 #[test]
-fn an_aborted_batch_is_given_up_and_not_answered() {
+fn an_aborted_request_is_given_up_and_not_answered() {
     let engine = engine(Act::Serve(FOREVER, pages(&[""])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     let sent = client.send("load", &of("load", ID, "20000"), "").unwrap();
     until_seen(&engine, "the query to start", |s| s.started.len() == 1);
     client.abort(sent).unwrap();
@@ -134,22 +134,22 @@
 }
 
 #[test]
-fn a_client_that_goes_takes_its_batches_with_it() {
+fn a_client_that_goes_takes_its_requests_with_it() {
     let engine = engine(Act::Serve(FOREVER, pages(&[""])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     until_seen(&engine, "the query to start", |s| s.started.len() == 1);
     drop(client);
     until_seen(&engine, "the query to be given up", |s| s.given_up == [ID]);
-    front.log.wait_for("reason: client-closed");
+    gateway.log.wait_for("reason: client-closed");
 }
 
 #[test]
-fn batches_of_one_key_run_one_after_the_other_in_order() {
+fn requests_of_one_key_run_one_after_the_other_in_order() {
     let engine = engine(Act::Serve(Duration::from_millis(30), pages(&["ok\n"])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     let ids: Vec<String> = (0..6).map(|n| format!("{n:016x}")).collect();
     for id in &ids {
         client.send("load", &of("load", id, "20000"), "").unwrap();
@@ -161,7 +161,7 @@
     assert_eq!(order, ids);
 }
 
-/// Guards against the next batch of a key beside one that no engine was told to stop, or whose cut call may still
+/// Guards against the next request of a key beside one that no engine was told to stop, or whose cut call may still
 /// come to the engine: neither is over before the engine gives it up for not being asked after.
 #[test]
 fn a_key_rests_while_what_was_sent_may_still_run() {
@@ -169,7 +169,7 @@
     // What the engine says to the first call, cut off then; whether later calls have a reply; the answer.
     for (replies, time) in [(false, "900"), (true, "20000")] {
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-        let front = Front::start(Some(engine.local_addr().unwrap()));
+        let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
         let (posts, came) = mpsc::channel();
         std::thread::spawn(move || {
             for stream in engine.incoming().flatten() {
@@ -191,11 +191,11 @@
                 });
             }
         });
-        let mut client = front.client();
+        let mut client = gateway.client();
         client.send("load", &of("load", &id(1), time), "").unwrap();
         let first = came.recv().unwrap();
         client.send("load", &of("load", &id(2), "25000"), "").unwrap();
-        // The first one's own further dispatches have their turn; the second one's has not.
+        // The first one's own retries have their turn; the second one's has not.
         let next = wait_for("the next dispatch", || came.recv().ok());
         assert!(replies || next - first > RESTS, "{:?} after", next - first);
         if replies {
@@ -212,8 +212,8 @@
 #[test]
 fn a_key_rests_after_an_engine_that_refuses_connections() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let front = Front::start(Some(engine.local_addr().unwrap()));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
+    let mut client = gateway.client();
     client.send("load", &of("load", "00000000000000a1", "20000"), "").unwrap();
     let (mut stream, _) = engine.accept().unwrap();
     assert!(stream.read(&mut [0; 2048]).unwrap() > 0);
@@ -231,10 +231,11 @@
 fn what_runs_out_of_time_at_an_engine_about_to_go_is_told_there_on_the_connection_there_is() {
     let runs = |_: &str, statement: &str| Fate::Runs(if statement == "long" { FOREVER } else { NOW });
     let mut hall = Hall::start(&["127.0.0.1:0", "127.0.0.1:0"], runs).unwrap();
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", board.address, &[hall.address(0), hall.address(1)], 256, &settings());
-    let front = Front::start_with(board, &text);
-    let mut client = front.client();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let text =
+        config_of("127.0.0.1:0", discovery.address, &[hall.address(0), hall.address(1)], 256, &settings());
+    let gateway = Gateway::start_with(discovery, &text);
+    let mut client = gateway.client();
     client.send("load", &of("load", "00000000000000a1", "1400"), "long").unwrap();
     let at = wait_for("the first to run", || hall.ledger().ran.first().map(|r| r.process));
     hall.close(at);
@@ -253,7 +254,7 @@
 #[test]
 fn a_key_does_not_rest_after_a_whole_result() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let front = Front::start(Some(engine.local_addr().unwrap()));
+    let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
     std::thread::spawn(move || {
         for stream in engine.incoming().flatten() {
             std::thread::spawn(move || {
@@ -272,7 +273,7 @@
             });
         }
     });
-    let mut client = front.client();
+    let mut client = gateway.client();
     let began = Instant::now();
     for id in ["00000000000000a1", "00000000000000a2"] {
         client.send("load", &of("load", id, "20000"), "").unwrap();
@@ -284,22 +285,22 @@
 #[test]
 fn the_way_and_what_clients_hold_back_are_left_off_the_time_limit() {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
-    // Clients hold batches of one key apart by up to 250 ms, and count that time.
-    for (group, most) in [("load", 20_000 - 310), ("look", 20_000 - 60)] {
-        client.send(group, &of(group, ID, "20000"), "").unwrap();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
+    // Clients hold requests of one key apart by up to 250 ms, and count that time.
+    for (class, most) in [("load", 20_000 - 310), ("look", 20_000 - 60)] {
+        client.send(class, &of(class, ID, "20000"), "").unwrap();
         assert_eq!(client.answer().unwrap().1, rows("ok\n"));
         let patience: u64 = engine.seen().started.last().unwrap().head["x-patience"].parse().unwrap();
-        assert!(patience <= most, "{group}: {patience} ms");
+        assert!(patience <= most, "{class}: {patience} ms");
     }
 }
 
 #[test]
 fn what_is_no_message_ends_its_connection_and_no_other() {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
-    let front = Front::start(Some(engine.address));
-    let mut good = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut good = gateway.client();
     let twice = {
         let mut bytes = Vec::new();
         for _ in 0..2 {
@@ -315,7 +316,7 @@
         (&twice, "reason: id-used-twice"),
     ];
     for (bytes, reason) in cases {
-        let mut bad = front.client();
+        let mut bad = gateway.client();
         bad.raw(bytes).unwrap();
         if bytes == twice {
             // What it asked for before it broke the protocol is answered.
@@ -324,7 +325,7 @@
         assert!(bad.is_ended(), "{reason}");
         let parts: Vec<&str> = reason.split(", ").collect();
         wait_for(reason, || {
-            parts.iter().all(|p| front.log.wait_for(p).contains("connection ended")).then_some(())
+            parts.iter().all(|p| gateway.log.wait_for(p).contains("connection ended")).then_some(())
         });
         good.send("look", &fields(ID, "20000"), "").unwrap();
         assert_eq!(good.answer().unwrap().1, rows("ok\n"), "after {reason}");
@@ -333,34 +334,34 @@
 
 /// Guards against connections that are kept for good: those that came later waited in the listener's queue.
 #[test]
-fn connections_that_nobody_uses_make_room_and_those_with_a_batch_stay() {
+fn connections_that_nobody_uses_make_room_and_those_with_a_request_stay() {
     let engine = engine(Act::Serve(Duration::from_millis(1500), pages(&["ok\n"])));
-    let front =
-        Front::start_on("127.0.0.1:0", Board::start("127.0.0.1:0").unwrap(), Some(engine.address), 64);
-    let mut busy = front.client();
+    let gateway =
+        Gateway::start_on("127.0.0.1:0", Discovery::start("127.0.0.1:0").unwrap(), Some(engine.address), 64);
+    let mut busy = gateway.client();
     let sent = busy.send("look", &fields(ID, "20000"), "").unwrap();
     // Of 64 descriptors 16 are for clients.
     let _kept: Vec<Client> = (0..40)
         .map(|n| {
-            let mut client = front.client();
+            let mut client = gateway.client();
             let ping = client.ping().unwrap();
             assert_eq!(client.answer().unwrap(), (ping, Answer::Pong), "connection {n}");
             client
         })
         .collect();
     assert_eq!(busy.answer().unwrap(), (sent, rows("ok\n")));
-    assert!(front.log.count("reason: room-needed") >= 24, "not for lack of room");
+    assert!(gateway.log.count("reason: room-needed") >= 24, "not for lack of room");
 }
 
 /// Guards against a queue of connections that say nothing, each of which kept its place for a quarter second.
 #[test]
 fn a_flood_of_silent_connections_keeps_nobody_waiting_for_long() {
-    let board = Board::start("127.0.0.1:0").unwrap();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
     // Of 64 descriptors 16 are for clients: at a quarter second each, these would take over eight seconds.
-    let front = Front::start_on("127.0.0.1:0", board, None, 64);
+    let gateway = Gateway::start_on("127.0.0.1:0", discovery, None, 64);
     let began = Instant::now();
-    let _silent: Vec<Client> = (0..480).map(|_| front.client()).collect();
-    let mut client = front.client();
+    let _silent: Vec<Client> = (0..480).map(|_| gateway.client()).collect();
+    let mut client = gateway.client();
     let ping = client.ping().unwrap();
     assert_eq!(client.answer().unwrap(), (ping, Answer::Pong));
     assert!(began.elapsed() < Duration::from_millis(6000), "{:?}", began.elapsed());
@@ -368,7 +369,7 @@
 
 #[test]
 fn who_says_nothing_whole_is_not_waited_for() {
-    let front = Front::start(None);
+    let gateway = Gateway::start(None);
     let whole = {
         let mut bytes = Vec::new();
         rmpv::encode::write_value(&mut bytes, &request(1, "look", &fields(ID, "5000"), "")).unwrap();
@@ -384,10 +385,10 @@
         (&half, "one and a half", waits),
         (&huge, "60 MB", long),
     ] {
-        let mut client = front.client();
-        let ended = front.log.count(reason) + 1;
+        let mut client = gateway.client();
+        let ended = gateway.log.count(reason) + 1;
         client.raw(bytes).unwrap();
-        wait_for(what, || (front.log.count(reason) == ended).then_some(()));
+        wait_for(what, || (gateway.log.count(reason) == ended).then_some(()));
         assert!(bytes.len() > whole.len() || client.is_ended(), "{what}");
     }
 }
@@ -396,10 +397,10 @@
 #[test]
 fn what_cannot_be_used_is_answered_with_an_error_and_sent_to_no_engine() {
     let engine = engine(Act::Serve(Duration::from_millis(300), pages(&["ok\n"])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     let errored = Answer::Error("Errored".into(), None);
-    // The service group, and the one field that is changed or, without a value, left out.
+    // The request class, and the one field that is changed or, without a value, left out.
     let cases = [
         ("nothing", ("req", Some(ID))),
         ("look", ("req", Some("a b"))),
@@ -411,12 +412,12 @@
         ("load", ("opkey", None)),
         ("load", ("subject", None)),
     ];
-    for (group, (name, value)) in cases {
-        let mut fields = of(group, ID, "20000");
+    for (class, (name, value)) in cases {
+        let mut fields = of(class, ID, "20000");
         fields.retain(|(n, _)| *n != name);
         fields.extend(value.map(|v| (name, v)));
-        let sent = client.send(group, &fields, "").unwrap();
-        assert_eq!(client.answer().unwrap(), (sent, errored.clone()), "{group} {name} {value:?}");
+        let sent = client.send(class, &fields, "").unwrap();
+        assert_eq!(client.answer().unwrap(), (sent, errored.clone()), "{class} {name} {value:?}");
     }
     // An id that is in hand, with another statement: only the first one counts.
     let first = client.send("look", &fields(ID, "20000"), "first").unwrap();
@@ -430,8 +431,8 @@
 #[test]
 fn more_than_a_connection_may_carry_is_pushed_back() {
     let engine = engine(Act::Serve(FOREVER, pages(&[""])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     for n in 0..33 {
         client.send("look", &fields(&format!("{n:016x}"), "20000"), "").unwrap();
     }
@@ -439,16 +440,16 @@
 }
 
 #[test]
-fn dispatches_beyond_the_descriptors_are_pushed_back_and_say_nothing_of_the_engine() {
+fn attempts_beyond_the_descriptors_are_pushed_back_and_say_nothing_of_the_engine() {
     let engine = Engine::start("127.0.0.1:0", |call| {
         let takes = if call.statement == b"long" { FOREVER } else { NOW };
         Act::Serve(takes, pages(&["ok\n"]))
     })
     .unwrap();
     // Of 32 descriptors four are for connections to engines.
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let front = Front::start_on("127.0.0.1:0", board, Some(engine.address), 32);
-    let mut client = front.client();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let gateway = Gateway::start_on("127.0.0.1:0", discovery, Some(engine.address), 32);
+    let mut client = gateway.client();
     for n in 0..4 {
         client.send("once", &fields(&format!("{n:016x}"), "25000"), "long").unwrap();
     }
@@ -464,16 +465,16 @@
         (client.answer().unwrap().1 == rows("ok\n")).then_some(())
     });
     // Told as failed connections, they would have counted against a sound engine.
-    front.signal("-USR1");
-    let line = front.log.wait_for("group=once");
+    gateway.signal("-USR1");
+    let line = gateway.log.wait_for("group=once");
     assert!(line.contains("connect_failed=0") && !line.contains("moot=0"), "{line}");
 }
 
 #[test]
-fn the_board_is_followed_through_bad_frames_and_ends() {
+fn the_discovery_is_followed_through_bad_frames_and_ends() {
     let (old, new) = (engine(Act::Serve(NOW, pages(&["old\n"]))), engine(Act::Serve(NOW, pages(&["new\n"]))));
-    let front = Front::start(Some(old.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(old.address));
+    let mut client = gateway.client();
     let mut ask = |wanted: &str| {
         wait_for(wanted, || {
             client.send("look", &fields(ID, "20000"), "").unwrap();
@@ -484,62 +485,62 @@
     // A frame of an unknown kind ends the connection; the list is kept, and its number is asked for again.
     let mut bad = frame(2, true, &[]);
     bad[12] = 9;
-    front.board.say(2, bad);
-    front.log.wait_for("reason: malformed");
+    gateway.discovery.say(2, bad);
+    gateway.log.wait_for("reason: malformed");
     ask("old\n");
     // The whole list drops the engine that it does not name, though the new one has another address only.
-    front.list(2, &[(2, new.address, 0)]);
+    gateway.list(2, &[(2, new.address, 0)]);
     ask("new\n");
-    front.list(3, &[(2, old.address, 0)]);
+    gateway.list(3, &[(2, old.address, 0)]);
     ask("old\n");
 }
 
 #[test]
-fn a_board_that_falls_silent_is_connected_to_again() {
+fn a_discovery_that_falls_silent_is_connected_to_again() {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
-    let board = Board::start_mute("127.0.0.1:0").unwrap();
-    let front = Front::start_on("127.0.0.1:0", board, Some(engine.address), 256);
-    let silent = || front.log.count("reason: silent");
+    let discovery = Discovery::start_mute("127.0.0.1:0").unwrap();
+    let gateway = Gateway::start_on("127.0.0.1:0", discovery, Some(engine.address), 256);
+    let silent = || gateway.log.count("reason: silent");
     wait_for("a second silence", || (silent() >= 2).then_some(()));
-    let mut client = front.client();
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"), "the list is kept");
 }
 
-/// Guards against a front that SIGHUP ends, and one that stays with a board that tells nothing more.
+/// Guards against a gateway that SIGHUP ends, and one that stays with a discovery service that tells nothing more.
 #[test]
-fn told_to_read_its_configuration_again_a_front_serves_on_and_follows_the_new_board() {
+fn told_to_read_its_configuration_again_a_gateway_serves_on_and_follows_the_new_discovery() {
     let engine = engine(Act::Serve(Duration::from_millis(400), pages(&["old\n"])));
     let new = self::engine(Act::Serve(NOW, pages(&["new\n"])));
-    let front =
-        Front::start_on("127.0.0.1:0", Board::start("127.0.0.1:0").unwrap(), Some(engine.address), 256);
-    let mut client = front.client();
+    let gateway =
+        Gateway::start_on("127.0.0.1:0", Discovery::start("127.0.0.1:0").unwrap(), Some(engine.address), 256);
+    let mut client = gateway.client();
     let held = client.send("once", &fields(ID, "20000"), "").unwrap();
     until_seen(&engine, "the query to start", |s| s.started.len() == 1);
-    let board = Board::start("127.0.0.1:0").unwrap();
-    board.say(2, frame(2, true, &[Listed { id: 2, address: new.address, state: 0, zone: 0, kind: 0 }]));
-    front.reload("{\"board\":");
-    front.log.wait_for("configuration not taken");
-    front.reload(&config("127.0.0.1:0", board.address, Some(engine.address), 256));
-    front.log.wait_for("configuration read again");
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    discovery.say(2, frame(2, true, &[Listed { id: 2, address: new.address, state: 0, zone: 0, kind: 0 }]));
+    gateway.reload("{\"board\":");
+    gateway.log.wait_for("configuration not taken");
+    gateway.reload(&config("127.0.0.1:0", discovery.address, Some(engine.address), 256));
+    gateway.log.wait_for("configuration read again");
     assert_eq!(client.answer().unwrap(), (held, rows("old\n")), "was in hand");
     wait_for("the new board's engine", || {
         client.send("look", &fields(ID, "20000"), "").unwrap();
         (client.answer().unwrap().1 == rows("new\n")).then_some(())
     });
-    front.log.wait_for("reason: replaced");
+    gateway.log.wait_for("reason: replaced");
 }
 
 #[test]
-fn a_front_that_was_paused_goes_on() {
+fn a_gateway_that_was_paused_goes_on() {
     let engine = engine(Act::Serve(Duration::from_millis(300), pages(&["ok\n"])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
     until_seen(&engine, "the query to start", |s| s.started.len() == 1);
-    front.stop();
+    gateway.stop();
     client.send("once", &fields("aaaaaaaaaaaaaaaa", "25000"), "").unwrap();
-    front.signal("-CONT");
+    gateway.signal("-CONT");
     let mut answers: Vec<_> = (0..2).map(|_| client.answer().unwrap()).collect();
     answers.sort_by_key(|(id, _)| *id);
     assert_eq!(answers, [(1, rows("ok\n")), (2, rows("ok\n"))]);
@@ -551,19 +552,19 @@
 fn what_was_picked_before_a_stall_is_not_sent_to_an_engine_that_drains_by_then() {
     let engine = Full::start();
     let address = engine.address();
-    let board = Board::start("127.0.0.1:0").unwrap();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let patient = settings().replace(r#""connect_timeout":250000"#, r#""connect_timeout":20000000"#);
-    let text = config_of("127.0.0.1:0", board.address, &[address], 256, &patient);
-    let front = Front::start_with(board, &text);
-    let mut client = front.client();
+    let text = config_of("127.0.0.1:0", discovery.address, &[address], 256, &patient);
+    let gateway = Gateway::start_with(discovery, &text);
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
     engine.until_dialled();
     let stopped = Instant::now();
-    front.stop();
-    front.list(2, &[(1, address, 1)]);
+    gateway.stop();
+    gateway.list(2, &[(1, address, 1)]);
     let mut stream = engine.let_in();
     wait_for("the grace to run out", || (stopped.elapsed() > Duration::from_millis(2500)).then_some(()));
-    front.signal("-CONT");
+    gateway.signal("-CONT");
     assert_eq!(client.answer().unwrap(), (1, Answer::Error("Rejected".into(), Some("500".into()))));
     stream.set_nonblocking(true).unwrap();
     let mut bytes = [0; 512];
@@ -571,46 +572,46 @@
     assert_eq!(came, 0, "{}", String::from_utf8_lossy(&bytes[..came]));
 }
 
-/// A front with one engine, and the way to its notice board.
-fn with_a_way_to_its_board() -> (Front, Engine, Relays) {
+/// A gateway with one engine, and the way to its discovery service.
+fn with_a_way_to_its_discovery() -> (Gateway, Engine, Relays) {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let way = Relays::start(1, &[board.address]).unwrap();
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let way = Relays::start(1, &[discovery.address]).unwrap();
     let text = config_of("127.0.0.1:0", way.address(0, 0), &[engine.address], 256, &settings());
-    (Front::start_with(board, &text), engine, way)
+    (Gateway::start_with(discovery, &text), engine, way)
 }
 
-/// Guards against a front that wakes, finds that its wait for the board is over (or the board's connection gone), and sends
+/// Guards against a gateway that wakes, finds that its wait for the discovery service is over (or the discovery service's connection gone), and sends
 /// what came meanwhile before it has heard what else did.
 #[test]
-fn what_comes_while_a_front_stands_still_is_sent_once_it_has_heard_its_board() {
-    // (how long it stands still, whether the way to its board is cut meanwhile)
+fn what_comes_while_a_gateway_stands_still_is_sent_once_it_has_heard_its_discovery() {
+    // (how long it stands still, whether the way to its discovery service is cut meanwhile)
     for (still_ms, cut) in [(1_500, false), (3_200, false), (3_200, true), (1_500, true)] {
-        let (front, engine, way) = with_a_way_to_its_board();
-        let mut client = front.client();
-        // Until the front has heard its board once.
-        front.list(2, &[(1, engine.address, 0)]);
+        let (gateway, engine, way) = with_a_way_to_its_discovery();
+        let mut client = gateway.client();
+        // Until the gateway has heard its discovery service once.
+        gateway.list(2, &[(1, engine.address, 0)]);
         client.send("look", &fields(ID, "25000"), "").unwrap();
         assert_eq!(client.answer().unwrap().1, rows("ok\n"));
         wait_for("the board to be heard", || {
             let heard = std::fs::read_to_string("/proc/net/tcp").unwrap();
             heard.contains(&format!(":{:04X} 01 ", way.address(0, 0).port())).then_some(())
         });
-        front.stop();
+        gateway.stop();
         let stopped = Instant::now();
         if cut {
             way.set(|_, _| true, Way::Cut);
             // What is on its way now still comes in.
             std::thread::sleep(Duration::from_millis(200));
         }
-        front.list(3, &[(1, engine.address, 1)]);
+        gateway.list(3, &[(1, engine.address, 1)]);
         for n in 0..8 {
             client.send("look", &fields(&format!("{:016x}", n + 1), "25000"), "").unwrap();
         }
         wait_for("it to have stood still so long", || {
             (stopped.elapsed() > Duration::from_millis(still_ms)).then_some(())
         });
-        front.signal("-CONT");
+        gateway.signal("-CONT");
         // It cannot hear at once.
         std::thread::sleep(Duration::from_millis(200));
         way.set(|_, _| true, Way::Sound);
@@ -622,12 +623,12 @@
     }
 }
 
-/// Guards against a front that goes on for as long as it likes by a list that its board may have taken back: what the board
+/// Guards against a gateway that goes on for as long as it likes by a list that its discovery service may have taken back: what the discovery service
 /// has to tell counts as told 7 s later, and the grace of 2 s runs from then.
 #[test]
-fn a_front_that_cannot_hear_its_board_sends_nothing_once_its_list_is_too_old() {
-    let (front, engine, way) = with_a_way_to_its_board();
-    let mut client = front.client();
+fn a_gateway_that_cannot_hear_its_discovery_sends_nothing_once_its_list_is_too_old() {
+    let (gateway, engine, way) = with_a_way_to_its_discovery();
+    let mut client = gateway.client();
     let mut ask = |n: u32| {
         client.send("look", &fields(&format!("{n:016x}"), "25000"), "").unwrap();
         client.answer().unwrap().1
@@ -636,7 +637,7 @@
     // What is on its way now still comes in.
     std::thread::sleep(Duration::from_millis(200));
     let (told, mut last, mut n) = (Instant::now(), Instant::now(), 0);
-    front.list(2, &[(1, engine.address, 1)]);
+    gateway.list(2, &[(1, engine.address, 1)]);
     wait_for("the list to be too old", || {
         n += 1;
         let served = ask(n) == rows("ok\n");
@@ -645,76 +646,76 @@
     });
     let after = last.duration_since(told);
     assert!(after > Duration::from_secs(5) && after < Duration::from_secs(9), "served until {after:?} after");
-    front.log.wait_for("list of engines too old");
-    front.list(3, &[(1, engine.address, 0)]);
+    gateway.log.wait_for("list of engines too old");
+    gateway.list(3, &[(1, engine.address, 0)]);
     way.set(|_, _| true, Way::Sound);
     wait_for("it to be heard again", || {
         n += 1;
         (ask(n) == rows("ok\n")).then_some(())
     });
-    front.log.wait_for("list of engines holds again");
+    gateway.log.wait_for("list of engines holds again");
 }
 
 #[test]
-fn told_to_stop_a_front_serves_on_answers_all_and_ends() {
+fn told_to_stop_a_gateway_serves_on_answers_all_and_ends() {
     let slow = Engine::start("127.0.0.1:0", |call| {
         let takes = if call.statement == b"long" { FOREVER } else { Duration::from_millis(600) };
         Act::Serve(takes, vec![b"ok\n".to_vec()])
     })
     .unwrap();
-    let mut front = Front::start(Some(slow.address));
-    let mut client = front.client();
+    let mut gateway = Gateway::start(Some(slow.address));
+    let mut client = gateway.client();
     let held = client.send("once", &fields("aaaaaaaaaaaaaaaa", "25000"), "").unwrap();
-    let mut waiting = front.client();
+    let mut waiting = gateway.client();
     let long = waiting.send("once", &fields("bbbbbbbbbbbbbbbb", "25000"), "long").unwrap();
     until_seen(&slow, "both to start", |s| s.started.len() == 2);
-    front.signal("-TERM");
-    front.log.wait_for("told to stop");
-    let mut late = front.client();
+    gateway.signal("-TERM");
+    gateway.log.wait_for("told to stop");
+    let mut late = gateway.client();
     let after = late.send("once", &fields("cccccccccccccccc", "25000"), "").unwrap();
     assert_eq!(late.answer().unwrap(), (after, rows("ok\n")), "came after the signal");
     assert_eq!(client.answer().unwrap(), (held, rows("ok\n")), "was in hand");
     assert_eq!(waiting.answer().unwrap(), (long, Answer::Error("Errored".into(), None)), "outlasts the end");
-    assert!(front.ended().success());
-    front.log.wait_for("reason: stopped");
-    let line = front.log.wait_for("group=once");
+    assert!(gateway.ended().success());
+    gateway.log.wait_for("reason: stopped");
+    let line = gateway.log.wait_for("group=once");
     assert!(line.contains("taken=3 returned=2 pushed_back=0 errored=1"), "{line}");
 }
 
-/// Guards against an end by the clock alone: a front that stood still has not heard its sockets yet.
+/// Guards against an end by the clock alone: a gateway that stood still has not heard its sockets yet.
 #[test]
-fn what_came_while_a_stopping_front_stood_still_is_answered() {
+fn what_came_while_a_stopping_gateway_stood_still_is_answered() {
     let slow = engine(Act::Serve(Duration::from_millis(400), pages(&["ok\n"])));
     for _ in 0..4 {
-        let mut front = Front::start(Some(slow.address));
-        let mut clients: Vec<Client> = (0..4).map(|_| front.client()).collect();
-        front.signal("-TERM");
-        front.log.wait_for("told to stop");
+        let mut gateway = Gateway::start(Some(slow.address));
+        let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
+        gateway.signal("-TERM");
+        gateway.log.wait_for("told to stop");
         let told = Instant::now();
-        front.stop();
+        gateway.stop();
         for (n, client) in clients.iter_mut().enumerate() {
             client.send("look", &fields(&format!("{:016x}", n + 1), "20000"), "").unwrap();
         }
         wait_for("the last to have come", || (told.elapsed() > Duration::from_millis(900)).then_some(()));
-        front.signal("-CONT");
+        gateway.signal("-CONT");
         for client in &mut clients {
             assert_eq!(client.answer().unwrap().1, rows("ok\n"));
         }
-        assert!(front.ended().success());
+        assert!(gateway.ended().success());
     }
 }
 
 #[test]
-fn a_killed_front_starts_again_on_its_address() {
+fn a_killed_gateway_starts_again_on_its_address() {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
-    let mut first = Front::start(Some(engine.address));
+    let mut first = Gateway::start(Some(engine.address));
     let mut client = first.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
     first.signal("-KILL");
     assert!(!first.ended().success());
-    let board = Board::start("127.0.0.1:0").unwrap();
-    let second = Front::start_on(&first.address.to_string(), board, Some(engine.address), 256);
+    let discovery = Discovery::start("127.0.0.1:0").unwrap();
+    let second = Gateway::start_on(&first.address.to_string(), discovery, Some(engine.address), 256);
     let mut client = Client::connect(second.address).unwrap();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
@@ -723,12 +724,12 @@
 #[test]
 fn counters_are_printed_when_asked_for() {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
-    let front = Front::start(Some(engine.address));
-    let mut client = front.client();
+    let gateway = Gateway::start(Some(engine.address));
+    let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     client.answer().unwrap();
-    front.signal("-USR1");
-    let line = front.log.wait_for("group=look");
+    gateway.signal("-USR1");
+    let line = gateway.log.wait_for("group=look");
     assert!(line.contains("taken=1 returned=1 pushed_back=0 errored=0 left=0 dispatches=1"), "{line}");
 }
 
@@ -737,12 +738,12 @@
 #[test]
 fn clients_that_never_pause_keep_nobody_from_being_heard() {
     let engine = engine(Act::Serve(Duration::from_millis(50), pages(&["ok\n"])));
-    let front = Front::start(Some(engine.address));
+    let gateway = Gateway::start(Some(engine.address));
     let over = Arc::new(AtomicBool::new(false));
     let abort = [0x93, 2, 0xa5, b'a', b'b', b'o', b'r', b't', 0x91, 77].repeat(3000);
     let floods: Vec<_> = (0..24)
         .map(|_| {
-            let (over, abort, to) = (over.clone(), abort.clone(), front.address);
+            let (over, abort, to) = (over.clone(), abort.clone(), gateway.address);
             std::thread::spawn(move || {
                 let mut stream = TcpStream::connect(to).unwrap();
                 while !over.load(Ordering::Relaxed) && stream.write_all(&abort).is_ok() {}
@@ -750,7 +751,7 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(300));
-    let mut client = front.client();
+    let mut client = gateway.client();
     for n in 0..5 {
         let began = Instant::now();
         client.send("look", &fields(&format!("{n:016x}"), "20000"), "").unwrap();
--- a/crates/health-gossip/src/desk.rs
+++ b/crates/health-gossip/src/desk.rs
@@ -1,17 +1,17 @@
-//! All that a front does with what it saw of engines and with what others told, but for the net and for the judgement itself:
+//! All that a gateway does with what it saw of engines and with what others told, but for the net and for the judgement itself:
 //! which outcomes count beside its own, and whether it is its turn to try what is left out.
 
 use crate::books::{Books, Told};
 use crate::turns::Turns;
 use crate::weigh::{self, Weigher, tells_of_own_net};
 use crate::{Counts, Process};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many fronts and processes are noted at most.
+/// How many gateways and processes are noted at most.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    pub fronts: usize,
+    pub gateways: usize,
     pub processes: usize,
 }
 
@@ -19,36 +19,36 @@
 pub struct Desk {
     books: Books,
     weigher: Weigher,
-    /// Where fronts take turns.
+    /// Where gateways take turns.
     turns: Option<Turns>,
-    /// What this front had seen itself when it last looked.
+    /// What this gateway had seen itself when it last looked.
     own: BTreeMap<Process, Counts>,
 }
 
 impl Desk {
-    /// With `turn` one front tries what is left out in each such time, else each by itself.
-    pub fn new(bounds: Bounds, weigh: weigh::Settings, turn: Option<Span>) -> Desk {
+    /// With `turn` one gateway tries what is left out in each such time, else each by itself.
+    pub fn new(bounds: Bounds, weigh: weigh::Settings, turn: Option<Duration>) -> Desk {
         Desk {
-            books: Books::new(bounds.fronts, bounds.processes),
+            books: Books::new(bounds.gateways, bounds.processes),
             weigher: Weigher::new(weigh),
             turns: turn.map(Turns::new),
             own: BTreeMap::new(),
         }
     }
 
-    /// A letter of a front, its process and zone, about what it saw itself.
-    pub fn hear(&mut self, who: (&str, u64, &str), number: u64, told: &[(Process, Counts)], now: At) {
+    /// A letter of a gateway, its process and zone, about what it saw itself.
+    pub fn hear(&mut self, who: (&str, u64, &str), number: u64, told: &[(Process, Counts)], now: Timestamp) {
         self.books.hear(who, number, told, now);
     }
 
-    /// Outcomes that count beside this front's own since the last look, bad or not, by process. `sights` is all that it saw
-    /// itself; `living` the fronts that live, with their zones; `is_there` says which processes the list still names.
+    /// Outcomes that count beside this gateway's own since the last look, bad or not, by process. `sights` is all that it saw
+    /// itself; `living` the gateways that live, with their zones; `is_there` says which processes the list still names.
     pub fn look(
         &mut self,
         sights: Vec<(Process, Counts)>,
         living: &BTreeMap<String, String>,
         is_there: impl Fn(Process) -> bool,
-        now: At,
+        now: Timestamp,
     ) -> Vec<(Process, bool)> {
         let Desk { books, weigher, turns, own } = self;
         if let Some(turns) = turns {
@@ -59,12 +59,12 @@
             }
         }
         *own = sights.into_iter().collect();
-        books.keep(|front, _| living.contains_key(front), &is_there);
+        books.keep(|gateway, _| living.contains_key(gateway), &is_there);
         weigher.keep(&is_there, now);
         let zones: BTreeSet<String> = living.values().cloned().collect();
         let mut outcomes = Vec::new();
         for (process, new) in books.take() {
-            let new: Vec<_> = new.into_iter().map(|n| (n.clone(), books.sees_failing(&n.front))).collect();
+            let new: Vec<_> = new.into_iter().map(|n| (n.clone(), books.sees_failing(&n.gateway))).collect();
             if let Some(turns) = turns {
                 let sound = new.iter().filter(|(_, sees)| !tells_of_own_net(*sees));
                 sound.for_each(|(word, _)| turns.see(process, word.counts, now));
@@ -75,13 +75,13 @@
         outcomes
     }
 
-    /// What others told of a process, and what this front had seen itself when it last looked.
+    /// What others told of a process, and what this gateway had seen itself when it last looked.
     pub fn known(&self, of: Process) -> (Told, Counts) {
         (self.books.told(of), self.own.get(&of).copied().unwrap_or_default())
     }
 
-    /// Whether this front may try a process that it left out, among those that live.
-    pub fn may_try(&self, me: &str, of: Process, living: &BTreeMap<String, String>, now: At) -> bool {
+    /// Whether this gateway may try a process that it left out, among those that live.
+    pub fn may_try(&self, me: &str, of: Process, living: &BTreeMap<String, String>, now: Timestamp) -> bool {
         let living = living.keys().map(String::as_str);
         self.turns.as_ref().is_none_or(|turns| turns.may_try(me, of, living, now))
     }
--- a/crates/health-gossip/src/lib.rs
+++ b/crates/health-gossip/src/lib.rs
@@ -1,4 +1,4 @@
-//! What fronts saw of engines, brought together. Each front tells only what it saw itself, in counts that only grow, so that
+//! What gateways saw of engines, brought together. Each gateway tells only what it saw itself, in counts that only grow, so that
 //! order, doubling and loss of letters do not matter and nothing is passed round; how much another's word counts is worked out
 //! from how independent it is. And whose turn it is to try what was left out. Without input or output.
 
@@ -9,7 +9,7 @@
 pub mod weigh;
 pub mod wire;
 
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 use serde::{Deserialize, Serialize};
 
 /// A process of an engine: its id, and when the list says that it started. Another process at its address is another one.
@@ -19,7 +19,7 @@
     pub started_ms: u64,
 }
 
-/// What a front saw of one process so far. Counts never shrink while its front lives.
+/// What a gateway saw of one process so far. Counts never shrink while its gateway lives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     pub answered: u32,
@@ -31,7 +31,7 @@
     pub lately: Lately,
 }
 
-/// Outcomes that fade, in sixteenths: where each front hears of another every few seconds at best, what came since the last
+/// Outcomes that fade, in sixteenths: where each gateway hears of another every few seconds at best, what came since the last
 /// letter is mostly of before an engine broke.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lately {
@@ -40,7 +40,7 @@
 }
 
 /// What is left of an outcome after so long is 1 / e of it.
-pub const FADES: Span = Span::from_millis(1_000);
+pub const FADES: Duration = Duration::from_millis(1_000);
 const PARTS: f64 = 16.0;
 
 impl Lately {
@@ -56,7 +56,7 @@
 }
 
 /// What is left of something after this time.
-pub(crate) fn faded(n: f64, after: Span) -> f64 {
+pub(crate) fn faded(n: f64, after: Duration) -> f64 {
     n * (-(after / FADES)).exp()
 }
 
--- a/crates/health-gossip/src/sights.rs
+++ b/crates/health-gossip/src/sights.rs
@@ -1,12 +1,12 @@
-//! This front's own sights, and what of them goes into the next letter: the newest changes first, and each told again now and
+//! This gateway's own sights, and what of them goes into the next letter: the newest changes first, and each told again now and
 //! then, since letters are lost.
 
 use crate::{Counts, Lately, Process, faded};
 use larchfall_policy::interface::Outcome;
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// What happened to a dispatch, as far as it tells of its engine.
+/// What happened to a attempt, as far as it tells of its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Saw {
     Answered,
@@ -19,13 +19,13 @@
     counts: Counts,
     /// Answered and failed, as they fade, and when that was worked out.
     lately: (f64, f64),
-    at: At,
+    at: Timestamp,
     /// Letters since it last changed.
     told: u32,
 }
 
 impl Entry {
-    fn fade(&mut self, now: At) {
+    fn fade(&mut self, now: Timestamp) {
         let after = now.since(self.at);
         self.lately = (faded(self.lately.0, after), faded(self.lately.1, after));
         self.at = now;
@@ -38,7 +38,7 @@
         match outcome {
             Outcome::Returned => Some(Saw::Answered),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored => Some(Saw::Failed),
-            Outcome::Full | Outcome::TimedOut | Outcome::CalledOff | Outcome::Moot => None,
+            Outcome::Full | Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => None,
         }
     }
 }
@@ -59,7 +59,7 @@
         Sights { most, version: 0, entries: BTreeMap::new() }
     }
 
-    pub fn see(&mut self, of: Process, saw: Saw, now: At) {
+    pub fn see(&mut self, of: Process, saw: Saw, now: Timestamp) {
         let known = self.entries.contains_key(&of);
         if !known && self.entries.len() >= self.most {
             return;
@@ -99,7 +99,7 @@
     }
 
     /// The next letter's number, and as many entries as there is room for: what changed and was told least first.
-    pub fn to_tell(&mut self, room: usize, now: At) -> (u64, Vec<(Process, Counts)>) {
+    pub fn to_tell(&mut self, room: usize, now: Timestamp) -> (u64, Vec<(Process, Counts)>) {
         self.version += 1;
         let mut order: Vec<(u32, Process)> = self.entries.iter().map(|(p, e)| (e.told, *p)).collect();
         order.sort();
--- a/crates/health-gossip/src/weigh.rs
+++ b/crates/health-gossip/src/weigh.rs
@@ -1,35 +1,35 @@
-//! How much the words of others count for an engine, as outcomes beside this front's own. One's own evidence counts whole and
-//! is not weighed here. Of others, each place (a zone, or a front where all are in one zone) has one bad and one good outcome a
-//! window at most, and bad ones count only once two places have said so within a window: however often one front or one zone says
-//! it, also where nothing of one's own is there to speak against it, no sound engine is left out for it. A front that finds
+//! How much the words of others count for an engine, as outcomes beside this gateway's own. One's own evidence counts whole and
+//! is not weighed here. Of others, each place (a zone, or a gateway where all are in one zone) has one bad and one good outcome a
+//! window at most, and bad ones count only once two places have said so within a window: however often one gateway or one zone says
+//! it, also where nothing of one's own is there to speak against it, no sound engine is left out for it. A gateway that finds
 //! most engines failing tells of its own net.
 
 use crate::books::New;
 use crate::{Process, faded};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// One outcome a place in each such time.
-    pub window: Span,
+    pub window: Duration,
     /// A word counts less as it ages, and nothing from then on.
-    pub lasts: Span,
+    pub lasts: Duration,
 }
 
-/// More than this part of the engines that a front tells of failing: its own net.
+/// More than this part of the engines that a gateway tells of failing: its own net.
 const OWN_NET: f64 = 0.5;
 /// Two outcomes, of which the first has faded a little.
 const TWICE: f64 = 1.5;
 /// Of so many engines at least.
 const ENOUGH: usize = 3;
 
-/// Whether a front that finds so many engines failing, of so many, tells of its own net.
+/// Whether a gateway that finds so many engines failing, of so many, tells of its own net.
 pub fn tells_of_own_net((failing, all): (usize, usize)) -> bool {
     all >= ENOUGH && failing as f64 > all as f64 * OWN_NET
 }
 
-/// Outcomes to be counted beside this front's own.
+/// Outcomes to be counted beside this gateway's own.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Evidence {
     pub bad: f64,
@@ -43,11 +43,11 @@
     settings: Settings,
     /// By engine, place and whether bad: what is left of its outcome, and when that was. Had the two one allowance, good words
     /// of an engine that works would use up what is then to be said of it when it breaks.
-    left: BTreeMap<(Process, Place, bool), (f64, At)>,
+    left: BTreeMap<(Process, Place, bool), (f64, Timestamp)>,
     /// By engine and place: answered and failed lately, and when that was worked out.
-    lately: BTreeMap<(Process, Place), (f64, f64, At)>,
+    lately: BTreeMap<(Process, Place), (f64, f64, Timestamp)>,
     /// What one place alone said to be bad, and when it last did.
-    alone: BTreeMap<Process, BTreeMap<Place, (f64, At)>>,
+    alone: BTreeMap<Process, BTreeMap<Place, (f64, Timestamp)>>,
     /// Parts of outcomes that are not a whole one yet.
     parts: BTreeMap<Process, Evidence>,
 }
@@ -76,25 +76,25 @@
         std::iter::repeat_n(true, bad).chain(std::iter::repeat_n(false, good))
     }
 
-    /// What is new of one engine, each with how many engines its front finds failing and of how many. `zones` are those of
-    /// all fronts that live.
+    /// What is new of one engine, each with how many engines its gateway finds failing and of how many. `zones` are those of
+    /// all gateways that live.
     pub fn weigh(
         &mut self,
         of: Process,
         new: &[(New, (usize, usize))],
         zones: &BTreeSet<String>,
-        now: At,
+        now: Timestamp,
     ) -> Evidence {
         let mut places: BTreeMap<Place, Evidence> = BTreeMap::new();
         for (word, (failing, all)) in new {
             let fresh = (1.0 - now.since(word.heard) / self.settings.lasts).max(0.0);
             let own_net = tells_of_own_net((*failing, *all));
-            let place = if zones.len() > 1 { word.zone.clone() } else { word.front.clone() };
+            let place = if zones.len() > 1 { word.zone.clone() } else { word.gateway.clone() };
             if !own_net {
                 self.add(of, &place, word, now);
             }
             let at = places.entry(place).or_default();
-            // Counts of one look are one sight: many batches that met the same fault are no more witnesses.
+            // Counts of one look are one sight: many requests that met the same fault are no more witnesses.
             // An answer of before it broke is no good word of now.
             let (answered, failed) = word.counts.lately.outcomes();
             let (good, bad) = (answered > failed, word.counts.failed > word.counts.answered);
@@ -125,7 +125,7 @@
     }
 
     /// What a place saw lately, by all its words.
-    fn add(&mut self, of: Process, place: &Place, word: &New, now: At) {
+    fn add(&mut self, of: Process, place: &Place, word: &New, now: Timestamp) {
         let lately = self.lately.entry((of, place.clone())).or_insert((0.0, 0.0, now));
         let after = now.since(lately.2);
         let (answered, failed) = word.counts.lately.outcomes();
@@ -135,7 +135,7 @@
     }
 
     /// More failed there lately than was answered, and more than once.
-    fn fails_lately(&self, of: Process, place: &Place, now: At) -> bool {
+    fn fails_lately(&self, of: Process, place: &Place, now: Timestamp) -> bool {
         let lately = self.lately.get(&(of, place.clone()));
         lately.is_some_and(|(answered, failed, at)| {
             failed > answered && faded(*failed, now.since(*at)) >= TWICE
@@ -143,7 +143,7 @@
     }
 
     /// Of what a place may still say in this window.
-    fn take(&mut self, what: (Process, Place, bool), wants: f64, now: At) -> f64 {
+    fn take(&mut self, what: (Process, Place, bool), wants: f64, now: Timestamp) -> f64 {
         if wants <= 0.0 {
             return 0.0;
         }
@@ -156,7 +156,7 @@
     }
 
     /// What said nothing for a window, and engines that are gone, leave memory.
-    pub fn keep(&mut self, is_there: impl Fn(Process) -> bool, now: At) {
+    pub fn keep(&mut self, is_there: impl Fn(Process) -> bool, now: Timestamp) {
         let window = self.settings.window;
         self.lately.retain(|(process, _), (.., at)| is_there(*process) && now.since(*at) < window);
         self.left.retain(|(process, ..), (_, at)| is_there(*process) && now.since(*at) < window);
--- a/crates/health-gossip/src/wire.rs
+++ b/crates/health-gossip/src/wire.rs
@@ -1,4 +1,4 @@
-//! Letters about what a front saw itself, on the socket that the fronts have: a version of their own, so that a front without
+//! Letters about what a gateway saw itself, on the socket that the gateways have: a version of their own, so that a gateway without
 //! signals passes them over, postcard's form, CRC-32C over all of it.
 
 use crate::{Counts, Process};
--- a/crates/health-gossip/tests/model.rs
+++ b/crates/health-gossip/tests/model.rs
@@ -1,16 +1,16 @@
-//! Three fronts that take turns at an engine that was left out, while they die, believe others dead, lose what others tell,
+//! Three gateways that take turns at an engine that was left out, while they die, believe others dead, lose what others tell,
 //! and the engine comes back: nobody is tried out of turn, and in the end all that live have it back.
 
 use larchfall_health_gossip::turns::Turns;
 use larchfall_health_gossip::{Counts, Process};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use stateright::{Checker, Model, Property};
 
-const EVERY: Span = Span::from_millis(1_000);
+const EVERY: Duration = Duration::from_millis(1_000);
 const OF: Process = Process { id: 7, started_ms: 0 };
 const NAMES: [&str; 3] = ["n0", "n1", "n2"];
 
-/// Who decides that a front may try it: the package, or a broken variant.
+/// Who decides that a gateway may try it: the package, or a broken variant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Rule {
     Turns,
@@ -23,14 +23,14 @@
 struct Fleet {
     rule: Rule,
     slots: u64,
-    /// Fronts that may die, one after the other.
+    /// Gateways that may die, one after the other.
     deaths: u8,
-    /// Whether a front may believe that another is dead for a while.
+    /// Whether a gateway may believe that another is dead for a while.
     disagrees: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Front {
+struct Gateway {
     lives: bool,
     /// Whom it holds for living, itself among them.
     sees: [bool; 3],
@@ -42,10 +42,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     slot: u64,
-    fronts: Vec<Front>,
+    gateways: Vec<Gateway>,
     sound: bool,
     deaths: u8,
-    /// Tries in this slot and fronts that died in it, whose turn others take over; whether more tries came than that allows
+    /// Tries in this slot and gateways that died in it, whose turn others take over; whether more tries came than that allows
     /// while the engine was bad.
     tries: u8,
     died: u8,
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     NextSlot,
-    /// A front that has work for it asks whether it may; what it then sees comes to these others.
+    /// A gateway that has work for it asks whether it may; what it then sees comes to these others.
     Try(usize, [bool; 3]),
     Dies(usize),
     /// The others learn of all deaths.
@@ -65,15 +65,15 @@
 }
 
 impl Fleet {
-    fn now(&self, world: &World) -> At {
-        At::from_micros(1_000_000_000) + EVERY * world.slot as f64
+    fn now(&self, world: &World) -> Timestamp {
+        Timestamp::from_micros(1_000_000_000) + EVERY * world.slot as f64
     }
 
     fn may(&self, world: &World, i: usize) -> bool {
-        let front = &world.fronts[i];
-        let living = || NAMES.iter().enumerate().filter(|(j, _)| front.sees[*j]).map(|(_, name)| *name);
+        let gateway = &world.gateways[i];
+        let living = || NAMES.iter().enumerate().filter(|(j, _)| gateway.sees[*j]).map(|(_, name)| *name);
         match self.rule {
-            Rule::Turns => front.turns.may_try(NAMES[i], OF, living(), self.now(world)),
+            Rule::Turns => gateway.turns.may_try(NAMES[i], OF, living(), self.now(world)),
             Rule::NoTurns => true,
             Rule::AlwaysTheFirst => living().min() == Some(NAMES[i]),
         }
@@ -85,24 +85,24 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let front = |_| Front {
+        let gateway = |_| Gateway {
             lives: true,
             sees: [true; 3],
             turns: Turns::new(EVERY),
             left_out: true,
             tried: false,
         };
-        let fronts = (0..3).map(front).collect();
-        vec![World { slot: 0, fronts, sound: false, deaths: 0, tries: 0, died: 0, too_many: false }]
+        let gateways = (0..3).map(gateway).collect();
+        vec![World { slot: 0, gateways, sound: false, deaths: 0, tries: 0, died: 0, too_many: false }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         if world.slot < self.slots {
             actions.push(Step::NextSlot);
         }
-        for (i, front) in world.fronts.iter().enumerate().filter(|(_, front)| front.lives) {
+        for (i, gateway) in world.gateways.iter().enumerate().filter(|(_, gateway)| gateway.lives) {
             // One try each of a slot's: what it would see again is the same.
-            if front.left_out && !front.tried && self.may(world, i) {
+            if gateway.left_out && !gateway.tried && self.may(world, i) {
                 for told in
                     [[false; 3], [true; 3], [true, false, false], [false, true, false], [false, false, true]]
                 {
@@ -113,7 +113,7 @@
                 actions.push(Step::Dies(i));
             }
             if self.disagrees {
-                actions.extend((0..3).filter(|j| *j != i && front.sees[*j]).map(|j| Step::Doubt(i, j)));
+                actions.extend((0..3).filter(|j| *j != i && gateway.sees[*j]).map(|j| Step::Doubt(i, j)));
             }
         }
         actions.push(Step::Agree);
@@ -128,7 +128,7 @@
             Step::NextSlot => {
                 world.slot += 1;
                 (world.tries, world.died) = (0, 0);
-                world.fronts.iter_mut().for_each(|front| front.tried = false);
+                world.gateways.iter_mut().for_each(|gateway| gateway.tried = false);
             }
             Step::Try(i, told) => {
                 let new = match world.sound {
@@ -136,31 +136,31 @@
                     false => Counts { failed: 1, ..Counts::default() },
                 };
                 let now = self.now(&world);
-                world.fronts[i].tried = true;
-                for (j, front) in world.fronts.iter_mut().enumerate() {
-                    if j == i || told[j] && front.lives {
-                        front.turns.see(OF, new, now);
+                world.gateways[i].tried = true;
+                for (j, gateway) in world.gateways.iter_mut().enumerate() {
+                    if j == i || told[j] && gateway.lives {
+                        gateway.turns.see(OF, new, now);
                     }
                 }
                 // One good answer is enough here to take it back; the module's test asks for some.
-                world.fronts[i].left_out = !world.sound;
+                world.gateways[i].left_out = !world.sound;
                 if !world.sound {
                     world.tries += 1;
                 }
                 world.too_many |= world.tries > 1 + world.died;
             }
             Step::Dies(i) => {
-                world.fronts[i].lives = false;
+                world.gateways[i].lives = false;
                 world.deaths += 1;
                 world.died += 1;
             }
             Step::Agree => {
-                let lives: Vec<bool> = world.fronts.iter().map(|front| front.lives).collect();
-                for front in &mut world.fronts {
-                    front.sees = [lives[0], lives[1], lives[2]];
+                let lives: Vec<bool> = world.gateways.iter().map(|gateway| gateway.lives).collect();
+                for gateway in &mut world.gateways {
+                    gateway.sees = [lives[0], lives[1], lives[2]];
                 }
             }
-            Step::Doubt(i, j) => world.fronts[i].sees[j] = false,
+            Step::Doubt(i, j) => world.gateways[i].sees[j] = false,
             Step::Sound => world.sound = true,
         }
         (world != *last).then_some(world)
@@ -177,12 +177,12 @@
                 for slot in 0..24 {
                     then = fleet.next_state(&then, Step::Agree).unwrap_or(then);
                     for i in 0..3 {
-                        let front = &then.fronts[i];
-                        if front.lives && front.left_out && fleet.may(&then, i) {
+                        let gateway = &then.gateways[i];
+                        if gateway.lives && gateway.left_out && fleet.may(&then, i) {
                             then = fleet.next_state(&then, Step::Try(i, [true; 3])).unwrap_or(then);
                         }
                     }
-                    let back = then.fronts.iter().all(|front| !front.lives || !front.left_out);
+                    let back = then.gateways.iter().all(|gateway| !gateway.lives || !gateway.left_out);
                     if back {
                         return slot < 24;
                     }
--- a/crates/health-gossip/tests/signals.rs
+++ b/crates/health-gossip/tests/signals.rs
@@ -1,16 +1,16 @@
-//! Letters in any order, lost and doubled; fronts that lie or whose own net is broken; turns over a fleet that changes.
+//! Letters in any order, lost and doubled; gateways that lie or whose own net is broken; turns over a fleet that changes.
 
 use larchfall_health_gossip::books::{Books, New};
 use larchfall_health_gossip::sights::{Saw, Sights};
 use larchfall_health_gossip::turns::{Turns, place, slot};
 use larchfall_health_gossip::weigh::{Evidence, Settings, Weigher};
 use larchfall_health_gossip::{Counts, Lately, Process};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn at(ms: u64) -> At {
-    At::from_micros(ms * 1000)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn process(id: u32) -> Process {
@@ -21,11 +21,11 @@
     Counts { answered, failed, ..Counts::default() }
 }
 
-/// All that was ever taken, by engine and front.
+/// All that was ever taken, by engine and gateway.
 fn drain(books: &mut Books, sums: &mut BTreeMap<(Process, String), Counts>) {
     for (of, new) in books.take() {
-        for New { front, counts, .. } in new {
-            let sum = sums.entry((of, front)).or_default();
+        for New { gateway, counts, .. } in new {
+            let sum = sums.entry((of, gateway)).or_default();
             sum.answered += counts.answered;
             sum.failed += counts.failed;
             sum.late += counts.late;
@@ -33,11 +33,11 @@
     }
 }
 
-/// Of a front: its number and what it tells.
+/// Of a gateway: its number and what it tells.
 type Letter = (usize, (u64, Vec<(Process, Counts)>));
 
 proptest! {
-    /// Whatever order letters come in, how often, and which are lost: once the last of each front has come, all that is known
+    /// Whatever order letters come in, how often, and which are lost: once the last of each gateway has come, all that is known
     /// is what each last said, each thing counted once.
     #[test]
     fn order_doubling_and_loss_do_not_matter(
@@ -46,31 +46,31 @@
     ) {
         let mut sights: Vec<Sights> = (0..3).map(|_| Sights::new(16)).collect();
         let mut letters = Vec::new();
-        for (front, engine, what) in &saw {
-            sights[*front].see(process(*engine), [Saw::Answered, Saw::Late, Saw::Failed][*what], at(0));
-            letters.push((*front, sights[*front].to_tell(16, at(0))));
+        for (gateway, engine, what) in &saw {
+            sights[*gateway].see(process(*engine), [Saw::Answered, Saw::Late, Saw::Failed][*what], at(0));
+            letters.push((*gateway, sights[*gateway].to_tell(16, at(0))));
         }
         let mut books = Books::new(8, 16);
         let mut sums = BTreeMap::new();
-        let hear = |books: &mut Books, (front, (number, told)): &Letter| {
-            books.hear((&format!("n{front}"), 1, "east"), *number, told, at(0));
+        let hear = |books: &mut Books, (gateway, (number, told)): &Letter| {
+            books.hear((&format!("n{gateway}"), 1, "east"), *number, told, at(0));
         };
         // Pages begin with all engines at nothing, so that all that comes is news.
-        for front in 0..3 {
+        for gateway in 0..3 {
             let none: Vec<_> = (0..4).map(|id| (process(id), Counts::default())).collect();
-            hear(&mut books, &(front, (0, none)));
+            hear(&mut books, &(gateway, (0, none)));
         }
         for pick in order {
             hear(&mut books, &letters[pick % letters.len()]);
             drain(&mut books, &mut sums);
         }
-        for (front, sights) in sights.iter_mut().enumerate() {
-            hear(&mut books, &(front, sights.to_tell(16, at(0))));
+        for (gateway, sights) in sights.iter_mut().enumerate() {
+            hear(&mut books, &(gateway, sights.to_tell(16, at(0))));
         }
         drain(&mut books, &mut sums);
-        for (front, sights) in sights.iter().enumerate() {
+        for (gateway, sights) in sights.iter().enumerate() {
             for (of, counts) in sights.all() {
-                prop_assert_eq!(sums.get(&(of, format!("n{front}"))).copied().unwrap_or_default(), counts);
+                prop_assert_eq!(sums.get(&(of, format!("n{gateway}"))).copied().unwrap_or_default(), counts);
             }
         }
         prop_assert!(books.take().is_empty());
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn a_page_is_of_one_process_of_its_front_and_what_was_before_is_no_news() {
+fn a_page_is_of_one_process_of_its_gateway_and_what_was_before_is_no_news() {
     let mut books = Books::new(2, 2);
-    let hear = |books: &mut Books, front: &str, generation, number, answered| {
-        books.hear((front, generation, "east"), number, &[(process(1), counts(answered, 0))], at(0));
+    let hear = |books: &mut Books, gateway: &str, generation, number, answered| {
+        books.hear((gateway, generation, "east"), number, &[(process(1), counts(answered, 0))], at(0));
     };
     let news = |books: &mut Books| -> Vec<(String, u32)> {
         let new = books.take().into_values().flatten();
-        new.map(|n| (n.front, n.counts.answered)).collect()
+        new.map(|n| (n.gateway, n.counts.answered)).collect()
     };
     hear(&mut books, "a", 5, 1, 900);
     assert_eq!(news(&mut books), []);
@@ -97,14 +97,14 @@
     assert_eq!(news(&mut books), []);
     hear(&mut books, "a", 6, 2, 4);
     assert_eq!(news(&mut books), [("a".to_owned(), 2)]);
-    // A count that went back is no count, and no more fronts are noted than there is room for.
+    // A count that went back is no count, and no more gateways are noted than there is room for.
     hear(&mut books, "a", 6, 3, 1);
     hear(&mut books, "b", 1, 1, 1);
     hear(&mut books, "c", 1, 1, 1);
     assert_eq!(news(&mut books), []);
     books.hear(("b", 1, "east"), 2, &[(process(2), counts(0, 2)), (process(3), counts(0, 9))], at(0));
     assert_eq!(books.sees_failing("b"), (1, 2));
-    books.keep(|front, generation| (front, generation) == ("a", 6), |_| true);
+    books.keep(|gateway, generation| (gateway, generation) == ("a", 6), |_| true);
     assert_eq!(books.sees_failing("b"), (0, 0));
 }
 
@@ -128,10 +128,11 @@
     assert_eq!((sights.all().count(), sights.of(process(7))), (2, Counts::default()));
 }
 
-const SETTINGS: Settings = Settings { window: Span::from_millis(10_000), lasts: Span::from_millis(4_000) };
+const SETTINGS: Settings =
+    Settings { window: Duration::from_millis(10_000), lasts: Duration::from_millis(4_000) };
 
-fn word(front: &str, zone: &str, heard: u64, counts: Counts) -> New {
-    New { front: front.to_owned(), zone: zone.to_owned(), heard: at(heard), counts, ever: counts }
+fn word(gateway: &str, zone: &str, heard: u64, counts: Counts) -> New {
+    New { gateway: gateway.to_owned(), zone: zone.to_owned(), heard: at(heard), counts, ever: counts }
 }
 
 fn zones(of: &[&str]) -> BTreeSet<String> {
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn no_one_front_and_no_one_zone_can_have_a_sound_engine_left_out() {
+fn no_one_gateway_and_no_one_zone_can_have_a_sound_engine_left_out() {
     let two = zones(&["east", "west"]);
     let (sees_few, sees_all) = ((1, 10), (6, 10));
     let bad = counts(0, 50);
@@ -173,7 +174,7 @@
             &two,
             Evidence { bad: 2.0, good: 0.0 },
         ),
-        // All in one zone: by front.
+        // All in one zone: by gateway.
         (
             vec![(word("a", "east", 0, bad), sees_few), (word("b", "east", 0, bad), sees_few)],
             &one,
@@ -218,10 +219,10 @@
             "{words:?}: {got:?}"
         );
     }
-    // One that lies without end, to a front that sees nothing itself, says nothing alone; with a second place one outcome each.
+    // One that lies without end, to a gateway that sees nothing itself, says nothing alone; with a second place one outcome each.
     let mut weigher = Weigher::new(SETTINGS);
-    let mut say = |front: &str, zone: &str, ms: u64| {
-        let said = weigher.weigh(process(1), &[(word(front, zone, ms, bad), sees_few)], &two, at(ms));
+    let mut say = |gateway: &str, zone: &str, ms: u64| {
+        let said = weigher.weigh(process(1), &[(word(gateway, zone, ms, bad), sees_few)], &two, at(ms));
         weigher.outcomes(process(1), said).collect::<Vec<bool>>()
     };
     for ms in (0..60_000).step_by(100) {
@@ -235,10 +236,10 @@
     weigher.keep(|_| true, at(200_000));
 }
 
-/// One front a slot, the same for all; every one has its turn; one that dies leaves its slots to others, and moves no other's.
+/// One gateway a slot, the same for all; every one has its turn; one that dies leaves its slots to others, and moves no other's.
 #[test]
 fn turns_are_one_a_slot_and_come_round() {
-    let every = Span::from_millis(1_000);
+    let every = Duration::from_millis(1_000);
     let names: Vec<String> = (0..30).map(|i| format!("n{i:02}")).collect();
     let living =
         |but: usize| names.iter().enumerate().filter(move |(i, _)| *i != but).map(|(_, n)| n.as_str());
@@ -255,7 +256,7 @@
         assert!(second.is_none() && (without == now || now == 3), "slot {slot}");
     }
     assert!(turns.iter().all(|n| (60..150).contains(n)), "{turns:?}");
-    // A front that knows of nobody tries by itself.
+    // A gateway that knows of nobody tries by itself.
     let alone = Turns::new(every);
     assert!(alone.may_try("n00", process(7), std::iter::empty(), at(5)));
     // At any time one of them, for each engine; not all engines' slots begin together.
@@ -275,7 +276,7 @@
 /// Once it answers, twice as many in each slot; one bad word, and it is one again.
 #[test]
 fn a_fleet_comes_back_to_an_engine_within_a_few_slots_and_not_at_once() {
-    let every = Span::from_millis(1_000);
+    let every = Duration::from_millis(1_000);
     let mut turns = Turns::new(every);
     let begins = (0..2_000).find(|ms| slot(process(1), every, at(*ms)) > slot(process(1), every, at(0)));
     let in_slot = |n: u64| at(begins.unwrap() + n * 1_000 + 10);
--- a/crates/leases/src/duties.rs
+++ b/crates/leases/src/duties.rs
@@ -1,7 +1,7 @@
-//! One front's part in all duties: which it asks for and when, which it holds and till when, when it hands one on, and
+//! One gateway's part in all duties: which it asks for and when, which it holds and till when, when it hands one on, and
 //! its part as an elector where the file names it. `wake` is called when `due` comes, `hear` with each letter.
 //!
-//! A front asks for a duty once nobody is known to hold it, the one that a hash puts first at once and the others
+//! A gateway asks for a duty once nobody is known to hold it, the one that a hash puts first at once and the others
 //! after it in turn, so that a majority is seldom split; who gets none gives back what it got and waits by chance.
 
 use crate::bid::{Bid, Terms};
@@ -11,7 +11,7 @@
 use crate::record::Record;
 use crate::spread;
 use crate::wire::{Leased, Letter, Matter, Vote, Want, Who, pages, size};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -23,16 +23,16 @@
 const ROUNDS: usize = 32;
 /// What was given up is said so often: datagrams are lost.
 const SAID: u32 = 3;
-/// A front that heard no elector for this part of a lease asks for nothing: it may still be heard itself, and would keep
+/// A gateway that heard no elector for this part of a lease asks for nothing: it may still be heard itself, and would keep
 /// from others what it does not know to be its own.
 const DEAF: f64 = 0.75;
 /// Electors that are asked who holds what, each time.
 const LOOKS: usize = 2;
-/// Electors are not changed again before so many longest leases are over: fronts read their files at different times.
+/// Electors are not changed again before so many longest leases are over: gateways read their files at different times.
 const DWELL: f64 = 3.0;
 /// A beat that comes later than this part of a lease is a stall.
 const STALL: f64 = 0.5;
-/// What one front sends itself in a call.
+/// What one gateway sends itself in a call.
 const OWN: usize = 256;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -40,11 +40,11 @@
     pub cluster: String,
     pub electors: Electors,
     pub terms: Terms,
-    /// Of this front as an elector.
+    /// Of this gateway as an elector.
     pub bounds: Bounds,
     pub duties: BTreeSet<String>,
     /// A holder keeps a duty at least so long, and a better one must have lived for as long.
-    pub least: Span,
+    pub least: Duration,
     /// By so much of the whole scale another must be better.
     pub better: f64,
 }
@@ -54,7 +54,7 @@
 pub enum Why {
     /// The lease was not renewed in time.
     RanOut,
-    /// This front stood still for a good part of a lease.
+    /// This gateway stood still for a good part of a lease.
     StoodStill,
     Leaving,
     /// Nothing within reach, what it knows is stale, or it is slow itself.
@@ -106,18 +106,18 @@
 pub struct Known {
     pub holder: Who,
     pub token: u64,
-    pub until: At,
+    pub until: Timestamp,
 }
 
 #[derive(Clone, Debug)]
 enum Part {
-    Watching { not_before: At },
-    Asking { bid: Bid, since: At, refused: BTreeSet<String> },
-    Holding { bid: Bid, next: Option<Bid>, since: At, ends: Option<(Why, Option<String>)> },
+    Watching { not_before: Timestamp },
+    Asking { bid: Bid, since: Timestamp, refused: BTreeSet<String> },
+    Holding { bid: Bid, next: Option<Bid>, since: Timestamp, ends: Option<(Why, Option<String>)> },
 }
 
 impl Part {
-    fn asking(token: u64, now: At) -> Part {
+    fn asking(token: u64, now: Timestamp) -> Part {
         Part::Asking { bid: Bid::new(token), since: now, refused: BTreeSet::new() }
     }
 }
@@ -126,46 +126,46 @@
 struct Task {
     part: Part,
     known: Option<Known>,
-    free_since: Option<At>,
+    free_since: Option<Timestamp>,
     highest: u64,
-    /// It was handed to this front: asks at once, again and again, until then.
-    eager: At,
+    /// It was handed to this gateway: asks at once, again and again, until then.
+    eager: Timestamp,
     /// How it last came to end here, and when.
-    last: Option<(Why, At)>,
+    last: Option<(Why, Timestamp)>,
 }
 
-/// What this front knows of one duty.
+/// What this gateway knows of one duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View<'a> {
     pub duty: &'a str,
     pub known: Option<&'a Known>,
     /// Held here, with this token and until then.
-    pub held: Option<(u64, At)>,
-    pub last: Option<(Why, At)>,
+    pub held: Option<(u64, Timestamp)>,
+    pub last: Option<(Why, Timestamp)>,
 }
 
 pub struct Duties {
     me: Who,
     settings: Settings,
     /// What the electors were before the file was read again, for one lease.
-    prior: Option<(Electors, At)>,
-    changed: Option<At>,
+    prior: Option<(Electors, Timestamp)>,
+    changed: Option<Timestamp>,
     /// What was on its disk at the start, for when it becomes an elector later.
     record: Option<Record>,
     elector: Option<Elector>,
-    /// Fronts that live, and since when.
-    live: BTreeMap<String, At>,
+    /// Gateways that live, and since when.
+    live: BTreeMap<String, Timestamp>,
     tasks: BTreeMap<String, Task>,
     /// When each round was asked, and under which terms.
-    rounds: VecDeque<(u32, At, Terms)>,
+    rounds: VecDeque<(u32, Timestamp, Terms)>,
     round: u32,
-    next_ask: At,
-    next_look: At,
+    next_ask: Timestamp,
+    next_look: Timestamp,
     /// Which elector was looked at last.
     look: usize,
-    woke: At,
-    /// Last word from an elector that is another front.
-    heard: At,
+    woke: Timestamp,
+    /// Last word from an elector that is another gateway.
+    heard: Timestamp,
     said: Vec<(String, u64, u32)>,
     fit: bool,
     leaving: bool,
@@ -180,7 +180,7 @@
         record: Option<&Record>,
         wall: u64,
         seed: u64,
-        now: At,
+        now: Timestamp,
     ) -> Duties {
         let is_elector = settings.electors.has(&me.name);
         let elector = is_elector.then(|| Elector::new(settings.bounds, record, wall, now));
@@ -212,47 +212,47 @@
     fn name_tasks(&mut self) {
         for duty in &self.settings.duties {
             self.tasks.entry(duty.clone()).or_insert_with(|| Task {
-                part: Part::Watching { not_before: At::default() },
+                part: Part::Watching { not_before: Timestamp::default() },
                 known: None,
                 free_since: None,
                 highest: 0,
-                eager: At::default(),
+                eager: Timestamp::default(),
                 last: None,
             });
         }
     }
 
-    /// Fronts that live, this one among them, with the times since when.
-    pub fn live(&mut self, live: BTreeMap<String, At>) {
+    /// Gateways that live, this one among them, with the times since when.
+    pub fn live(&mut self, live: BTreeMap<String, Timestamp>) {
         self.live = live;
     }
 
-    /// Whether this front has anything within reach that its duties need, and knows it freshly.
+    /// Whether this gateway has anything within reach that its duties need, and knows it freshly.
     pub fn fit(&mut self, fit: bool) {
         self.fit = fit;
     }
 
-    fn period(&self) -> Span {
+    fn period(&self) -> Duration {
         self.settings.terms.length * (1.0 / ASKS)
     }
 
     /// Where another asks too the votes may be split, and both give way soon. Otherwise electors are waited for: a disk may
     /// take its time, and a new token would only begin the wait anew.
-    fn patience(&self, refused: &BTreeSet<String>) -> Span {
+    fn patience(&self, refused: &BTreeSet<String>) -> Duration {
         if refused.is_empty() { self.settings.terms.length } else { self.period() }
     }
 
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         let ends = self.tasks.values().filter_map(|task| match &task.part {
             Part::Watching { not_before } => (task.eager > *not_before).then_some(*not_before),
             Part::Asking { since, refused, .. } => Some(*since + self.patience(refused)),
             Part::Holding { bid, next, .. } => self.until(bid, next.as_ref(), self.woke),
         });
-        ends.chain([self.next_ask, self.next_look]).fold(self.next_look, At::min)
+        ends.chain([self.next_ask, self.next_look]).fold(self.next_look, Timestamp::min)
     }
 
     /// When what is held ends: by the electors of now, or for one lease by those before.
-    fn until(&self, bid: &Bid, next: Option<&Bid>, now: At) -> Option<At> {
+    fn until(&self, bid: &Bid, next: Option<&Bid>, now: Timestamp) -> Option<Timestamp> {
         let prior = self.prior.as_ref().filter(|(_, over)| now < *over).map(|(electors, _)| electors);
         let lists = || std::iter::once(&self.settings.electors).chain(prior);
         let bids = std::iter::once(bid).chain(next);
@@ -260,7 +260,7 @@
     }
 
     /// Looked at immediately before each action.
-    pub fn permit<'a>(&self, duty: &'a str, now: At) -> Option<Permit<'a>> {
+    pub fn permit<'a>(&self, duty: &'a str, now: Timestamp) -> Option<Permit<'a>> {
         match &self.tasks.get(duty)?.part {
             Part::Holding { bid, next, ends: None, .. } => {
                 let until = self.until(bid, next.as_ref(), now).filter(|until| now < *until)?;
@@ -270,8 +270,8 @@
         }
     }
 
-    /// Who holds it, as far as this front knows.
-    pub fn holder(&self, duty: &str, now: At) -> Option<&str> {
+    /// Who holds it, as far as this gateway knows.
+    pub fn holder(&self, duty: &str, now: Timestamp) -> Option<&str> {
         if self.permit(duty, now).is_some() {
             return Some(&self.me.name);
         }
@@ -279,7 +279,7 @@
         Some(&known.holder.name)
     }
 
-    pub fn view(&self, now: At) -> impl Iterator<Item = View<'_>> {
+    pub fn view(&self, now: Timestamp) -> impl Iterator<Item = View<'_>> {
         self.tasks.iter().map(move |(duty, task)| View {
             duty,
             known: task.known.as_ref().filter(|known| now < known.until),
@@ -289,7 +289,7 @@
     }
 
     /// From a file that was read again. Refused whole where two majorities could miss each other.
-    pub fn set(&mut self, settings: Settings, wall: u64, now: At) -> Result<Out, &'static str> {
+    pub fn set(&mut self, settings: Settings, wall: u64, now: Timestamp) -> Result<Out, &'static str> {
         if !settings.electors.meets(&self.settings.electors) {
             return Err(
                 "electors: a majority of these may miss one of those before: name both for a time, these as \
@@ -305,7 +305,7 @@
                 );
             }
             self.changed = Some(now);
-            // New electors say nothing for so long: what is held goes on by the old ones, which every other front still
+            // New electors say nothing for so long: what is held goes on by the old ones, which every other gateway still
             // needs as well.
             self.prior = Some((self.settings.electors.clone(), now + longest + self.settings.terms.length));
         }
@@ -345,13 +345,13 @@
     }
 
     /// Every duty is handed on, and no more are asked for.
-    pub fn leave(&mut self, now: At) -> Out {
+    pub fn leave(&mut self, now: Timestamp) -> Out {
         self.leaving = true;
         self.end_all(Why::Leaving, now)
     }
 
     /// Another process has this name: nothing more is done or said under it.
-    pub fn name_taken(&mut self, now: At) -> Out {
+    pub fn name_taken(&mut self, now: Timestamp) -> Out {
         self.leaving = true;
         self.elector = None;
         let mut out = Out::default();
@@ -361,7 +361,7 @@
         out
     }
 
-    fn end_all(&mut self, why: Why, now: At) -> Out {
+    fn end_all(&mut self, why: Why, now: Timestamp) -> Out {
         let mut out = Out::default();
         for duty in self.tasks.keys().cloned().collect::<Vec<_>>() {
             self.end(&duty, why, now, &mut out);
@@ -370,7 +370,7 @@
     }
 
     /// Acting stops now; what runs under it is to be over before it is given back.
-    fn end(&mut self, duty: &str, why: Why, now: At, out: &mut Out) {
+    fn end(&mut self, duty: &str, why: Why, now: Timestamp, out: &mut Out) {
         let best = self.in_order(duty, now).into_iter().find(|name| *name != self.me.name).map(str::to_owned);
         let Some(task) = self.tasks.get_mut(duty) else { return };
         let Part::Holding { bid, ends, .. } = &mut task.part else { return };
@@ -383,7 +383,7 @@
     }
 
     /// Nothing is done any more under a duty that was to end: it is given back, and the next is told.
-    pub fn stopped(&mut self, duty: &str, now: At) -> Out {
+    pub fn stopped(&mut self, duty: &str, now: Timestamp) -> Out {
         let mut out = Out::default();
         let Some(task) = self.tasks.get_mut(duty) else { return out };
         let Part::Holding { bid, next, ends: Some((why, to)), .. } = &task.part else { return out };
@@ -407,7 +407,7 @@
         out
     }
 
-    fn lose(&mut self, duty: &str, why: Why, now: At, out: &mut Out) {
+    fn lose(&mut self, duty: &str, why: Why, now: Timestamp, out: &mut Out) {
         let Some(task) = self.tasks.get_mut(duty) else { return };
         if let Part::Holding { bid, next, .. } = &task.part {
             let newest = next.as_ref().map_or(bid.token, |next| next.token);
@@ -419,7 +419,7 @@
         task.part = Part::Watching { not_before: now };
     }
 
-    pub fn wake(&mut self, now: At) -> Out {
+    pub fn wake(&mut self, now: Timestamp) -> Out {
         let mut out = Out::default();
         let stalled = now.since(self.woke) > self.settings.terms.length * STALL;
         self.woke = now;
@@ -450,7 +450,7 @@
         duty: &str,
         stalled: bool,
         ours: bool,
-        now: At,
+        now: Timestamp,
         ask: &mut Vec<String>,
         out: &mut Out,
     ) {
@@ -489,7 +489,7 @@
                 let others =
                     self.live.iter().filter(|(name, at)| **name != self.me.name && now.since(**at) >= least);
                 let names = others.map(|(name, _)| name.as_str());
-                // As often as it is renewed: to put many fronts in order costs more than all else here.
+                // As often as it is renewed: to put many gateways in order costs more than all else here.
                 let better = now >= self.next_ask
                     && now.since(*since) >= least
                     && spread::better(duty, &self.me.name, names, self.settings.better).is_some();
@@ -506,30 +506,31 @@
 
     /// All that live, in the order in which they should have it: those that were started lately last, since one that starts
     /// over and over would take it and drop it each time.
-    fn in_order(&self, duty: &str, now: At) -> Vec<&str> {
+    fn in_order(&self, duty: &str, now: Timestamp) -> Vec<&str> {
         let is_warm =
             |name: &&str| self.live.get(*name).is_some_and(|at| now.since(*at) >= self.settings.least);
         let names = self.live.keys().map(String::as_str).chain([self.me.name.as_str()]);
-        let (warm, cold): (BTreeSet<&str>, BTreeSet<&str>) = names.partition(is_warm);
+        let (warm, slow_start): (BTreeSet<&str>, BTreeSet<&str>) = names.partition(is_warm);
         let mut order = spread::order(duty, warm.into_iter());
-        order.extend(spread::order(duty, cold.into_iter()));
+        order.extend(spread::order(duty, slow_start.into_iter()));
         order
     }
 
-    /// How long after it is free this front asks: none for the first in order, and each time more for the next.
-    fn turn(&self, duty: &str, now: At) -> Span {
+    /// How long after it is free this gateway asks: none for the first in order, and each time more for the next.
+    fn turn(&self, duty: &str, now: Timestamp) -> Duration {
         let is_warm =
             |name: &&str| self.live.get(*name).is_some_and(|at| now.since(*at) >= self.settings.least);
         let names = self.live.keys().map(String::as_str).chain([self.me.name.as_str()]);
-        let (warm, cold): (BTreeSet<&str>, BTreeSet<&str>) = names.partition(is_warm);
-        let order =
-            spread::order(duty, warm.into_iter()).into_iter().chain(spread::order(duty, cold.into_iter()));
+        let (warm, slow_start): (BTreeSet<&str>, BTreeSet<&str>) = names.partition(is_warm);
+        let order = spread::order(duty, warm.into_iter())
+            .into_iter()
+            .chain(spread::order(duty, slow_start.into_iter()));
         let place = order.take_while(|name| *name != self.me.name).count();
         self.settings.terms.length * STAGGER * place as f64
     }
 
     /// Nothing came of it: what was granted goes back, so that another may have it.
-    fn give_up(&mut self, duty: &str, now: At, out: &mut Out) {
+    fn give_up(&mut self, duty: &str, now: Timestamp, out: &mut Out) {
         let eager_pause = self.period() * 0.1;
         let pause = self.period() * (0.25 + self.chance.generate::<f64>());
         let Some(task) = self.tasks.get_mut(duty) else { return };
@@ -568,7 +569,7 @@
         }
     }
 
-    fn ask(&mut self, duties: &[String], now: At, out: &mut Out) {
+    fn ask(&mut self, duties: &[String], now: Timestamp, out: &mut Out) {
         let length_us = self.settings.terms.length.micros();
         let mut wants = Vec::new();
         for duty in duties {
@@ -593,16 +594,16 @@
         self.to_electors(wants, |wants| Matter::Ask { round, wants }, out);
     }
 
-    fn hears(&self, now: At) -> bool {
+    fn hears(&self, now: Timestamp) -> bool {
         now.since(self.heard) < self.settings.terms.length * DEAF
     }
 
-    fn renew(&mut self, now: At, out: &mut Out) {
+    fn renew(&mut self, now: Timestamp, out: &mut Out) {
         let duties: Vec<String> = self.tasks.keys().cloned().collect();
         self.ask(&duties, now, out);
     }
 
-    /// Two electors a time are asked who holds what, in turn, so that one that is gone leaves no front in the dark.
+    /// Two electors a time are asked who holds what, in turn, so that one that is gone leaves no gateway in the dark.
     fn look_round(&mut self, out: &mut Out) {
         let electors = self.settings.electors.all();
         let others: Vec<&&String> = electors.iter().filter(|name| ***name != self.me.name).collect();
@@ -613,7 +614,7 @@
         }
     }
 
-    pub fn hear(&mut self, from: &Who, matter: &Matter, now: At) -> Out {
+    pub fn hear(&mut self, from: &Who, matter: &Matter, now: Timestamp) -> Out {
         let mut out = Out::default();
         if self.settings.electors.has(&from.name)
             && matches!(matter, Matter::Votes { .. } | Matter::Leases { .. })
@@ -626,7 +627,7 @@
     }
 
     /// An elector asks itself like any other, without the net between.
-    fn deliver_own(&mut self, now: At, out: &mut Out) {
+    fn deliver_own(&mut self, now: Timestamp, out: &mut Out) {
         for _ in 0..OWN {
             let Some(i) = out.letters.iter().position(|(to, _)| *to == self.me.name) else { break };
             let (_, matter) = out.letters.swap_remove(i);
@@ -641,7 +642,7 @@
     }
 
     /// What became of the record that was to be written.
-    pub fn written(&mut self, kept: bool, now: At) -> Out {
+    pub fn written(&mut self, kept: bool, now: Timestamp) -> Out {
         let mut out = Out::default();
         let late = self.elector.as_mut().map(|elector| elector.written(kept, now)).unwrap_or_default();
         for late in late {
@@ -652,7 +653,7 @@
         out
     }
 
-    fn take_in(&mut self, from: &Who, matter: &Matter, now: At, out: &mut Out) {
+    fn take_in(&mut self, from: &Who, matter: &Matter, now: Timestamp, out: &mut Out) {
         match matter {
             Matter::Ask { round, wants } => {
                 let Some(elector) = &mut self.elector else { return };
@@ -722,8 +723,8 @@
         &mut self,
         elector: &str,
         vote: &Vote,
-        (asked, terms): (At, Terms),
-        now: At,
+        (asked, terms): (Timestamp, Terms),
+        now: Timestamp,
         again: &mut Vec<String>,
         out: &mut Out,
     ) {
@@ -740,12 +741,12 @@
                     if bid.is_held(&self.settings.electors, now) {
                         let (token, bid) = (bid.token, bid.clone());
                         task.part = Part::Holding { bid, next: None, since: now, ends: None };
-                        (task.eager, task.free_since) = (At::default(), None);
+                        (task.eager, task.free_since) = (Timestamp::default(), None);
                         let what = What::Holds { token };
                         out.changes.push(Change { duty: vote.duty.clone(), what });
                     }
                 } else if behind && vote.highest >= bid.token {
-                    // What was granted so far is this front's own, and may be granted anew.
+                    // What was granted so far is this gateway's own, and may be granted anew.
                     *bid = Bid::new(vote.highest + 1);
                     again.push(vote.duty.clone());
                 } else if vote.taken {
@@ -785,7 +786,7 @@
         after: &Option<String>,
         leases: &[Leased],
         whole: bool,
-        now: At,
+        now: Timestamp,
         out: &mut Out,
     ) {
         if !self.settings.electors.has(elector) {
@@ -802,7 +803,7 @@
             let known = task.known.as_ref().is_some_and(|known| now < known.until);
             match lease {
                 Some(Leased { holder, token, left_us, .. }) => {
-                    let until = now + Span::from_micros(*left_us);
+                    let until = now + Duration::from_micros(*left_us);
                     let stands = task.known.as_ref().filter(|k| k.token > *token && now < k.until).is_some();
                     if !stands {
                         task.known = Some(Known { holder: holder.clone(), token: *token, until });
--- a/crates/leases/src/elector.rs
+++ b/crates/leases/src/elector.rs
@@ -1,16 +1,16 @@
-//! One elector: which front it has granted each duty to, and until when. It grants a duty to one front at a time and no
+//! One elector: which gateway it has granted each duty to, and until when. It grants a duty to one gateway at a time and no
 //! token twice, and says nothing for one longest lease after its start, since it can't know what it granted before
 //! (Trencseni and others, "PaxosLease: Diskless Paxos for Leases", 2012). What is on disk are the highest tokens alone.
 
 use crate::record::Record;
 use crate::wire::{Leased, Vote, Want, Who};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Bounds {
     /// No lease is longer.
-    pub longest: Span,
+    pub longest: Duration,
     /// More duties than this are passed over.
     pub most: usize,
     /// Whether a new token is to be on disk before it is granted.
@@ -21,7 +21,7 @@
 struct Lease {
     holder: Who,
     token: u64,
-    until: At,
+    until: Timestamp,
     /// A newer token of the same holder, which is not granted before it is on disk.
     next: Option<Next>,
 }
@@ -29,17 +29,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Next {
     token: u64,
-    length: Span,
+    length: Duration,
     /// The round whose answer waits.
     round: u32,
     /// The version of the record that has it.
     version: u64,
     /// Given up if it is not on disk by then.
-    until: At,
+    until: Timestamp,
 }
 
 impl Lease {
-    fn ends(&self) -> At {
+    fn ends(&self) -> Timestamp {
         self.next.as_ref().map_or(self.until, |next| next.until.max(self.until))
     }
 }
@@ -56,8 +56,8 @@
     /// Tokens up to this one may have been granted before its start.
     floor: u64,
     /// No lease that it may have granted was longer.
-    longest: Span,
-    silent_until: At,
+    longest: Duration,
+    silent_until: Timestamp,
     seats: BTreeMap<String, Seat>,
     /// The version of the record that holds all there is, the one being written, the last on disk.
     version: u64,
@@ -78,8 +78,9 @@
 impl Elector {
     /// `wall` is the Unix clock at its start, in microseconds: no token is below it, so that tokens grow over a lost or
     /// older record too. Whatever the record says, it waits as long as any lease that it may have granted.
-    pub fn new(bounds: Bounds, record: Option<&Record>, wall: u64, now: At) -> Elector {
-        let longest = record.map_or(Span::ZERO, |r| Span::from_micros(r.longest_us)).max(bounds.longest);
+    pub fn new(bounds: Bounds, record: Option<&Record>, wall: u64, now: Timestamp) -> Elector {
+        let longest =
+            record.map_or(Duration::ZERO, |r| Duration::from_micros(r.longest_us)).max(bounds.longest);
         let told = record.into_iter().flat_map(|r| &r.highest);
         let seat = |highest: u64| Seat { highest: highest.max(wall), lease: None };
         let version = record.map_or(0, |r| r.version);
@@ -105,12 +106,12 @@
         }
     }
 
-    pub fn is_silent(&self, now: At) -> bool {
+    pub fn is_silent(&self, now: Timestamp) -> bool {
         now < self.silent_until
     }
 
     /// `None`: it has nothing to say, or not yet.
-    pub fn ask(&mut self, who: &Who, want: &Want, round: u32, now: At) -> Option<Vote> {
+    pub fn ask(&mut self, who: &Who, want: &Want, round: u32, now: Timestamp) -> Option<Vote> {
         if self.is_silent(now)
             || (!self.seats.contains_key(&want.duty) && self.seats.len() >= self.bounds.most)
         {
@@ -120,7 +121,7 @@
         let seat =
             self.seats.entry(want.duty.clone()).or_insert_with(|| Seat { highest: floor, lease: None });
         seat.lease = seat.lease.take().filter(|lease| now < lease.ends());
-        let length = Span::from_micros(want.length_us);
+        let length = Duration::from_micros(want.length_us);
         if length > self.bounds.longest {
             // Granted for less it would count for more over there: files that differ must not make two holders.
             return None;
@@ -165,9 +166,10 @@
         let Some(lease) = seat.lease.as_mut().filter(|lease| lease.holder == *who) else { return };
         lease.next = lease.next.take().filter(|next| next.token != token);
         if lease.token == token {
-            lease.until = At::default();
+            lease.until = Timestamp::default();
         }
-        seat.lease = seat.lease.take().filter(|lease| lease.next.is_some() || lease.until > At::default());
+        seat.lease =
+            seat.lease.take().filter(|lease| lease.next.is_some() || lease.until > Timestamp::default());
     }
 
     /// The record to be written now, if there is one and none is under way.
@@ -186,7 +188,7 @@
     }
 
     /// What became of that. Leases count from now, after the wait for the disk; what is not on disk is not granted.
-    pub fn written(&mut self, kept: bool, now: At) -> Vec<Late> {
+    pub fn written(&mut self, kept: bool, now: Timestamp) -> Vec<Late> {
         let Some(done) = self.writing.take() else { return Vec::new() };
         self.kept = if kept { done } else { self.kept };
         let (mut late, mut waiting) = (Vec::new(), false);
@@ -210,7 +212,11 @@
     }
 
     /// Leases that run, from after this duty on.
-    pub fn leases<'a>(&'a self, after: Option<&str>, now: At) -> impl Iterator<Item = Leased> + use<'a> {
+    pub fn leases<'a>(
+        &'a self,
+        after: Option<&str>,
+        now: Timestamp,
+    ) -> impl Iterator<Item = Leased> + use<'a> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, |duty| Excluded(duty.to_owned()));
         self.seats.range::<String, _>((from, Unbounded)).filter_map(move |(duty, seat)| {
--- a/crates/leases/src/fitness.rs
+++ b/crates/leases/src/fitness.rs
@@ -1,26 +1,26 @@
-//! Whether a front may hold duties at all: it needs engines within reach, a list that it knows freshly, and health of its
+//! Whether a gateway may hold duties at all: it needs engines within reach, a list that it knows freshly, and health of its
 //! own. One that is slow itself does its duty late, and keeps others from doing it in time.
 
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 
 /// What is looked at by the operator's file; lines that are absent are not.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Lines {
     /// A list of engines older than this is stale.
-    pub stale: Option<Span>,
-    /// From this score on (0 is well, 8 the worst) a front is ill, and well again at half of it: one that is just below
+    pub stale: Option<Duration>,
+    /// From this score on (0 is well, 8 the worst) a gateway is ill, and well again at half of it: one that is just below
     /// would be ill again with the next late answer.
     pub ill: Option<u32>,
 }
 
-/// What a front sees of itself now.
+/// What a gateway sees of itself now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sight {
     /// Engines that its list names, and those among them that are ready.
     pub listed: usize,
     pub ready: usize,
-    /// Since the notice board last said anything.
-    pub silence: Span,
+    /// Since the discovery service last said anything.
+    pub silence: Duration,
     pub health: u32,
 }
 
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,4 +1,4 @@
-//! Duties of which each is held by one front at a time: who may act, under which token, and for how long yet. Without
+//! Duties of which each is held by one gateway at a time: who may act, under which token, and for how long yet. Without
 //! input or output: clock, chance, datagrams and the disk are the caller's.
 
 pub mod bid;
--- a/crates/leases/src/permit.rs
+++ b/crates/leases/src/permit.rs
@@ -1,7 +1,7 @@
 //! What a holder may do, and how what it does is checked. An action towards what can check tokens carries one and is
 //! refused there once a newer was seen; towards what can't, only what states that a second, late one does no harm.
 
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 pub struct Permit<'a> {
     pub duty: &'a str,
     pub token: u64,
-    pub until: At,
+    pub until: Timestamp,
 }
 
 /// An action with the token of the duty that it is done under; who takes it in asks `Fence` first.
@@ -23,7 +23,7 @@
 
 /// What may be done under a duty to something that checks no token.
 pub trait Harmless {
-    /// What a second one costs that comes late, from a front whose lease was over.
+    /// What a second one costs that comes late, from a gateway whose lease was over.
     const LATE_COSTS: &'static str;
 }
 
@@ -33,7 +33,7 @@
 
 impl Permit<'_> {
     /// What is left of it: an action that was begun is bounded by this.
-    pub fn left(&self, now: At) -> Span {
+    pub fn left(&self, now: Timestamp) -> Duration {
         self.until.since(now)
     }
 
--- a/crates/leases/src/probing.rs
+++ b/crates/leases/src/probing.rs
@@ -1,9 +1,9 @@
-//! The duty of probing: its holder asks engines for their load and tells all fronts, with its token; they take what is
+//! The duty of probing: its holder asks engines for their load and tells all gateways, with its token; they take what is
 //! fresh instead of asking themselves, and ask again on their own once it grows old. Engines are shared out over a
 //! few such duties by a hash of their id, so that one holder does not ask all.
 
 use crate::permit::{Fence, Harmless, Stamped};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -33,9 +33,9 @@
     /// How many duties share the engines.
     pub duties: usize,
     /// The holder asks each of its engines this often.
-    pub every: Span,
-    /// Older readings count for nothing, and a front asks by itself.
-    pub fresh: Span,
+    pub every: Duration,
+    /// Older readings count for nothing, and a gateway asks by itself.
+    pub fresh: Duration,
 }
 
 pub fn duty(number: usize) -> String {
@@ -56,17 +56,17 @@
     settings: Settings,
     fence: Fence,
     /// By engine: when it was read, here or by a holder that told.
-    read: BTreeMap<u64, At>,
+    read: BTreeMap<u64, Timestamp>,
     /// Read here under a duty and not yet told.
-    to_tell: BTreeMap<usize, Vec<(Reading, At)>>,
-    next: At,
+    to_tell: BTreeMap<usize, Vec<(Reading, Timestamp)>>,
+    next: Timestamp,
 }
 
-/// More engines than this are asked by each front itself.
+/// More engines than this are asked by each gateway itself.
 const MOST: usize = 4096;
 
 impl Probing {
-    pub fn new(settings: Settings, now: At) -> Probing {
+    pub fn new(settings: Settings, now: Timestamp) -> Probing {
         let (read, to_tell) = (BTreeMap::new(), BTreeMap::new());
         Probing { settings, fence: Fence::default(), read, to_tell, next: now }
     }
@@ -75,12 +75,12 @@
         self.settings.duties
     }
 
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         self.next
     }
 
     /// Whether it is time for the holders to ask; at most once a period, however late.
-    pub fn begins(&mut self, now: At) -> bool {
+    pub fn begins(&mut self, now: Timestamp) -> bool {
         let begins = now >= self.next;
         if begins {
             self.next = now + self.settings.every;
@@ -90,14 +90,14 @@
         begins
     }
 
-    /// Whether this front need not ask: somebody did lately, and told.
-    pub fn is_fresh(&self, engine: u64, now: At) -> bool {
+    /// Whether this gateway need not ask: somebody did lately, and told.
+    pub fn is_fresh(&self, engine: u64, now: Timestamp) -> bool {
         self.read.get(&engine).is_some_and(|at| now.since(*at) < self.settings.fresh)
     }
 
     /// How old what is known of these engines is in the mean, and how many of them nothing fresh is known of.
-    pub fn ages(&self, engines: impl Iterator<Item = u64>, now: At) -> (Span, usize) {
-        let (mut sum, mut known, mut unknown) = (Span::ZERO, 0, 0);
+    pub fn ages(&self, engines: impl Iterator<Item = u64>, now: Timestamp) -> (Duration, usize) {
+        let (mut sum, mut known, mut unknown) = (Duration::ZERO, 0, 0);
         for engine in engines {
             match self.read.get(&engine).map(|at| now.since(*at)).filter(|age| *age < self.settings.fresh) {
                 Some(age) => (sum, known) = (sum + age, known + 1),
@@ -107,8 +107,8 @@
         (sum * (1.0 / f64::from(known.max(1))), unknown)
     }
 
-    /// This front has read it under its duty.
-    pub fn read(&mut self, reading: Reading, now: At) {
+    /// This gateway has read it under its duty.
+    pub fn read(&mut self, reading: Reading, now: Timestamp) {
         if self.read.len() < MOST || self.read.contains_key(&reading.engine) {
             self.read.insert(reading.engine, now);
             let told = self.to_tell.entry(duty_of(reading.engine, self.settings.duties)).or_default();
@@ -118,16 +118,18 @@
     }
 
     /// What is to be told of one duty's engines, with its age.
-    pub fn to_tell(&mut self, duty: usize, now: At) -> Vec<Reading> {
+    pub fn to_tell(&mut self, duty: usize, now: Timestamp) -> Vec<Reading> {
         let read = self.to_tell.remove(&duty).unwrap_or_default();
-        let aged =
-            |(reading, at): (Reading, At)| Reading { age_us: now.since(at).micros() as u32, ..reading };
+        let aged = |(reading, at): (Reading, Timestamp)| Reading {
+            age_us: now.since(at).micros() as u32,
+            ..reading
+        };
         read.into_iter().map(aged).collect()
     }
 
     /// Readings that a holder told; `None` where its token is older than one that was seen, or it tells of engines that
     /// are not its duty's.
-    pub fn hear<'a>(&mut self, told: &'a Stamped<Vec<Reading>>, now: At) -> Option<Vec<&'a Reading>> {
+    pub fn hear<'a>(&mut self, told: &'a Stamped<Vec<Reading>>, now: Timestamp) -> Option<Vec<&'a Reading>> {
         let number = (0..self.settings.duties).find(|n| duty(*n) == told.duty)?;
         if !self.fence.admits(&told.duty, told.token) {
             return None;
@@ -135,7 +137,7 @@
         let (duties, fresh) = (self.settings.duties, self.settings.fresh);
         let mut taken = Vec::new();
         for reading in &told.action {
-            let at = now - Span::from_micros(u64::from(reading.age_us));
+            let at = now - Duration::from_micros(u64::from(reading.age_us));
             let known = self.read.get(&reading.engine).is_some_and(|known| *known >= at);
             let room = self.read.len() < MOST || self.read.contains_key(&reading.engine);
             if duty_of(reading.engine, duties) == number && now.since(at) < fresh && !known && room {
--- a/crates/leases/src/wire.rs
+++ b/crates/leases/src/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams about duties, on the socket that the fronts have: their version, one letter in postcard's form, CRC-32C over
-//! all of it. Another version than that of the letters about members, so that a front without duties passes them over.
+//! Datagrams about duties, on the socket that the gateways have: their version, one letter in postcard's form, CRC-32C over
+//! all of it. Another version than that of the letters about members, so that a gateway without duties passes them over.
 
 use crate::permit::Stamped;
 use crate::probing::Reading;
@@ -8,18 +8,18 @@
 
 pub const MOST_BYTES: usize = 1200;
 pub const VERSION: u8 = 2;
-/// The longest name of a duty and of a front, in bytes.
+/// The longest name of a duty and of a gateway, in bytes.
 pub const LONGEST: usize = 48;
 const CHECK: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 
-/// One process of a front.
+/// One process of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Who {
     pub name: String,
     pub generation: u64,
 }
 
-/// A duty that a front wants, or wants on.
+/// A duty that a gateway wants, or wants on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Want {
     pub duty: String,
@@ -81,12 +81,12 @@
     },
     /// What the holder of a probing duty read at engines.
     Readings(Stamped<Vec<Reading>>),
-    /// To the keeper of these capacities: a share of each, by how much this front wants of it.
+    /// To the keeper of these capacities: a share of each, by how much this gateway wants of it.
     AskShares {
         duty: String,
         round: u32,
         /// The terms that it goes by: it is handed nothing under others.
-        fronts: u32,
+        gateways: u32,
         length_us: u64,
         wants: Vec<(u64, f32)>,
     },
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -2,10 +2,10 @@
 
 use larchfall_fault_tests::duties::{DiskDoes, Fleet, ms, name, settings};
 use larchfall_leases::duties::Why;
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 use nanorand::Rng;
 
-const BOUND: Span = Span::from_millis(12_000);
+const BOUND: Duration = Duration::from_millis(12_000);
 
 fn held(n: usize, electors: usize, duties: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::start(n, settings(electors, duties, true), seed);
@@ -21,7 +21,7 @@
 /// lease, the wait for its turn and some rounds, and goes on alone.
 #[test]
 fn a_holder_that_falls_out_in_any_way_is_followed_by_one_other() {
-    type Fault = (&'static str, fn(&mut Fleet, usize), Span);
+    type Fault = (&'static str, fn(&mut Fleet, usize), Duration);
     let faults: [Fault; 6] = [
         ("killed", |f, i| f.kill(i), ms(5_500)),
         ("stopped", |f, i| f.stop(i, ms(20_000)), ms(5_500)),
@@ -129,9 +129,9 @@
     }
 }
 
-/// A hundred duties over 24 fronts of which a third dies and comes back; few move beside those that had to.
+/// A hundred duties over 24 gateways of which a third dies and comes back; few move beside those that had to.
 #[test]
-fn a_hundred_duties_are_spread_and_few_move_when_fronts_come_and_go() {
+fn a_hundred_duties_are_spread_and_few_move_when_gateways_come_and_go() {
     let mut fleet = Fleet::start(24, settings(5, 100, true), 9);
     fleet.acts = ms(200);
     fleet.run(ms(40_000));
@@ -166,13 +166,13 @@
             fleet.restart(i);
         }
         for _ in 0..60 {
-            let span = ms(fleet.chance().generate_range(50..2_500));
-            fleet.run(span);
+            let duration = ms(fleet.chance().generate_range(50..2_500));
+            fleet.run(duration);
             let (i, j) = (fleet.chance().generate_range(0..n), fleet.chance().generate_range(0..n));
             match fleet.chance().generate_range(0..10_u32) {
                 0 => fleet.kill(i),
                 1 | 2 => fleet.restart(i),
-                3 => fleet.stop(i, span * 3.0),
+                3 => fleet.stop(i, duration * 3.0),
                 4 => fleet.link = Box::new(move |a, b| (a == i) == (b == i) || (a == j) == (b == j)),
                 5 => fleet.link = Box::new(move |a, b| a % 2 == b % 2 || (a, b) == (i, j)),
                 6 => (fleet.loss, fleet.slowest) = (0.4, ms(2_000)),
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -6,11 +6,11 @@
 use larchfall_leases::quorum::Electors;
 use larchfall_leases::record::Record;
 use larchfall_leases::wire::{Vote, Want, Who};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-const LENGTH: Span = Span::from_millis(4);
+const LENGTH: Duration = Duration::from_millis(4);
 const TICK: u64 = 1000;
 
 #[derive(Clone)]
@@ -32,8 +32,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Mail {
-    Ask { asker: usize, elector: usize, token: u64, asked: At },
-    Vote { asker: usize, elector: usize, vote: Vote, asked: At },
+    Ask { asker: usize, elector: usize, token: u64, asked: Timestamp },
+    Vote { asker: usize, elector: usize, vote: Vote, asked: Timestamp },
     Gone { asker: usize, elector: usize, token: u64 },
 }
 
@@ -84,12 +84,12 @@
     fn bounds(&self) -> Bounds {
         Bounds { longest: LENGTH, most: 2, keeps: false }
     }
-    fn true_time(&self, w: &World) -> At {
-        At::from_micros(100_000 + w.ticks * TICK)
+    fn true_time(&self, w: &World) -> Timestamp {
+        Timestamp::from_micros(100_000 + w.ticks * TICK)
     }
     /// The first elector's clock runs twice as fast as all others.
-    fn clock(&self, elector: usize, w: &World) -> At {
-        At::from_micros(100_000 + w.ticks * TICK * if elector == 0 { 2 } else { 1 })
+    fn clock(&self, elector: usize, w: &World) -> Timestamp {
+        Timestamp::from_micros(100_000 + w.ticks * TICK * if elector == 0 { 2 } else { 1 })
     }
     fn holds(&self, asker: usize, w: &World) -> Option<u64> {
         let bid = w.askers[asker].bid.as_ref()?;
@@ -109,7 +109,7 @@
 
     fn init_states(&self) -> Vec<World> {
         // They started long ago.
-        let elector = |_| Elector::new(self.bounds(), None, 0, At::from_micros(1000));
+        let elector = |_| Elector::new(self.bounds(), None, 0, Timestamp::from_micros(1000));
         vec![World {
             ticks: 0,
             electors: (0..self.electors).map(elector).collect(),
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -9,17 +9,17 @@
 use larchfall_leases::record::{BEFORE, CURRENT, Damage, Disk, Found, NEW, Record, find, keep};
 use larchfall_leases::spread;
 use larchfall_leases::wire::{Letter, Matter, Unreadable, Want, Who, pages};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::io;
 
-fn ms(n: u64) -> Span {
-    Span::from_millis(n)
+fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
 }
 
-fn at(n: u64) -> At {
-    At::from_micros(n * 1000)
+fn at(n: u64) -> Timestamp {
+    Timestamp::from_micros(n * 1000)
 }
 
 fn list(names: &str) -> std::collections::BTreeSet<String> {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_elector_grants_one_front_at_a_time_and_no_token_twice() {
+fn an_elector_grants_one_gateway_at_a_time_and_no_token_twice() {
     let bounds = Bounds { longest: ms(1000), most: 2, keeps: false };
     let mut elector = Elector::new(bounds, None, 50, at(0));
     let who = |name: &str, generation| Who { name: name.into(), generation };
@@ -172,9 +172,9 @@
 }
 
 #[test]
-fn a_front_that_goes_moves_only_what_it_was_first_for() {
-    let fronts: Vec<String> = (0..20).map(|i| format!("n{i}")).collect();
-    let names = || fronts.iter().map(String::as_str);
+fn a_gateway_that_goes_moves_only_what_it_was_first_for() {
+    let gateways: Vec<String> = (0..20).map(|i| format!("n{i}")).collect();
+    let names = || gateways.iter().map(String::as_str);
     for d in 0..200 {
         let duty = format!("d{d}");
         let first = spread::order(&duty, names())[0];
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn a_front_holds_duties_with_engines_a_fresh_list_and_health_of_its_own() {
+fn a_gateway_holds_duties_with_engines_a_fresh_list_and_health_of_its_own() {
     let lines = Lines { stale: Some(ms(1000)), ill: Some(5) };
     let none = Lines::default();
     let sight = |listed, ready, silence, health| Sight { listed, ready, silence: ms(silence), health };
--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -1,11 +1,11 @@
-//! What is claimed of one front, and which of two claims counts. Claims of one name form a line from the weakest to the
+//! What is claimed of one gateway, and which of two claims counts. Claims of one name form a line from the weakest to the
 //! strongest, and only the strongest is kept: order, doubling and loss of datagrams then can't matter for where all
 //! end up.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The longest name of a front, and of a zone, in bytes: what a datagram holds of members is bounded by it.
+/// The longest name of a gateway, and of a zone, in bytes: what a datagram holds of members is bounded by it.
 pub const LONGEST: usize = 48;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 pub struct Claim {
     /// Grows with each start of a process under one name, and when a living one hears that it was held for dead.
     pub generation: u64,
-    /// Grows with each suspicion that its front refutes; no other front ever raises it.
+    /// Grows with each suspicion that its gateway refutes; no other gateway ever raises it.
     pub incarnation: u32,
     pub standing: Standing,
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// What a front claims of itself after it heard this of itself. It alone knows better: a suspicion is answered by the
+/// What a gateway claims of itself after it heard this of itself. It alone knows better: a suspicion is answered by the
 /// next incarnation, an end by a new generation, since the one that was ended stays so. `None` where nothing is to
 /// be answered.
 pub fn refuted(mine: Claim, heard: Claim) -> Option<Claim> {
@@ -67,12 +67,12 @@
     })
 }
 
-/// What a front says of itself beside that it lives.
+/// What a gateway says of itself beside that it lives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct About {
     pub address: SocketAddrV4,
     pub zone: String,
-    /// Batches a second that it takes, as it says.
+    /// Requests a second that it takes, as it says.
     pub serves: u32,
 }
 
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,8 +1,8 @@
-//! How well this front itself keeps up, after Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness
+//! How well this gateway itself keeps up, after Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness
 //! for More Accurate Failure Detection", 2018, section IV.A). One that is slow would find everybody else silent: the
 //! worse its own health, the longer it waits before it blames another.
 
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 
 /// The paper's bound.
 const WORST: u32 = 8;
@@ -12,7 +12,7 @@
     score: u32,
 }
 
-/// What tells of this front's own health.
+/// What tells of this gateway's own health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
     /// A probe was answered in time.
@@ -35,8 +35,8 @@
     }
 
     /// What it waits for others, longer while its own health is poor.
-    pub fn stretch(self, span: Span) -> Span {
-        span * f64::from(self.score + 1)
+    pub fn stretch(self, duration: Duration) -> Duration {
+        duration * f64::from(self.score + 1)
     }
 
     pub fn score(self) -> u32 {
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,6 +1,6 @@
-//! One front's part in finding out who lives: whom it asks and when, what it believes of what it hears, and what it
+//! One gateway's part in finding out who lives: whom it asks and when, what it believes of what it hears, and what it
 //! passes on. `wake` is called when `due` comes, `hear` with each letter; both bring out what to send and what
-//! changed. SWIM's rounds, suspicion and incarnations, with Lifeguard's care for a front that is slow itself.
+//! changed. SWIM's rounds, suspicion and incarnations, with Lifeguard's care for a gateway that is slow itself.
 
 use crate::claim::{About, Claim, Rumour, Standing, refuted};
 use crate::count::Fleet;
@@ -8,45 +8,45 @@
 use crate::rumours::Rumours;
 use crate::suspicion::Suspicion;
 use crate::wire::{Letter, Matter, size};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// What others ask of this front and is not over yet: more than this at a time is passed over.
+/// What others ask of this gateway and is not over yet: more than this at a time is passed over.
 const MOST_FAVOURS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub cluster: String,
     /// One member is asked in each such time.
-    pub period: Span,
+    pub period: Duration,
     /// Without an answer by then, others are asked to ask.
-    pub answer_within: Span,
+    pub answer_within: Duration,
     /// So many of them.
     pub helpers: usize,
     /// The ended are remembered so long: older rumours of them may still be on their way.
-    pub remembered: Span,
+    pub remembered: Duration,
     /// So often all that is known goes to somebody, page by page, and to one that seemed dead or was never seen: what
     /// rumours missed, and two sides of a split, are brought together so.
-    pub tables_every: Span,
+    pub tables_every: Duration,
     /// More names than this are passed over.
     pub most: usize,
-    /// Networks that fronts may write from: address and how many of its bits count.
+    /// Networks that gateways may write from: address and how many of its bits count.
     pub networks: Vec<(Ipv4Addr, u8)>,
     /// Addresses to join by.
     pub seeds: Vec<SocketAddrV4>,
 }
 
-/// One front as this one knows it.
+/// One gateway as this one knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     pub claim: Claim,
     pub about: About,
     /// Of this standing.
-    pub since: At,
+    pub since: Timestamp,
     /// Last word from itself.
-    pub heard: Option<At>,
+    pub heard: Option<Timestamp>,
 }
 
 /// Why a member's standing changed.
@@ -54,7 +54,7 @@
 pub enum Reason {
     /// It wrote itself.
     Wrote,
-    /// This front asked and had no answer.
+    /// This gateway asked and had no answer.
     Silent,
     /// Somebody else says so.
     Told,
@@ -83,7 +83,7 @@
 pub enum Refused {
     /// From outside the networks, or from another address than it says.
     Stranger,
-    /// Another process under this front's own name, started later: this one is no member any more.
+    /// Another process under this gateway's own name, started later: this one is no member any more.
     NameTaken,
 }
 
@@ -91,19 +91,19 @@
 struct Probe {
     turn: u32,
     name: String,
-    help_at: At,
-    until: At,
+    help_at: Timestamp,
+    until: Timestamp,
     helpers: usize,
     no_answers: usize,
 }
 
-/// Asked for another front.
+/// Asked for another gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Favour {
     turn: u32,
     theirs: u32,
     back_to: SocketAddrV4,
-    until: At,
+    until: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -111,12 +111,12 @@
     me: String,
     settings: Settings,
     chance: WyRand,
-    /// All that are known, this front among them.
+    /// All that are known, this gateway among them.
     table: BTreeMap<String, Member>,
     /// Of them those that live: asked for with each letter.
     lives: usize,
     /// No ended one is to be forgotten before.
-    forget_from: At,
+    forget_from: Timestamp,
     suspicions: BTreeMap<String, Suspicion>,
     rumours: Rumours,
     health: Health,
@@ -125,14 +125,21 @@
     probe: Option<Probe>,
     favours: VecDeque<Favour>,
     turn: u32,
-    next_probe: At,
-    next_table: At,
+    next_probe: Timestamp,
+    next_table: Timestamp,
     version: u64,
     taken: bool,
 }
 
 impl Members {
-    pub fn new(name: &str, generation: u64, about: About, settings: Settings, seed: u64, now: At) -> Members {
+    pub fn new(
+        name: &str,
+        generation: u64,
+        about: About,
+        settings: Settings,
+        seed: u64,
+        now: Timestamp,
+    ) -> Members {
         let myself = Member { claim: Claim::alive(generation, 0), about, since: now, heard: Some(now) };
         let mut rumours = Rumours::default();
         rumours.add(name);
@@ -180,12 +187,12 @@
         self.taken
     }
 
-    /// Alive or suspected, this front among them.
+    /// Alive or suspected, this gateway among them.
     pub fn live(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.table.iter().filter(|(_, m)| !m.claim.is_final())
     }
 
-    /// What this front sees of the fleet, for a count of it.
+    /// What this gateway sees of the fleet, for a count of it.
     pub fn fleet(&self) -> Fleet {
         let silent = self.table.values().filter(|m| m.claim.standing == Standing::Dead).count();
         Fleet { live: self.lives, silent }
@@ -194,18 +201,21 @@
     /// Seeds and periods may change while it runs; what is known stays.
     pub fn set(&mut self, settings: Settings) {
         self.settings = settings;
-        self.forget_from = At::default();
+        self.forget_from = Timestamp::default();
     }
 
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         let probe = self.probe.as_ref().map(|p| if p.helpers == 0 { p.help_at } else { p.until });
         let suspicion = self.suspicions.values().map(Suspicion::ends).min();
         let favour = self.favours.iter().map(|f| f.until).min();
-        [probe, suspicion, favour].into_iter().flatten().fold(self.next_probe.min(self.next_table), At::min)
+        [probe, suspicion, favour]
+            .into_iter()
+            .flatten()
+            .fold(self.next_probe.min(self.next_table), Timestamp::min)
     }
 
     /// Says that it goes, to some at once: there is no later round of its own in which to pass it on.
-    pub fn leave(&mut self, now: At) -> Out {
+    pub fn leave(&mut self, now: Timestamp) -> Out {
         let mut out = Out::default();
         let claim = self.myself().claim.with(Standing::Left);
         self.believe(&self.rumour(&self.me).map(|r| Rumour { claim, ..r }), Reason::Wrote, now, &mut out);
@@ -217,7 +227,7 @@
         out
     }
 
-    pub fn wake(&mut self, now: At) -> Out {
+    pub fn wake(&mut self, now: Timestamp) -> Out {
         let mut out = Out::default();
         if self.taken || self.myself().claim.is_final() {
             (self.next_probe, self.next_table) = (now + self.settings.period, now + self.settings.period);
@@ -240,7 +250,7 @@
     }
 
     /// Those that ended long enough ago.
-    fn forget(&mut self, now: At) {
+    fn forget(&mut self, now: Timestamp) {
         if self.lives == self.table.len() || now < self.forget_from {
             return;
         }
@@ -253,7 +263,7 @@
     }
 
     /// A letter that came from this address.
-    pub fn hear(&mut self, from: SocketAddrV4, letter: &Letter, now: At) -> Result<Out, Refused> {
+    pub fn hear(&mut self, from: SocketAddrV4, letter: &Letter, now: Timestamp) -> Result<Out, Refused> {
         if !self.may_write(from) || letter.about.address != from {
             return Err(Refused::Stranger);
         }
@@ -289,7 +299,7 @@
         Ok(out)
     }
 
-    fn reply(&mut self, from: SocketAddrV4, letter: &Letter, now: At, out: &mut Out) {
+    fn reply(&mut self, from: SocketAddrV4, letter: &Letter, now: Timestamp, out: &mut Out) {
         match &letter.matter {
             Matter::Ask { turn } => self.write_to(&letter.name, from, Matter::Answer { turn: *turn }, out),
             Matter::AskFor { turn, address, .. } => {
@@ -333,7 +343,7 @@
     }
 
     /// The one place where what is known changes: the stronger claim stays, and is passed on.
-    fn believe(&mut self, rumour: &Option<Rumour>, reason: Reason, now: At, out: &mut Out) {
+    fn believe(&mut self, rumour: &Option<Rumour>, reason: Reason, now: Timestamp, out: &mut Out) {
         let Some(Rumour { name, claim, about, by }) = rumour else { return };
         if *name == self.me && reason != Reason::Wrote {
             return self.refute(*claim, about, now);
@@ -386,8 +396,8 @@
         }
     }
 
-    /// What others claim of this front.
-    fn refute(&mut self, claim: Claim, about: &About, now: At) {
+    /// What others claim of this gateway.
+    fn refute(&mut self, claim: Claim, about: &About, now: Timestamp) {
         let mine = self.myself().claim;
         if claim.generation > mine.generation && about.address != self.myself().about.address {
             self.taken = true;
@@ -404,7 +414,7 @@
     }
 
     /// Whoever stands still has heard nobody, and that says nothing of the others.
-    fn put_off_what_ran_out_while_it_slept(&mut self, now: At) {
+    fn put_off_what_ran_out_while_it_slept(&mut self, now: Timestamp) {
         let slept = now.since(self.due());
         if slept <= self.settings.period {
             return;
@@ -417,7 +427,7 @@
         self.next_probe = now + self.settings.answer_within;
     }
 
-    fn end_suspicions(&mut self, now: At, out: &mut Out) {
+    fn end_suspicions(&mut self, now: Timestamp, out: &mut Out) {
         let over: Vec<String> =
             self.suspicions.iter().filter(|(_, s)| s.ends() <= now).map(|(n, _)| n.clone()).collect();
         for name in over {
@@ -426,17 +436,17 @@
         }
     }
 
-    fn favours_without_answer(&mut self, now: At, out: &mut Out) {
+    fn favours_without_answer(&mut self, now: Timestamp, out: &mut Out) {
         while self.favours.front().is_some_and(|f| f.until <= now) {
             let Some(favour) = self.favours.pop_front() else { return };
             self.write(favour.back_to, Matter::NoAnswer { turn: favour.theirs }, out);
         }
     }
 
-    fn look_at_probe(&mut self, now: At, out: &mut Out) {
+    fn look_at_probe(&mut self, now: Timestamp, out: &mut Out) {
         let Some(mut probe) = self.probe.take() else { return };
         if now >= probe.until {
-            // Helpers that say nothing at all leave it open whether this front's own net is at fault.
+            // Helpers that say nothing at all leave it open whether this gateway's own net is at fault.
             if probe.no_answers == 0 {
                 self.health.see(Sign::NobodyAnswered);
             }
@@ -460,9 +470,9 @@
         self.probe = Some(probe);
     }
 
-    /// The next in turn, each once a round in an order of chance; and whoever this front itself suspects, so that
+    /// The next in turn, each once a round in an order of chance; and whoever this gateway itself suspects, so that
     /// a refutation has more than one way here.
-    fn ask_next(&mut self, now: At, out: &mut Out) {
+    fn ask_next(&mut self, now: Timestamp, out: &mut Out) {
         if self.probe.is_some() {
             return;
         }
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -1,5 +1,5 @@
 //! What is passed on with other datagrams, and how often: each change some times the logarithm of the fleet's size,
-//! the least told first (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! the least told first (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Class
 //! Membership Protocol", 2002, section 4.1). One entry a name, so the queue is bounded by the members; what a letter
 //! costs follows what goes into it, however many wait.
 
@@ -16,7 +16,7 @@
 }
 
 impl Rumours {
-    /// Something new is claimed of this front.
+    /// Something new is claimed of this gateway.
     pub fn add(&mut self, name: &str) {
         self.drop(name);
         self.told.insert(name.to_owned(), 0);
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams between fronts: a version, then one letter in postcard's form, then CRC-32C over all of it. What can't be
+//! Datagrams between gateways: a version, then one letter in postcard's form, then CRC-32C over all of it. What can't be
 //! read whole is told apart by why, and none of it is believed.
 
 use crate::claim::{About, Claim, LONGEST, Rumour};
@@ -17,7 +17,7 @@
     Ask {
         turn: u32,
     },
-    /// Ask that front for me: I had no answer.
+    /// Ask that gateway for me: I had no answer.
     AskFor {
         turn: u32,
         name: String,
@@ -53,12 +53,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Unreadable {
     TooLong,
-    /// Of a version that this front does not speak.
+    /// Of a version that this gateway does not speak.
     Version(u8),
     /// Cut short, flipped, or none of ours.
     Spoilt,
     OtherCluster,
-    /// Whole, but with what no front writes.
+    /// Whole, but with what no gateway writes.
     Unsound,
 }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -3,7 +3,7 @@
 use larchfall_fault_tests::fleet::{self as sim, Fleet, ms, name};
 use larchfall_membership::claim::{About, Standing};
 use larchfall_membership::members::{Members, Refused, Settings};
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
@@ -15,16 +15,16 @@
 }
 
 #[test]
-fn fronts_find_each_other_through_two_seeds_and_letters_stay_short() {
+fn gateways_find_each_other_through_two_seeds_and_letters_stay_short() {
     for (n, seed) in [(2, 1), (12, 2), (100, 3)] {
         let fleet = joined(n, seed);
         assert!(fleet.longest <= 1200, "seed {seed}: {}", fleet.longest);
-        assert_eq!(fleet.buried_alive(At::default()), 0, "seed {seed}");
+        assert_eq!(fleet.buried_alive(Timestamp::default()), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_killed_front_is_found_dead_and_one_that_leaves_is_known_to_have_left() {
+fn a_killed_gateway_is_found_dead_and_one_that_leaves_is_known_to_have_left() {
     for seed in SEEDS {
         let mut fleet = joined(12, seed);
         fleet.kill(5);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,4 +1,4 @@
-//! Every order in which a few fronts suspect, bury, refute, start anew and tell each other, over a net that loses,
+//! Every order in which a few gateways suspect, bury, refute, start anew and tell each other, over a net that loses,
 //! doubles and reorders.
 
 use larchfall_membership::claim::{Claim, Standing, refuted};
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Debug)]
 struct Bounds {
-    fronts: usize,
+    gateways: usize,
     incarnations: u32,
     generations: u64,
     on_the_way: usize,
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    /// By front, of each.
+    /// By gateway, of each.
     tables: Vec<Vec<Option<Claim>>>,
     /// To whom, of whom, what: any number of times, in any order, or never.
     net: BTreeSet<(usize, usize, u64, u32, Standing)>,
@@ -92,7 +92,7 @@
         let mut world = self.clone();
         for _ in 0..20 {
             let before = world.tables.clone();
-            for (i, k, j) in triples(x.fronts) {
+            for (i, k, j) in triples(x.gateways) {
                 if let Some(claim) = world.tables[i][j] {
                     world.believe(k, j, claim, x);
                 }
@@ -109,7 +109,7 @@
         let settled = self.settled(x);
         let of = |j: usize| settled.tables[j][j];
         settled.broken.is_none()
-            && triples(x.fronts)
+            && triples(x.gateways)
                 .all(|(i, _, j)| settled.tables[i][j] == of(j) && of(j).is_some_and(|c| !c.is_final()))
     }
 }
@@ -123,8 +123,8 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let known = vec![Some(Claim::alive(0, 0)); self.fronts];
-        let tables = vec![known; self.fronts];
+        let known = vec![Some(Claim::alive(0, 0)); self.gateways];
+        let tables = vec![known; self.gateways];
         vec![World { best: tables.clone(), tables, net: BTreeSet::new(), broken: None }]
     }
 
@@ -133,7 +133,7 @@
             return;
         }
         let standing = |i: usize, j: usize| world.tables[i][j].map(|c| c.standing);
-        for (i, k, j) in triples(self.fronts) {
+        for (i, k, j) in triples(self.gateways) {
             if j == k {
                 match standing(i, j) {
                     Some(Standing::Alive) => acts.push(Act::Suspect(i, j)),
@@ -149,7 +149,7 @@
             let claim = Claim { generation: *generation, incarnation: *incarnation, standing: *standing };
             acts.push(Act::Hear(*to, *of, claim));
         }
-        acts.extend((0..self.fronts).map(Act::Restart));
+        acts.extend((0..self.gateways).map(Act::Restart));
     }
 
     fn next_state(&self, world: &World, act: Act) -> Option<World> {
@@ -170,8 +170,8 @@
             Act::Hear(to, of, claim) => next.believe(to, of, claim, self),
             Act::Restart(i) => {
                 let generation = next.tables[i][i]?.generation + 1;
-                next.tables[i] = vec![None; self.fronts];
-                next.best[i] = vec![None; self.fronts];
+                next.tables[i] = vec![None; self.gateways];
+                next.best[i] = vec![None; self.gateways];
                 next.tables[i][i] = Some(Claim::alive(generation, 0));
             }
         }
@@ -202,27 +202,27 @@
 }
 
 const THREE: Bounds =
-    Bounds { fronts: 3, incarnations: 1, generations: 1, on_the_way: 1, weighing: Weighing::Sound };
+    Bounds { gateways: 3, incarnations: 1, generations: 1, on_the_way: 1, weighing: Weighing::Sound };
 
 #[test]
-fn two_to_four_fronts_in_every_order() {
-    let two = Bounds { fronts: 2, incarnations: 2, generations: 2, on_the_way: 2, ..THREE };
-    let four = Bounds { fronts: 4, ..THREE };
-    // (the fronts, steps, states at least)
+fn two_to_four_gateways_in_every_order() {
+    let two = Bounds { gateways: 2, incarnations: 2, generations: 2, on_the_way: 2, ..THREE };
+    let four = Bounds { gateways: 4, ..THREE };
+    // (the gateways, steps, states at least)
     for (bounds, depth, least) in [(two, 12, 1_000), (THREE, 8, 10_000), (four, 5, 1_000)] {
-        let (fronts, checker) =
-            (bounds.fronts, bounds.checker().threads(4).target_max_depth(depth).spawn_bfs().join());
+        let (gateways, checker) =
+            (bounds.gateways, bounds.checker().threads(4).target_max_depth(depth).spawn_bfs().join());
         let states = checker.unique_state_count();
-        println!("{fronts} fronts: {states} states");
+        println!("{gateways} fronts: {states} states");
         checker.assert_properties();
-        assert!(states > least, "{fronts} fronts: {states}");
+        assert!(states > least, "{gateways} fronts: {states}");
     }
 }
 
 #[test]
 fn wrong_ways_to_weigh_claims_are_caught() {
     for weighing in [Weighing::LastWord, Weighing::DeathIsNoEnd] {
-        let wrong = Bounds { fronts: 2, incarnations: 2, generations: 1, on_the_way: 2, weighing };
+        let wrong = Bounds { gateways: 2, incarnations: 2, generations: 1, on_the_way: 2, weighing };
         let checker = wrong.checker().threads(4).target_max_depth(10).spawn_bfs().join();
         assert!(
             checker.discovery("claims only grow").is_some(),
--- a/crates/membership/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -6,15 +6,15 @@
 use larchfall_membership::rumours::Rumours;
 use larchfall_membership::suspicion::Suspicion;
 use larchfall_membership::wire::{Letter, MOST_BYTES, Matter, Unreadable};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use proptest::prelude::*;
 
-fn s(n: u64) -> Span {
-    Span::from_millis(n * 1000)
+fn s(n: u64) -> Duration {
+    Duration::from_millis(n * 1000)
 }
 
-fn at(n: u64) -> At {
-    At::default() + s(n)
+fn at(n: u64) -> Timestamp {
+    Timestamp::default() + s(n)
 }
 
 fn claim(generation: u64, incarnation: u32, standing: Standing) -> Claim {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_front_answers_what_is_claimed_of_it() {
+fn a_gateway_answers_what_is_claimed_of_it() {
     use Standing::*;
     let mine = claim(3, 2, Alive);
     let cases = [
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn the_number_of_fronts_goes_up_at_once_and_down_slowly_and_not_in_a_split() {
+fn the_number_of_gateways_goes_up_at_once_and_down_slowly_and_not_in_a_split() {
     let settings = Settings { within: s(10), step: s(2), least: 2 };
     // (at, alive, fallen silent, counted)
     let steps = [
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -15,7 +15,7 @@
 use larchfall_paged_rest::cursor::Window;
 use larchfall_paged_rest::results::Caps;
 use larchfall_paged_rest::words::{Family, Source, Sources};
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 use larchfall_subsetting::{aperture, plan};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -31,39 +31,39 @@
 #[derive(Clone, Debug, Default)]
 pub struct Site {
     pub rest: Option<Rest>,
-    pub fronts: Option<Fronts>,
+    pub gateways: Option<Gateways>,
     pub duties: Option<Duties>,
     pub subsets: Option<Subsets>,
     pub signals: Option<Signals>,
 }
 
-/// What fronts tell each other of engines.
+/// What gateways tell each other of engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Signals {
     /// So often, to so many others.
-    pub every: Span,
+    pub every: Duration,
     pub fanout: usize,
     pub weigh: weigh::Settings,
-    /// One try of an engine that was left out in each such time, by one front; absent: each by itself.
-    pub turn: Option<Span>,
+    /// One try of an engine that was left out in each such time, by one gateway; absent: each by itself.
+    pub turn: Option<Duration>,
 }
 
-/// Which engines a front uses.
+/// Which engines a gateway uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Subsets {
     pub plan: plan::Settings,
     pub aperture: aperture::Settings,
     /// Looked at so often.
-    pub look: Span,
+    pub look: Duration,
 }
 
-/// What one front of them does at a time.
+/// What one gateway of them does at a time.
 #[derive(Clone, Debug)]
 pub struct Duties {
     pub settings: DutySettings,
     /// A folder for what an elector remembers; none: it remembers nothing over a restart.
     pub record: Option<PathBuf>,
-    /// Below which a front holds no duty.
+    /// Below which a gateway holds no duty.
     pub lines: Lines,
     pub probing: Option<probing::Settings>,
     pub keepers: Option<Keepers>,
@@ -76,39 +76,39 @@
     /// How many duties share the capacities.
     pub keepers: usize,
     /// How long a share lasts.
-    pub length: Span,
+    pub length: Duration,
     pub kinds: Kinds,
 }
 
 /// What is handed out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kinds {
-    pub cold: bool,
+    pub slow_start: bool,
     pub threads: bool,
-    pub customers: bool,
+    pub tenants: bool,
 }
 
-/// A program of the operator's that runs while this front holds its duty.
+/// A program of the operator's that runs while this gateway holds its duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Program {
     pub duty: String,
     pub command: Vec<String>,
     /// It is told to end so long before it is killed, and killed before the lease is over.
-    pub end: Span,
+    pub end: Duration,
 }
 
-/// The fronts among themselves.
+/// The gateways among themselves.
 #[derive(Clone, Debug)]
-pub struct Fronts {
+pub struct Gateways {
     pub name: String,
     pub address: SocketAddrV4,
     /// Where others are told that it listens.
     pub told: SocketAddrV4,
     pub zone: String,
-    /// Batches a second that this front is meant to take, as others are told.
+    /// Requests a second that this gateway is meant to take, as others are told.
     pub serves: u32,
     pub settings: Members,
-    /// The module counts the fronts that live, by these bounds; none: those that the settings name.
+    /// The module counts the gateways that live, by these bounds; none: those that the settings name.
     pub count: Option<Count>,
 }
 
@@ -124,16 +124,17 @@
     /// Bytes of a statement.
     pub statement: usize,
     /// A call for a page that is not there is held back so long at most.
-    pub poll: Span,
+    pub poll: Duration,
     pub caps: Caps,
-    pub batch: Sources,
+    pub request: Sources,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
     rest: Option<RawRest>,
-    fronts: Option<RawFronts>,
+    #[serde(rename = "fronts")]
+    gateways: Option<RawGateways>,
     duties: Option<RawDuties>,
     subsets: Option<RawSubsets>,
     signals: Option<Spanned<RawSignals>>,
@@ -221,7 +222,7 @@
     keepers: Option<Spanned<usize>>,
     #[serde(default = "share_ms")]
     share_ms: Spanned<u64>,
-    #[serde(default = "only_cold")]
+    #[serde(default = "only_slow_start")]
     hand_out: Vec<RawKind>,
     #[serde(default = "probe_ms")]
     probe_ms: Spanned<u64>,
@@ -232,13 +233,15 @@
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum RawKind {
-    Cold,
+    #[serde(rename = "cold")]
+    SlowStart,
     Threads,
-    Customers,
+    #[serde(rename = "customers")]
+    Tenants,
 }
 
-fn only_cold() -> Vec<RawKind> {
-    vec![RawKind::Cold]
+fn only_slow_start() -> Vec<RawKind> {
+    vec![RawKind::SlowStart]
 }
 
 #[derive(Deserialize)]
@@ -252,7 +255,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-struct RawFronts {
+struct RawGateways {
     cluster: Spanned<String>,
     name: Spanned<String>,
     address: Spanned<String>,
@@ -309,7 +312,8 @@
     result_bytes: Spanned<usize>,
     #[serde(default = "all_bytes")]
     all_bytes: Spanned<usize>,
-    batch: Spanned<Sources>,
+    #[serde(rename = "batch")]
+    request: Spanned<Sources>,
 }
 
 /// A default stands in no line.
@@ -401,19 +405,19 @@
 
 pub fn parse(text: &str, names: &Names) -> Result<Site, String> {
     let raw: Raw = toml::from_str(text).map_err(|e| {
-        let at = e.span().map_or(String::new(), |span| format!("line {}: ", line(text, span.start)));
+        let at = e.span().map_or(String::new(), |duration| format!("line {}: ", line(text, duration.start)));
         format!("{at}{}", e.message())
     })?;
-    let fronts = raw.fronts.map(|raw| fronts(text, raw)).transpose()?;
+    let gateways = raw.gateways.map(|raw| gateways(text, raw)).transpose()?;
     let duties =
-        raw.duties.map(|raw_duties| duties(text, raw_duties, &raw.duty, fronts.as_ref())).transpose()?;
+        raw.duties.map(|raw_duties| duties(text, raw_duties, &raw.duty, gateways.as_ref())).transpose()?;
     if let (None, Some(first)) = (&duties, raw.duty.first()) {
         return Err(format!("line {}: duty: needs a [duties] table", line(text, first.name.span().start)));
     }
     let subsets = raw.subsets.map(|raw| subsets(text, &raw)).transpose()?;
-    let signals = raw.signals.map(|raw| signals(text, &raw, fronts.as_ref())).transpose()?;
+    let signals = raw.signals.map(|raw| signals(text, &raw, gateways.as_ref())).transpose()?;
     let rest = raw.rest.map(|raw| rest(text, raw, names)).transpose()?;
-    Ok(Site { rest, fronts, duties, subsets, signals })
+    Ok(Site { rest, gateways, duties, subsets, signals })
 }
 
 fn line(text: &str, at: usize) -> usize {
@@ -437,14 +441,14 @@
         (from..=to).contains(&n).then_some(n).ok_or_else(why)
     }
 
-    fn time(&self, value: &Spanned<u64>, field: &str, from: u64, to: u64) -> Result<Span, String> {
+    fn time(&self, value: &Spanned<u64>, field: &str, from: u64, to: u64) -> Result<Duration, String> {
         let n = *value.get_ref();
         let why = || self.fault(value.span().start, field, &format!("{n} ms is not within {from} to {to}"));
-        (from..=to).contains(&n).then_some(Span::from_millis(n)).ok_or_else(why)
+        (from..=to).contains(&n).then_some(Duration::from_millis(n)).ok_or_else(why)
     }
 }
 
-fn fronts(text: &str, raw: RawFronts) -> Result<Fronts, String> {
+fn gateways(text: &str, raw: RawGateways) -> Result<Gateways, String> {
     let table = Table { text, name: "fronts" };
     let fault = |at: usize, field: &str, why: &str| table.fault(at, field, why);
     let name = |value: &Spanned<String>, field: &str| {
@@ -491,7 +495,7 @@
     if told.port() == 0 || told.ip().is_unspecified() {
         return Err(fault(raw.address.span().start, "address", "others need an address and a port of it"));
     }
-    Ok(Fronts {
+    Ok(Gateways {
         name: name(&raw.name, "name")?,
         address: listens,
         told,
@@ -502,9 +506,9 @@
     })
 }
 
-fn signals(text: &str, raw: &Spanned<RawSignals>, fronts: Option<&Fronts>) -> Result<Signals, String> {
+fn signals(text: &str, raw: &Spanned<RawSignals>, gateways: Option<&Gateways>) -> Result<Signals, String> {
     let (table, at, raw) = (Table { text, name: "signals" }, raw.span().start, raw.get_ref());
-    fronts.ok_or_else(|| table.fault(at, "every-ms", "needs a [fronts] table"))?;
+    gateways.ok_or_else(|| table.fault(at, "every-ms", "needs a [fronts] table"))?;
     let every = table.time(&raw.every_ms, "every-ms", 20, 60_000)?;
     let fanout = table.number(&raw.fanout, "fanout", 1, 64)?;
     let window = table.time(&raw.window_ms, "window-ms", 100, 600_000)?;
@@ -531,11 +535,11 @@
     text: &str,
     raw: RawDuties,
     programs: &[RawProgram],
-    fronts: Option<&Fronts>,
+    gateways: Option<&Gateways>,
 ) -> Result<Duties, String> {
     let table = Table { text, name: "duties" };
     let at = raw.electors.span().start;
-    let fronts = fronts.ok_or_else(|| table.fault(at, "electors", "needs a [fronts] table"))?;
+    let gateways = gateways.ok_or_else(|| table.fault(at, "electors", "needs a [fronts] table"))?;
     let list = |list: &Spanned<Vec<Spanned<String>>>, field: &str| {
         let names: BTreeSet<String> = list.get_ref().iter().map(|name| name.get_ref().clone()).collect();
         let fits = matches!(names.len(), 3 | 5 | 7) && names.len() == list.get_ref().len();
@@ -566,9 +570,9 @@
     let lasts = table.time(&raw.share_ms, "share-ms", 100, 60_000)?;
     let out = |kind| raw.hand_out.contains(&kind);
     let kinds = Kinds {
-        cold: out(RawKind::Cold),
+        slow_start: out(RawKind::SlowStart),
         threads: out(RawKind::Threads),
-        customers: out(RawKind::Customers),
+        tenants: out(RawKind::Tenants),
     };
     let keepers = keepers.map(|keepers| Keepers { keepers, length: lasts, kinds });
     names.extend((0..keepers.map_or(0, |k| k.keepers)).map(larchfall_leases::probing::keeper));
@@ -590,7 +594,7 @@
     }
     let margin = table.number(&raw.margin, "margin", 1, 500)? as u32;
     let settings = DutySettings {
-        cluster: fronts.settings.cluster.clone(),
+        cluster: gateways.settings.cluster.clone(),
         electors,
         terms: Terms { length, margin },
         bounds: Bounds { longest, most: MOST_DUTIES, keeps: raw.record.is_some() },
@@ -633,20 +637,20 @@
         bytes: within(&raw.all_bytes, "all-bytes", 1024, 1 << 40)?,
         window,
     };
-    let at = raw.batch.span().start;
-    let batch = raw.batch.into_inner();
-    if batch.group.is_empty() {
+    let at = raw.request.span().start;
+    let request = raw.request.into_inner();
+    if request.class.is_empty() {
         return Err(fault(at, "batch.group", "no source names the service group"));
     }
     for (field, sources, known) in
-        [("batch.group", &batch.group, &names.groups), ("batch.customer", &batch.customer, &names.customers)]
+        [("batch.group", &request.class, &names.classes), ("batch.customer", &request.tenant, &names.tenants)]
     {
         let unknown = |s: &&Source| matches!(s, Source::Value(v) if !known.contains(v));
         if let Some(Source::Value(value)) = sources.iter().find(unknown) {
             return Err(fault(at, field, &format!("'{value}' is not in the settings")));
         }
     }
-    if !names.customers.is_empty() && batch.customer.is_empty() {
+    if !names.tenants.is_empty() && request.tenant.is_empty() {
         return Err(fault(at, "batch.customer", "the settings have customers, and no source names one"));
     }
     Ok(Rest {
@@ -657,6 +661,6 @@
         statement: within(&raw.statement_bytes, "statement-bytes", 1, 1 << 20)?,
         poll,
         caps,
-        batch,
+        request,
     })
 }
--- a/crates/operator-config/tests/site.rs
+++ b/crates/operator-config/tests/site.rs
@@ -3,60 +3,60 @@
 use larchfall_config::Names;
 use larchfall_operator_config::parse;
 use larchfall_paged_rest::words::{Family, Source};
-use larchfall_policy::time::Span;
+use larchfall_policy::time::Duration;
 
 fn names() -> Names {
     let text = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
-    Names { groups: text(&["look", "load"]), customers: text(&["acme"]), ..Names::default() }
+    Names { classes: text(&["look", "load"]), tenants: text(&["acme"]), ..Names::default() }
 }
 
 const LEAST: &str = "[rest]\nlisten = \"127.0.0.1:0\"\n[rest.batch]\ngroup = [{ value = \"look\" }]\ncustomer = [{ value = \"acme\" }]\n";
 
-const FRONTS: &str = "[fronts]\ncluster = \"toy\"\nname = \"n0\"\naddress = \"127.0.0.1:7400\"\nseeds = [\"127.0.0.1:7401\"]\nnetworks = [\"127.0.0.0/8\"]\n";
+const GATEWAYS: &str = "[fronts]\ncluster = \"toy\"\nname = \"n0\"\naddress = \"127.0.0.1:7400\"\nseeds = [\"127.0.0.1:7401\"]\nnetworks = [\"127.0.0.0/8\"]\n";
 
 #[test]
 fn what_a_file_leaves_out_is_off_or_has_its_default() {
     assert!(parse("", &names()).unwrap().rest.is_none());
     let rest = parse(LEAST, &names()).unwrap().rest.unwrap();
-    assert_eq!((rest.headers, rest.base, rest.poll), (Family::Trino, None, Span::from_millis(1000)));
+    assert_eq!((rest.headers, rest.base, rest.poll), (Family::Trino, None, Duration::from_millis(1000)));
     assert_eq!((rest.connections, rest.caps.results, rest.caps.window.pages), (32, 256, 4));
-    assert_eq!(rest.batch.group, [Source::Value("look".into())]);
+    assert_eq!(rest.request.class, [Source::Value("look".into())]);
     let example = parse(include_str!("../../../deploy/site-example.toml"), &names()).unwrap();
-    let (rest, fronts) = (example.rest.unwrap(), example.fronts.unwrap());
-    assert_eq!((rest.headers, rest.batch.group.len()), (Family::Both, 2));
-    assert_eq!((fronts.told, fronts.settings.networks[0].1), (fronts.address, 8));
+    let (rest, gateways) = (example.rest.unwrap(), example.gateways.unwrap());
+    assert_eq!((rest.headers, rest.request.class.len()), (Family::Both, 2));
+    assert_eq!((gateways.told, gateways.settings.networks[0].1), (gateways.address, 8));
     let duties = example.duties.unwrap();
     assert_eq!((duties.settings.duties.len(), duties.programs.len(), duties.keepers), (5, 1, None));
-    assert_eq!(duties.probing.map(|p| p.fresh), Some(Span::from_millis(1500)));
-    assert!(parse(LEAST, &names()).unwrap().fronts.is_none());
-    assert!(parse(FRONTS, &names()).unwrap().duties.is_none());
-    let least = parse(FRONTS, &names()).unwrap().fronts.unwrap();
-    assert!(least.count.is_none() && fronts.count.is_some_and(|c| c.least == 3));
-    assert_eq!((least.settings.period, least.settings.most), (Span::from_millis(500), 1024));
+    assert_eq!(duties.probing.map(|p| p.fresh), Some(Duration::from_millis(1500)));
+    assert!(parse(LEAST, &names()).unwrap().gateways.is_none());
+    assert!(parse(GATEWAYS, &names()).unwrap().duties.is_none());
+    let least = parse(GATEWAYS, &names()).unwrap().gateways.unwrap();
+    assert!(least.count.is_none() && gateways.count.is_some_and(|c| c.least == 3));
+    assert_eq!((least.settings.period, least.settings.most), (Duration::from_millis(500), 1024));
 }
 
 #[test]
 fn faults_are_said_with_line_and_field() {
     let with = |line: &str| LEAST.replace("[rest.batch]", &format!("{line}\n[rest.batch]"));
-    let fronts = |line: &str| format!("{FRONTS}{line}\n");
+    let gateways = |line: &str| format!("{GATEWAYS}{line}\n");
     let long = "x".repeat(49);
     const THREE: &str = "electors = [\"a\", \"b\", \"c\"]";
-    let duties = |lines: &str| format!("{FRONTS}[duties]\n{lines}\n");
+    let duties = |lines: &str| format!("{GATEWAYS}[duties]\n{lines}\n");
     let duty = |lines: &str| duties(&format!("{THREE}\n[[duty]]\n{lines}"));
     let runs = "name = \"x\"\ncommand = [\"true\"]";
     let cases = [
-        (&fronts("dance = 1")[..], "line 7: unknown field `dance`"),
-        (&fronts("period-ms = 10"), "line 7: fronts.period-ms: 10 ms is not within 50 to 60000"),
-        (&fronts("answer-ms = 300"), "line 7: fronts.answer-ms: others that are asked"),
-        (&fronts("count-step-ms = 1"), "line 7: fronts.count-step-ms: 1 ms is not within"),
-        (&fronts("count-least = 0"), "line 7: fronts.count-least: 0 is not within"),
-        (&fronts("most = 1"), "line 7: fronts.most: 1 is not within 2 to 65536"),
-        (&fronts("told = \"0.0.0.0:7400\""), "fronts.address: others need an address"),
-        (&FRONTS.replace("127.0.0.1:7400", "127.0.0.1:0"), "fronts.address: others need an address"),
-        (&FRONTS.replace("127.0.0.1:7401", "seed"), "line 5: fronts.seeds: no IPv4 address with a port"),
-        (&FRONTS.replace("/8", "/33"), "line 6: fronts.networks: wanted an address and its bits"),
-        (&FRONTS.replace("n0", &long), "line 3: fronts.name: wanted 1 to 48 bytes"),
-        (&FRONTS.replace("cluster = \"toy\"\n", ""), "missing field `cluster`"),
+        (&gateways("dance = 1")[..], "line 7: unknown field `dance`"),
+        (&gateways("period-ms = 10"), "line 7: fronts.period-ms: 10 ms is not within 50 to 60000"),
+        (&gateways("answer-ms = 300"), "line 7: fronts.answer-ms: others that are asked"),
+        (&gateways("count-step-ms = 1"), "line 7: fronts.count-step-ms: 1 ms is not within"),
+        (&gateways("count-least = 0"), "line 7: fronts.count-least: 0 is not within"),
+        (&gateways("most = 1"), "line 7: fronts.most: 1 is not within 2 to 65536"),
+        (&gateways("told = \"0.0.0.0:7400\""), "fronts.address: others need an address"),
+        (&GATEWAYS.replace("127.0.0.1:7400", "127.0.0.1:0"), "fronts.address: others need an address"),
+        (&GATEWAYS.replace("127.0.0.1:7401", "seed"), "line 5: fronts.seeds: no IPv4 address with a port"),
+        (&GATEWAYS.replace("/8", "/33"), "line 6: fronts.networks: wanted an address and its bits"),
+        (&GATEWAYS.replace("n0", &long), "line 3: fronts.name: wanted 1 to 48 bytes"),
+        (&GATEWAYS.replace("cluster = \"toy\"\n", ""), "missing field `cluster`"),
         (&format!("[duties]\n{THREE}\n"), "line 2: duties.electors: needs a [fronts] table"),
         (
             &duties("electors = [\"a\", \"b\"]"),
@@ -84,7 +84,7 @@
         ),
         (&duty("name = \"x\"\ncommand = []"), "line 11: duty.command: names no program"),
         (&duty(&format!("{runs}\nend-ms = 800")), "line 12: duty.end-ms: 800 ms is not within 10 to 750"),
-        (&format!("{FRONTS}[[duty]]\n{runs}\n"), "line 8: duty: needs a [duties] table"),
+        (&format!("{GATEWAYS}[[duty]]\n{runs}\n"), "line 8: duty: needs a [duties] table"),
         ("[rest", "line 1"),
         ("[dance]\n", "line 1: unknown field `dance`"),
         ("[rest]\n", "missing field `listen`"),
--- a/crates/paged-rest/src/cursor.rs
+++ b/crates/paged-rest/src/cursor.rs
@@ -2,7 +2,7 @@
 //! for a token says that all before it have come. What stands under a token never changes, so a page asked for
 //! again after a dropped line, or by two connections at once, is the same page.
 
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
 /// Bounds of one result: pages and bytes that wait for their client, and how long they do.
@@ -11,7 +11,7 @@
     pub pages: usize,
     pub bytes: usize,
     /// A result that nobody asked for in this long is left.
-    pub kept_for: Span,
+    pub kept_for: Duration,
 }
 
 /// How a result ended, as far as the engine and the decisions go.
@@ -22,7 +22,7 @@
     Errored,
 }
 
-/// The one final answer of a batch, as its client saw it.
+/// The one final answer of a request, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settled {
     /// The last page was handed out.
@@ -64,12 +64,12 @@
     given: u64,
     /// Whether rows were handed out: then the result can't begin anew.
     handed_on: bool,
-    asked: At,
+    asked: Timestamp,
     settled: Option<Settled>,
 }
 
 impl<T: Clone> Cursor<T> {
-    pub fn new(window: Window, now: At) -> Cursor<T> {
+    pub fn new(window: Window, now: Timestamp) -> Cursor<T> {
         let pages = VecDeque::new();
         Cursor { window, first: 0, pages, bytes: 0, given: 1, handed_on: false, asked: now, settled: None }
     }
@@ -119,7 +119,7 @@
     }
 
     /// A client asks for what stands under a token.
-    pub fn ask(&mut self, token: u64, now: At) -> Ask<T> {
+    pub fn ask(&mut self, token: u64, now: Timestamp) -> Ask<T> {
         if self.settled == Some(Settled::Left) || token >= self.given {
             return Ask::Unknown;
         }
@@ -166,7 +166,7 @@
     }
 
     /// When it is left unless somebody asks.
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         self.asked + self.window.kept_for
     }
 
--- a/crates/paged-rest/src/results.rs
+++ b/crates/paged-rest/src/results.rs
@@ -2,7 +2,7 @@
 //! page at a time beyond, so that none stands still for what others keep.
 
 use crate::cursor::{Ask, Cursor, End, Settled, Window};
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 use slab::Slab;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -10,7 +10,7 @@
 pub struct Caps {
     /// Results open at a time.
     pub results: usize,
-    /// Of them, those whose batch is in hand: each may hold a connection to an engine for as long as it is read.
+    /// Of them, those whose request is in hand: each may hold a connection to an engine for as long as it is read.
     pub making: usize,
     /// Bytes that wait in all of them.
     pub bytes: usize,
@@ -20,9 +20,9 @@
 #[derive(Debug)]
 struct Open<T> {
     cursor: Cursor<T>,
-    due: At,
-    /// The batch that makes it, until that is over.
-    batch: Option<usize>,
+    due: Timestamp,
+    /// The request that makes it, until that is over.
+    request: Option<usize>,
     making: bool,
 }
 
@@ -31,7 +31,7 @@
 pub struct Results<T> {
     caps: Caps,
     open: Slab<(u64, Open<T>)>,
-    due: BTreeSet<(At, usize)>,
+    due: BTreeSet<(Timestamp, usize)>,
     bytes: usize,
     making: usize,
     /// Those whose last page was handed out, the oldest first: kept for a dropped line only.
@@ -78,7 +78,7 @@
     }
 
     /// `None` where as many are open as may be. What was read to its end makes room.
-    pub fn begin(&mut self, now: At) -> Option<Name> {
+    pub fn begin(&mut self, now: Timestamp) -> Option<Name> {
         if self.making >= self.caps.making {
             return None;
         }
@@ -91,7 +91,7 @@
         (self.eras, self.making) = (self.eras + 1, self.making + 1);
         let cursor = Cursor::new(self.caps.window, now);
         let due = cursor.due();
-        let number = self.open.insert((self.eras, Open { cursor, due, batch: None, making: true }));
+        let number = self.open.insert((self.eras, Open { cursor, due, request: None, making: true }));
         self.due.insert((due, number));
         Some(Name { number, era: self.eras })
     }
@@ -115,10 +115,10 @@
         Some(result)
     }
 
-    /// The batch that makes this result.
-    pub fn is_made_by(&mut self, name: Name, batch: usize) {
+    /// The request that makes this result.
+    pub fn is_made_by(&mut self, name: Name, request: usize) {
         if let Some(open) = self.get(name) {
-            open.batch = Some(batch);
+            open.request = Some(request);
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// An unknown name is an unknown page.
-    pub fn ask(&mut self, name: Name, token: u64, now: At) -> Ask<T> {
+    pub fn ask(&mut self, name: Name, token: u64, now: Timestamp) -> Ask<T> {
         let ask = self.change(name, |c| c.ask(token, now)).unwrap_or(Ask::Unknown);
         if matches!(ask, Ask::Page(_, Some(_))) {
             self.read.push_back(name);
@@ -156,31 +156,31 @@
         self.change(name, |c| c.wait_over(token, empty));
     }
 
-    /// The client ends it. The batch whose work is for nobody then, where that is still on its way.
+    /// The client ends it. The request whose work is for nobody then, where that is still on its way.
     pub fn leave(&mut self, name: Name) -> Option<Left> {
         let left = self.change(name, Cursor::leave)?;
-        let batch = self.get(name).and_then(|open| open.batch.take());
+        let request = self.get(name).and_then(|open| open.request.take());
         self.remove(name.number);
-        left.then_some(Left { name, batch })
+        left.then_some(Left { name, request })
     }
 
-    /// Its batch is over: nobody is to be called off for it any more.
+    /// Its request is over: nobody is to be called off for it any more.
     pub fn made(&mut self, name: Name) {
         if let Some(open) = self.get(name) {
-            open.batch = None;
+            open.request = None;
             let was = std::mem::take(&mut open.making);
             self.making -= usize::from(was);
         }
     }
 
     /// Ends those that nobody asked for in time, and lets go of those whose last page was read that long ago.
-    pub fn expire(&mut self, now: At) -> Vec<Left> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<Left> {
         let mut left = Vec::new();
         while let Some((_, number)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             let Some((era, open)) = self.open.get_mut(number) else { break };
-            let (name, batch) = (Name { number, era: *era }, open.batch.take());
+            let (name, request) = (Name { number, era: *era }, open.request.take());
             if open.cursor.settled().is_none() {
-                left.push(Left { name, batch });
+                left.push(Left { name, request });
             }
             self.remove(number);
         }
@@ -204,7 +204,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Left {
     pub name: Name,
-    pub batch: Option<usize>,
+    pub request: Option<usize>,
 }
 
 impl Left {
--- a/crates/paged-rest/src/slug.rs
+++ b/crates/paged-rest/src/slug.rs
@@ -8,7 +8,7 @@
 const PATH: &str = "/v1/statement/executing/";
 const BYTES: usize = 16;
 
-/// The key of one front's run: its addresses mean nothing to the next.
+/// The key of one gateway's run: its addresses mean nothing to the next.
 #[derive(Clone)]
 pub struct Key(Hmac<Sha256>);
 
--- a/crates/paged-rest/src/words.rs
+++ b/crates/paged-rest/src/words.rs
@@ -1,4 +1,4 @@
-//! What a batch is made of: each part from a header field, a property of the session, or a value that always
+//! What a request is made of: each part from a header field, a property of the session, or a value that always
 //! holds, as the operator's file says. The first source that a call has counts; what it says is not repaired.
 
 use crate::call::Call;
@@ -16,7 +16,7 @@
     Both,
 }
 
-/// Where a part of a batch is found.
+/// Where a part of a request is found.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Source {
@@ -34,8 +34,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Sources {
-    pub group: Vec<Source>,
-    pub customer: Vec<Source>,
+    #[serde(rename = "group")]
+    pub class: Vec<Source>,
+    #[serde(rename = "customer")]
+    pub tenant: Vec<Source>,
     pub reference: Vec<Source>,
     pub key: Vec<Source>,
     /// Milliseconds on one core.
@@ -46,11 +48,11 @@
     pub time_limit: Vec<Source>,
 }
 
-/// A batch as its client words it; units as in [`Sources`].
+/// A request as its client words it; units as in [`Sources`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Worded {
-    pub group: Option<String>,
-    pub customer: Option<String>,
+    pub class: Option<String>,
+    pub tenant: Option<String>,
     pub reference: Option<String>,
     pub key: Option<String>,
     pub work: Option<String>,
@@ -87,8 +89,8 @@
         Ok(None)
     };
     Ok(Worded {
-        group: find(&sources.group)?,
-        customer: find(&sources.customer)?,
+        class: find(&sources.class)?,
+        tenant: find(&sources.tenant)?,
         reference: find(&sources.reference)?,
         key: find(&sources.key)?,
         work: find(&sources.work)?,
--- a/crates/paged-rest/tests/cursor.rs
+++ b/crates/paged-rest/tests/cursor.rs
@@ -4,14 +4,14 @@
 use larchfall_paged_rest::cursor::{Ask, Cursor, End, Settled, Window};
 use larchfall_paged_rest::results::{Caps, Name, Results};
 use larchfall_paged_rest::slug::{Key, Place};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const WINDOW: Window = Window { pages: 3, bytes: 40, kept_for: Span::from_millis(1000) };
+const WINDOW: Window = Window { pages: 3, bytes: 40, kept_for: Duration::from_millis(1000) };
 
-fn ms(n: u64) -> At {
-    At::from_micros(1_000_000_000) + Span::from_millis(n)
+fn ms(n: u64) -> Timestamp {
+    Timestamp::from_micros(1_000_000_000) + Duration::from_millis(n)
 }
 
 #[derive(Clone, Debug)]
@@ -188,7 +188,7 @@
     results.push(b, "", 10, None);
     assert_eq!((results.has_room(b), results.bytes()), (Some(false), 30));
     results.is_made_by(a, 7);
-    assert_eq!(results.leave(a).and_then(|l| l.batch), Some(7), "its batch works for nobody");
+    assert_eq!(results.leave(a).and_then(|l| l.request), Some(7), "its batch works for nobody");
     assert_eq!((results.leave(a), results.has_room(a), results.bytes()), (None, None, 10));
     let again = results.begin(ms(1)).unwrap();
     assert_eq!((again.number, again == a), (a.number, false), "an index serves again, under another era");
--- a/crates/paged-rest/tests/wire.rs
+++ b/crates/paged-rest/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Calls, the words of a batch and documents, as tables of cases.
+//! Calls, the words of a request and documents, as tables of cases.
 
 use larchfall_paged_rest::call::{Call, Malformed, Read, Verb, read};
 use larchfall_paged_rest::cursor::End;
@@ -133,7 +133,7 @@
 #[test]
 fn the_first_source_that_a_call_has_counts_and_faults_name_it() {
     use Family::{Both, Presto, Trino};
-    // Headers, the family that is spoken, the sources of the service group, what is found.
+    // Headers, the family that is spoken, the sources of the request class, what is found.
     type Case<'a> = (&'a [(&'a str, &'a str)], Family, &'a str, Result<Option<&'a str>, &'a str>);
     let cases: [Case; 13] = [
         (&[("x-trino-source", "report")], Trino, "h:Source v:look", Ok(Some("report"))),
@@ -158,9 +158,9 @@
     for (head, family, sources, expected) in cases {
         let head = head.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
         let call = Call { verb: Verb::Post, path: "/".into(), head, body: Vec::new(), closes: false };
-        let sources = Sources { group: source(sources), ..Sources::default() };
+        let sources = Sources { class: source(sources), ..Sources::default() };
         match (words(&call, family, &sources), expected) {
-            (Ok(Worded { group, .. }), Ok(wanted)) => assert_eq!(group.as_deref(), wanted, "{call:?}"),
+            (Ok(Worded { class, .. }), Ok(wanted)) => assert_eq!(class.as_deref(), wanted, "{call:?}"),
             (Err(why), Err(part)) => assert!(why.contains(part), "{why}"),
             (got, wanted) => panic!("{got:?} for {wanted:?}"),
         }
