--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,30 +1,30 @@
-//! What goes into the decisions and what comes out: plain values, no wire. Engines, service groups,
-//! customers, zones, kinds and batches are small indices that the caller hands out; a batch's index may be
-//! used again once the batch is over and every dispatch of it has brought its outcome.
+//! What goes into the decisions and what comes out: plain values, no wire. Engines, request classes,
+//! tenants, zones, kinds and requests are small indices that the caller hands out; a request's index may be
+//! used again once the request is over and every attempt of it has brought its outcome.
 
-use crate::time::{At, Span};
+use crate::time::{Duration, Timestamp};
 
 /// What the module is told once, at its start.
 #[derive(Clone, Debug, Default)]
-pub struct Given {
+pub struct PolicyConfig {
     pub fleet: Fleet,
-    pub groups: Vec<ServiceGroup>,
-    pub customers: Vec<Customer>,
+    pub classes: Vec<RequestClass>,
+    pub tenants: Vec<Tenant>,
     pub caps: Caps,
-    pub cold: ColdRule,
-    /// Rest of a key after an outcome that leaves it open whether its dispatch runs.
-    pub key_quiet: Span,
-    pub ration: Option<RationRule>,
+    pub slow_start: SlowStartPolicy,
+    /// Rest of a key after an outcome that leaves it open whether its attempt runs.
+    pub key_cooldown: Duration,
+    pub retry_budget: Option<RetryBudgetRule>,
 }
 
-/// Which fronts and machines there are.
+/// Which gateways and machines there are.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    pub fronts: usize,
-    /// This front's number among them.
+    pub gateways: usize,
+    /// This gateway's number among them.
     pub me: usize,
     pub zone: usize,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<EngineKind>,
 }
 
 impl Fleet {
@@ -35,129 +35,134 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Kind {
+pub struct EngineKind {
     pub cores: f64,
     pub memory_mb: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct ServiceGroup {
-    pub utility: f64,
+pub struct RequestClass {
+    pub priority_weight: f64,
     /// An answer is wanted within `goal`, plus `goal_stretch` times the work over the threads.
-    pub goal: Span,
-    pub goal_stretch: f64,
-    pub effect: Effect,
+    pub latency_objective: Duration,
+    pub objective_stretch: f64,
+    pub effect: Idempotency,
     pub in_order: bool,
     pub threads: f64,
     /// Holds its data set on its engine while it runs.
-    pub holds_data: bool,
-    /// Stands still while a batch that holds its data set runs on the same engine.
-    pub waits_for_holder: bool,
+    pub locks_data_set: bool,
+    /// Stands still while a request that holds its data set runs on the same engine.
+    pub waits_for_data_lock: bool,
     /// The only zones and kinds it may be sent to; `None` leaves them open.
     pub zones: Option<Vec<usize>>,
     pub kinds: Option<Vec<usize>>,
 }
 
-impl ServiceGroup {
+impl RequestClass {
     /// Its response goal, stretched by the work in seconds: what comes after that is late.
-    pub fn late_after(&self, work: Option<f64>) -> Span {
-        self.goal + Span::from_secs(self.goal_stretch * work.unwrap_or(0.0) / self.threads)
+    pub fn objective_for(&self, work: Option<f64>) -> Duration {
+        self.latency_objective
+            + Duration::from_secs(self.objective_stretch * work.unwrap_or(0.0) / self.threads)
     }
 
     /// Rule 6.
-    pub fn may_go_to(&self, engine: &Engine) -> bool {
+    pub fn allows_engine(&self, engine: &Engine) -> bool {
         self.zones.as_ref().is_none_or(|z| z.contains(&engine.zone))
             && self.kinds.as_ref().is_none_or(|k| k.contains(&engine.kind))
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Repeatable,
-    /// A repeat is dropped by the engines of one scope, for a window from the first dispatch that may have
+pub enum Idempotency {
+    Idempotent,
+    /// A repeat is dropped by the engines of one scope, for a window from the first attempt that may have
     /// run.
-    Referenced {
-        scope: Scope,
-        window: Span,
+    IdempotentWithKey {
+        scope: DeduplicationScope,
+        window: Duration,
     },
-    OnceOnly,
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
 }
 
-impl Scope {
+impl DeduplicationScope {
     /// Whether the engines that drop a repeat of what ran on one are also those that drop it on the other.
     pub fn holds(self, ran_on: &Engine, to: &Engine) -> bool {
         match self {
-            Scope::All => true,
-            Scope::Zone => ran_on.zone == to.zone,
-            Scope::Cell => ran_on.cell == to.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => ran_on.zone == to.zone,
+            DeduplicationScope::Cell => ran_on.cell == to.cell,
         }
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Customer {
-    /// Batches a second over all fronts that count in full.
-    pub allowance: f64,
+pub struct Tenant {
+    /// Requests a second over all gateways that count in full.
+    pub quota_rate: f64,
 }
 
 /// What the caller may ask of engines and clients.
 #[derive(Clone, Debug, Default)]
 pub struct Caps {
-    pub call_off: bool,
-    /// What a probe costs, in parts of a batch's utility; `None` where an engine may not be asked for its report.
-    pub probe_price: Option<f64>,
-    /// What a new connection costs, likewise, and how long one is kept that no batch uses.
-    pub link_price: f64,
-    pub links_kept: Span,
-    pub most_dispatches: usize,
-    /// Nothing of a batch may run beside a further dispatch of it, and an outcome alone does not say that it ended.
-    pub one_at_a_time: bool,
+    pub can_cancel: bool,
+    /// What a probe costs, in parts of a request's utility; `None` where an engine may not be asked for its report.
+    pub load_probe_cost: Option<f64>,
+    /// What a new connection costs, likewise, and how long one is kept that no request uses.
+    pub connection_cost: f64,
+    pub idle_connection_lifetime: Duration,
+    pub max_attempts: usize,
+    /// Nothing of a request may run beside a retry of it, and an outcome alone does not say that it ended.
+    pub single_attempt: bool,
     /// The longest time to come back that clients heed, where they are told one at all.
-    pub come_back: Option<Span>,
-    pub sets_memory: bool,
+    pub max_retry_after: Option<Duration>,
+    pub sets_memory_grant: bool,
     /// Short of memory an engine lets all in and slows down, rather than have them wait or spill.
-    pub memory_pages: bool,
-    /// Time between notes on a dispatch that is out, where there are notes.
-    pub notes_every: Option<Span>,
+    pub swaps_when_out_of_memory: bool,
+    /// Time between notes on a attempt that is out, where there are notes.
+    pub progress_interval: Option<Duration>,
     /// Nothing runs on for longer at an engine, in reach or about to go; `None` where outcomes leave nothing running.
-    pub forgets: Option<Span>,
+    pub unobserved_attempt_lifetime: Option<Duration>,
     /// A list of engines that was last known to hold so long ago may name ones past their grace; `None` where it always holds.
-    pub list_holds: Option<Span>,
+    pub endpoint_list_lifetime: Option<Duration>,
     /// Smallest time between two readings of the clock.
-    pub clock_step: Span,
+    pub clock_step: Duration,
 }
 
 /// A cold engine falls over when sent more than `multiple` times its present capacity for `window`.
 #[derive(Clone, Debug, Default)]
-pub struct ColdRule {
+pub struct SlowStartPolicy {
     pub multiple: f64,
-    pub window: Span,
-    pub starts_at: f64,
-    pub warm_within: Span,
+    pub window: Duration,
+    pub initial_capacity_factor: f64,
+    pub warm_up_time: Duration,
 }
 
-impl ColdRule {
+impl SlowStartPolicy {
     /// Share of its capacity that an engine should have: the ramp is not told; straight, over the longest time.
-    pub fn warmth(&self, started: Option<At>, now: At) -> f64 {
+    pub fn warm_up_factor(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
-        let age = now.since(started) / (self.warm_within + Span::from_millis(500));
-        if age >= 1.0 { 1.0 } else { self.starts_at + (1.0 - self.starts_at) * age }
+        let age = now.since(started) / (self.warm_up_time + Duration::from_millis(500));
+        if age >= 1.0 {
+            1.0
+        } else {
+            self.initial_capacity_factor + (1.0 - self.initial_capacity_factor) * age
+        }
     }
 }
 
-/// Further dispatches in any `window`: `free` plus `per_batch` times the batches taken.
+/// Retries in any `window`: `free` plus `per_batch` times the requests taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RationRule {
-    pub window: Span,
+pub struct RetryBudgetRule {
+    pub window: Duration,
     pub free: f64,
-    pub per_batch: f64,
+    pub per_request: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -167,7 +172,7 @@
     pub cell: usize,
     pub state: EngineState,
     /// When it last started; `None` is long ago.
-    pub started: Option<At>,
+    pub started: Option<Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -179,13 +184,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Batch {
-    pub group: usize,
-    pub customer: Option<usize>,
+pub struct Request {
+    pub class: usize,
+    pub tenant: Option<usize>,
     pub key: Option<u64>,
-    pub time_limit: At,
+    pub deadline: Timestamp,
     /// A rough guess of the work of all its threads, as time on one.
-    pub work: Option<Span>,
+    pub work: Option<Duration>,
     pub memory_mb: Option<f64>,
     pub data_set: u32,
 }
@@ -199,14 +204,14 @@
     TimedOut,
     ConnectFailed,
     Reset,
-    CalledOff,
+    Cancelled,
     /// Never sent.
     Moot,
 }
 
-/// What was last seen of a dispatch.
+/// What was last seen of a attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Last {
+pub enum LastObservation {
     /// No byte of it left.
     NotSent,
     /// It was turned away unseen.
@@ -215,7 +220,7 @@
     Ended,
     /// It was told to stop, and that was taken in.
     Stopped,
-    /// Who answered knows no such batch.
+    /// Who answered knows no such request.
     Unknown,
     /// Nobody listens at its engine's address.
     Refused,
@@ -225,43 +230,50 @@
     Lost,
 }
 
-/// By this alone it is judged what of a dispatch may still run.
+/// By this alone it is judged what of a attempt may still run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Seen {
-    pub last: Last,
-    /// Said by the very process that has the batch: on the connection of the call itself, or on one on which it
-    /// had spoken of the batch as its own.
-    pub same: bool,
+pub struct AttemptEvidence {
+    pub last: LastObservation,
+    /// Said by the very process that has the request: on the connection of the call itself, or on one on which it
+    /// had spoken of the request as its own.
+    pub same_process: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct AttemptResult {
     pub outcome: Outcome,
-    pub took: Span,
-    /// Set once the batch is over, by this outcome or before it.
+    pub took: Duration,
+    /// Set once the request is over, by this outcome or before it.
     pub over: bool,
-    pub seen: Seen,
-    /// The work that the batch needed, where answers tell.
-    pub work: Option<Span>,
-    pub report: Report,
+    pub seen: AttemptEvidence,
+    /// The work that the request needed, where answers tell.
+    pub work: Option<Duration>,
+    pub report: LoadReport,
 }
 
-impl Answer {
-    /// One that tells nothing but how the dispatch ended, and ends its batch.
-    pub fn bare(outcome: Outcome, seen: Seen) -> Answer {
-        Answer { outcome, took: Span::ZERO, over: true, seen, work: None, report: Report::default() }
+impl AttemptResult {
+    /// One that tells nothing but how the attempt ended, and ends its request.
+    pub fn bare(outcome: Outcome, seen: AttemptEvidence) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            took: Duration::ZERO,
+            over: true,
+            seen,
+            work: None,
+            report: LoadReport::default(),
+        }
     }
 }
 
-/// An engine's load as it says itself, late and noisy: how many batches it holds, how busy its cores are.
+/// An engine's load as it says itself, late and noisy: how many requests it holds, how busy its cores are.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub in_hand: Option<f64>,
     pub busy: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ProgressUpdate {
     /// Share done, rough.
     Done(f64),
     SpillsMb(f64),
@@ -271,24 +283,24 @@
     CutOff,
 }
 
-/// Where a batch goes.
+/// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
-    Send(Dispatch),
+pub enum RoutingDecision {
+    Send(AttemptParameters),
     /// Nothing to do now: ask again after `wait`.
-    NotYet,
+    Wait,
     /// Final: trying again is harmless, best after the time given.
-    PushBack(Option<Span>),
+    Reject(Option<Duration>),
     /// Final: nothing is promised about what it did.
-    Error,
-    /// Quit waiting for the dispatch of this number.
-    CallOff(u8),
+    Fail,
+    /// Quit waiting for the attempt of this number.
+    CancelAttempt(u8),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Dispatch {
+pub struct AttemptParameters {
     pub engine: usize,
-    pub time_out: Span,
+    pub time_out: Duration,
     /// Memory to grant in MB; `None` leaves it to the engine.
     pub memory_mb: Option<f64>,
     pub priority: u8,
@@ -296,9 +308,9 @@
 
 /// What to do after an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// The batch is over.
-    Over,
-    /// Something is still open: ask where the batch goes.
-    Ask,
+pub enum AfterAttempt {
+    /// The request is over.
+    Finished,
+    /// Something is still open: ask where the request goes.
+    RouteAgain,
 }
--- a/crates/policy/tests/account.rs
+++ b/crates/policy/tests/account.rs
@@ -1,31 +1,31 @@
 //! The account of a key against a plain world of engines that run what came to them until it is known not to:
-//! every order of two batches by model checking, longer ones by chance.
+//! every order of two requests by model checking, longer ones by chance.
 
-use larchfall_policy::interface::{Last, Seen};
+use larchfall_policy::interface::{AttemptEvidence, LastObservation};
 use larchfall_policy::policy::account::{Account, proves_over};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
 const KEY: u64 = 7;
 /// In ticks: an engine gives up what it was not asked for in this long; a call that was cut off comes in within
-/// one more, and the front reckons with another for its own clock.
+/// one more, and the gateway reckons with another for its own clock.
 const FORGETS: u64 = 2;
 const RECKONED: u64 = FORGETS + 2;
 /// One that takes no connection any more runs on what it has for so long after it was last asked.
 const RUNS_ON: u64 = RECKONED + 1;
-/// What the front reckons with.
-const LETS_GO: Span = Span::from_micros(RUNS_ON + 2);
+/// What the gateway reckons with.
+const LETS_GO: Duration = Duration::from_micros(RUNS_ON + 2);
 
-fn at(tick: u64) -> At {
-    At::from_micros(1_000 + tick)
+fn at(tick: u64) -> Timestamp {
+    Timestamp::from_micros(1_000 + tick)
 }
 
-/// A connection and whether the process there has spoken of the dispatch as its own.
+/// A connection and whether the process there has spoken of the attempt as its own.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Link {
     process: usize,
-    same: bool,
+    same_process: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -36,10 +36,10 @@
     Over,
 }
 
-/// A dispatch at a process, on its way there or running.
+/// A attempt at a process, on its way there or running.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct There {
-    batch: usize,
+    request: usize,
     process: usize,
     since: u64,
 }
@@ -48,7 +48,7 @@
 struct World {
     account: Account,
     now: u64,
-    batches: Vec<(Is, u8)>,
+    requests: Vec<(Is, u8)>,
     flying: Vec<There>,
     running: Vec<There>,
     ended: Vec<There>,
@@ -81,7 +81,7 @@
     Tick,
 }
 
-/// How the front reads what is said: with care, or as it did before the account, when every 204 was an end, or
+/// How the gateway reads what is said: with care, or as it did before the account, when every 204 was an end, or
 /// when an engine about to go was held to forget like any other, or to be gone within a fixed time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Reading {
@@ -93,7 +93,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    batches: usize,
+    requests: usize,
     engines: usize,
     ticks: u64,
     tries: u8,
@@ -106,11 +106,11 @@
     fn new(x: &Bounds) -> World {
         World {
             account: Account::new(
-                Span::ZERO,
-                if x.reading == Reading::Forgotten { Span::from_micros(RECKONED) } else { LETS_GO },
+                Duration::ZERO,
+                if x.reading == Reading::Forgotten { Duration::from_micros(RECKONED) } else { LETS_GO },
             ),
             now: 0,
-            batches: vec![(Is::Outside, 0); x.batches],
+            requests: vec![(Is::Outside, 0); x.requests],
             flying: Vec::new(),
             running: Vec::new(),
             ended: Vec::new(),
@@ -124,18 +124,18 @@
 
     fn on_its_way(&self, b: usize) -> bool {
         let link =
-            |process| matches!(&self.batches[b].0, Is::Out { link: Some(l), .. } if l.process == process);
-        self.flying.iter().any(|f| f.batch == b && link(f.process))
+            |process| matches!(&self.requests[b].0, Is::Out { link: Some(l), .. } if l.process == process);
+        self.flying.iter().any(|f| f.request == b && link(f.process))
     }
 
     fn may(&self, act: Act, x: &Bounds) -> bool {
-        let is = |b: usize| &self.batches[b].0;
+        let is = |b: usize| &self.requests[b].0;
         let out = |b: usize| matches!(is(b), Is::Out { .. });
         match act {
             Act::Take(b) => *is(b) == Is::Outside && (b == 0 || *is(b - 1) != Is::Outside),
             Act::Send(b, e) => {
                 *is(b) == Is::Waits
-                    && self.batches[b].1 < x.tries
+                    && self.requests[b].1 < x.tries
                     && self.listens[e].is_some()
                     && self.account.has_turn(KEY, b, at(self.now))
             }
@@ -148,13 +148,13 @@
             Act::Close(e) | Act::Drain(e) => self.listens[e].is_some(),
             Act::Gone => !self.drains.is_empty(),
             Act::Replace(e) => self.listens[e].is_none() && self.processes < x.processes,
-            Act::Tick => self.now < x.ticks && !(0..x.batches).any(|b| self.on_its_way(b)),
+            Act::Tick => self.now < x.ticks && !(0..x.requests).any(|b| self.on_its_way(b)),
         }
     }
 
     fn all(x: &Bounds) -> Vec<Act> {
         let mut acts = vec![Act::Tick];
-        for b in 0..x.batches {
+        for b in 0..x.requests {
             acts.extend([Act::Take(b), Act::Arrive(b), Act::Finish(b), Act::Cut(b), Act::Ask(b)]);
             acts.extend([Act::Stop(b), Act::GiveUp(b), Act::Panic(b), Act::Leave(b)]);
             acts.extend((0..x.engines).map(|e| Act::Send(b, e)));
@@ -167,22 +167,22 @@
     fn act(&mut self, act: Act, x: &Bounds) {
         match act {
             Act::Take(b) => {
-                self.batches[b].0 = Is::Waits;
+                self.requests[b].0 = Is::Waits;
                 self.account.take(KEY, b);
             }
             Act::Send(b, e) => {
-                if self.batches[..b].iter().any(|(is, _)| *is != Is::Over) {
+                if self.requests[..b].iter().any(|(is, _)| *is != Is::Over) {
                     self.broken = Some("sent while an earlier one is not over");
                 }
                 let process = self.listens[e].unwrap();
-                self.account.sent(KEY, b, self.batches[b].1, process);
-                self.flying.push(There { batch: b, process, since: self.now });
-                let link = Some(Link { process, same: true });
-                self.batches[b].0 = Is::Out { engine: e, link };
+                self.account.sent(KEY, b, self.requests[b].1, process);
+                self.flying.push(There { request: b, process, since: self.now });
+                let link = Some(Link { process, same_process: true });
+                self.requests[b].0 = Is::Out { engine: e, link };
             }
             Act::Arrive(i) => {
                 let call = self.flying.remove(i);
-                if self.running.iter().any(|r| r.batch != call.batch) {
+                if self.running.iter().any(|r| r.request != call.request) {
                     self.broken = Some("two of a key run at once");
                 }
                 self.running.push(There { since: self.now, ..call });
@@ -190,14 +190,14 @@
             Act::Finish(i) => self.ended.push(self.running.remove(i)),
             Act::Cut(b) => {
                 self.cuts += 1;
-                if let Is::Out { link, .. } = &mut self.batches[b].0 {
+                if let Is::Out { link, .. } = &mut self.requests[b].0 {
                     *link = None;
                 }
             }
             Act::Ask(b) | Act::Stop(b) => self.call(b, act == Act::Stop(b), x),
-            Act::GiveUp(b) => self.end(b, Last::Silent, x),
+            Act::GiveUp(b) => self.end(b, LastObservation::Silent, x),
             Act::Panic(b) => {
-                self.end(b, Last::Lost, x);
+                self.end(b, LastObservation::Lost, x);
                 self.leave(b);
             }
             Act::Leave(b) => self.leave(b),
@@ -230,39 +230,39 @@
     /// A call for news or to stop, on the connection there is or on a new one.
     fn call(&mut self, b: usize, stop: bool, x: &Bounds) {
         let now = self.now;
-        let Is::Out { engine, link } = &mut self.batches[b].0 else { return };
+        let Is::Out { engine, link } = &mut self.requests[b].0 else { return };
         if link.is_none() {
-            *link = self.listens[*engine].map(|process| Link { process, same: false });
+            *link = self.listens[*engine].map(|process| Link { process, same_process: false });
         }
-        let Some(l) = link else { return self.end(b, Last::Refused, x) };
-        let here = |t: &There| t.batch == b && t.process == l.process;
+        let Some(l) = link else { return self.end(b, LastObservation::Refused, x) };
+        let here = |t: &There| t.request == b && t.process == l.process;
         if stop {
             self.running.retain(|r| !here(r));
-            return self.end(b, Last::Stopped, x);
+            return self.end(b, LastObservation::Stopped, x);
         }
         if let Some(run) = self.running.iter_mut().find(|r| here(r)) {
-            (run.since, l.same) = (now, true);
+            (run.since, l.same_process) = (now, true);
         } else if self.ended.iter().any(here) {
-            l.same = true;
-            self.end(b, Last::Ended, x);
+            l.same_process = true;
+            self.end(b, LastObservation::Ended, x);
             self.leave(b);
         } else {
-            self.end(b, Last::Unknown, x);
+            self.end(b, LastObservation::Unknown, x);
         }
     }
 
-    fn end(&mut self, b: usize, last: Last, x: &Bounds) {
-        let Is::Out { link, .. } = &self.batches[b].0 else { return };
-        let trusted = x.reading == Reading::Trusting && last == Last::Stopped;
-        let same = trusted || link.as_ref().is_some_and(|l| l.same);
-        let seen = Seen { last, same };
-        let number = self.batches[b].1;
+    fn end(&mut self, b: usize, last: LastObservation, x: &Bounds) {
+        let Is::Out { link, .. } = &self.requests[b].0 else { return };
+        let trusted = x.reading == Reading::Trusting && last == LastObservation::Stopped;
+        let same = trusted || link.as_ref().is_some_and(|l| l.same_process);
+        let seen = AttemptEvidence { last, same_process: same };
+        let number = self.requests[b].1;
         self.account.ended(KEY, b, number, seen, false, at(self.now));
-        self.batches[b] = (Is::Waits, number + 1);
+        self.requests[b] = (Is::Waits, number + 1);
     }
 
     fn leave(&mut self, b: usize) {
-        self.batches[b].0 = Is::Over;
+        self.requests[b].0 = Is::Over;
         self.account.leave(KEY, b);
     }
 }
@@ -290,17 +290,17 @@
             Property::always("rule 5", |_: &Bounds, w: &World| w.broken.is_none()),
             // Else an account that lets nobody go would pass.
             Property::sometimes("both end", |_: &Bounds, w: &World| {
-                w.batches.iter().all(|(is, _)| *is == Is::Over) && w.ended.len() == 2
+                w.requests.iter().all(|(is, _)| *is == Is::Over) && w.ended.len() == 2
             }),
         ]
     }
 }
 
 const TWO: Bounds =
-    Bounds { batches: 2, engines: 1, ticks: 8, tries: 1, cuts: 1, processes: 2, reading: Reading::Careful };
+    Bounds { requests: 2, engines: 1, ticks: 8, tries: 1, cuts: 1, processes: 2, reading: Reading::Careful };
 
 #[test]
-fn two_batches_of_a_key_one_engine_replaced_and_one_cut_in_every_order() {
+fn two_requests_of_a_key_one_engine_replaced_and_one_cut_in_every_order() {
     let checker = TWO.checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
@@ -317,7 +317,7 @@
 
 #[test]
 fn each_way_to_end_proves_what_the_table_says() {
-    use Last::*;
+    use LastObservation::*;
     let over = [
         (NotSent, true),
         (NotSent, false),
@@ -328,7 +328,7 @@
     ];
     for last in [NotSent, Declined, Ended, Stopped, Unknown, Refused, Silent, Lost] {
         for same in [true, false] {
-            let proof = proves_over(Seen { last, same });
+            let proof = proves_over(AttemptEvidence { last, same_process: same });
             assert_eq!(proof, over.contains(&(last, same)), "{last:?} {same}");
         }
     }
@@ -336,10 +336,17 @@
 
 #[test]
 fn an_index_that_serves_again_is_not_taken_for_the_one_before() {
-    let mut account = Account::new(Span::ZERO, LETS_GO);
+    let mut account = Account::new(Duration::ZERO, LETS_GO);
     account.take(KEY, 0);
     account.sent(KEY, 0, 0, 0);
-    account.ended(KEY, 0, 0, Seen { last: Last::Lost, same: false }, false, at(0));
+    account.ended(
+        KEY,
+        0,
+        0,
+        AttemptEvidence { last: LastObservation::Lost, same_process: false },
+        false,
+        at(0),
+    );
     account.leave(KEY, 0);
     account.take(KEY, 0);
     let over = RUNS_ON + 2;
@@ -347,12 +354,12 @@
     assert!(account.has_turn(KEY, 0, at(over)));
     account.leave(KEY, 0);
     account.tidy(at(over));
-    assert_eq!(account, Account::new(Span::ZERO, LETS_GO), "nothing is left of the key");
+    assert_eq!(account, Account::new(Duration::ZERO, LETS_GO), "nothing is left of the key");
 }
 
 #[test]
 fn a_key_rests_after_all_that_was_not_the_engines_own_end() {
-    use Last::*;
+    use LastObservation::*;
     const QUIET: u64 = 300_000;
     // (what was seen, whether the outcome itself asks for a rest, whether the key rests)
     let cases = [
@@ -364,10 +371,10 @@
         (Ended, true, true),
     ];
     for (last, unsure, rests) in cases {
-        let mut account = Account::new(Span::from_micros(QUIET), LETS_GO);
+        let mut account = Account::new(Duration::from_micros(QUIET), LETS_GO);
         account.take(KEY, 0);
         account.sent(KEY, 0, 0, 0);
-        account.ended(KEY, 0, 0, Seen { last, same: true }, unsure, at(0));
+        account.ended(KEY, 0, 0, AttemptEvidence { last, same_process: true }, unsure, at(0));
         account.leave(KEY, 0);
         account.take(KEY, 1);
         assert_eq!(account.has_turn(KEY, 1, at(QUIET - 1)), !rests, "{last:?} {unsure}");
@@ -380,7 +387,7 @@
 
     #[test]
     fn any_order_of_sends_ends_cuts_and_changes_keeps_the_rule(draws in prop::collection::vec(any::<u16>(), 1..200)) {
-        let x = Bounds { batches: 5, engines: 2, ticks: 60, tries: 3, cuts: 9, processes: 9, ..TWO };
+        let x = Bounds { requests: 5, engines: 2, ticks: 60, tries: 3, cuts: 9, processes: 9, ..TWO };
         let mut world = World::new(&x);
         for draw in draws {
             let acts: Vec<_> = World::all(&x).into_iter().filter(|a| world.may(*a, &x)).collect();
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,122 +1,127 @@
-//! A front with a few engines, driven call by call.
+//! A gateway with a few engines, driven call by call.
 
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::Policy;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 
 /// The engine itself said the end.
-pub const SAID: Seen = Seen { last: Last::Ended, same: true };
+pub const SAID: AttemptEvidence = AttemptEvidence { last: LastObservation::Ended, same_process: true };
 
 pub const LOOK_UP: usize = 0;
 pub const REPORT: usize = 1;
 pub const LOAD: usize = 2;
 
-pub fn group(utility: f64, threads: f64, effect: Effect) -> ServiceGroup {
-    ServiceGroup {
-        utility,
-        goal: Span::from_millis(1000),
-        goal_stretch: 2.0,
+pub fn class(priority_weight: f64, threads: f64, effect: Idempotency) -> RequestClass {
+    RequestClass {
+        priority_weight,
+        latency_objective: Duration::from_millis(1000),
+        objective_stretch: 2.0,
         effect,
         in_order: false,
         threads,
-        holds_data: false,
-        waits_for_holder: false,
+        locks_data_set: false,
+        waits_for_data_lock: false,
         zones: None,
         kinds: None,
     }
 }
 
-/// What a front of these tests is given, unless its test says something else.
-pub fn usual() -> Given {
-    Given {
-        fleet: Fleet { fronts: 1, me: 0, zone: 0, kinds: vec![Kind { cores: 8.0, memory_mb: 16_000.0 }; 2] },
-        groups: vec![
-            group(1.0, 1.0, Effect::Repeatable),
-            group(12.0, 4.0, Effect::Repeatable),
-            group(4.0, 2.0, Effect::OnceOnly),
+/// What a gateway of these tests is given, unless its test says something else.
+pub fn usual() -> PolicyConfig {
+    PolicyConfig {
+        fleet: Fleet {
+            gateways: 1,
+            me: 0,
+            zone: 0,
+            kinds: vec![EngineKind { cores: 8.0, memory_mb: 16_000.0 }; 2],
+        },
+        classes: vec![
+            class(1.0, 1.0, Idempotency::Idempotent),
+            class(12.0, 4.0, Idempotency::Idempotent),
+            class(4.0, 2.0, Idempotency::NonIdempotent),
         ],
-        customers: Vec::new(),
+        tenants: Vec::new(),
         caps: Caps {
-            call_off: true,
-            most_dispatches: 5,
-            come_back: Some(Span::from_millis(500)),
-            sets_memory: true,
-            notes_every: Some(Span::from_millis(1000)),
-            clock_step: Span::from_millis(5),
+            can_cancel: true,
+            max_attempts: 5,
+            max_retry_after: Some(Duration::from_millis(500)),
+            sets_memory_grant: true,
+            progress_interval: Some(Duration::from_millis(1000)),
+            clock_step: Duration::from_millis(5),
             ..Caps::default()
         },
-        cold: ColdRule {
+        slow_start: SlowStartPolicy {
             multiple: 2.0,
-            window: Span::from_millis(2000),
-            starts_at: 0.32,
-            warm_within: Span::from_millis(15_000),
+            window: Duration::from_millis(2000),
+            initial_capacity_factor: 0.32,
+            warm_up_time: Duration::from_millis(15_000),
         },
-        ration: None,
-        key_quiet: Span::ZERO,
+        retry_budget: None,
+        key_cooldown: Duration::ZERO,
     }
 }
 
 pub trait Start {
-    /// A front that was told of `engines` warm ones, all ready, in zone 0, of kind 0.
-    fn start(self, engines: usize) -> Front;
+    /// A gateway that was told of `engines` warm ones, all ready, in zone 0, of kind 0.
+    fn start(self, engines: usize) -> Gateway;
 }
 
-impl Start for Given {
-    fn start(self, engines: usize) -> Front {
+impl Start for PolicyConfig {
+    fn start(self, engines: usize) -> Gateway {
         let policy = Policy::new(7 + self.fleet.me as u64, self);
-        let mut front = Front { policy, next: 0 };
+        let mut gateway = Gateway { policy, next: 0 };
         for e in 0..engines {
-            front.policy.engine(ms(0), e, engine());
+            gateway.policy.engine(ms(0), e, engine());
         }
-        front
+        gateway
     }
 }
 
-pub struct Front {
+pub struct Gateway {
     pub policy: Policy,
     next: usize,
 }
 
-pub fn ms(n: u64) -> At {
-    At::from_micros(1_000_000_000) + Span::from_millis(n)
+pub fn ms(n: u64) -> Timestamp {
+    Timestamp::from_micros(1_000_000_000) + Duration::from_millis(n)
 }
 
 pub fn engine() -> Engine {
     Engine { zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None }
 }
 
-pub fn batch(group: usize) -> Batch {
-    Batch {
-        group,
-        customer: None,
+pub fn request(class: usize) -> Request {
+    Request {
+        class,
+        tenant: None,
         key: None,
-        time_limit: ms(20_000),
-        work: Some(Span::from_millis(200)),
+        deadline: ms(20_000),
+        work: Some(Duration::from_millis(200)),
         memory_mb: Some(100.0),
         data_set: 0,
     }
 }
 
-impl Front {
-    /// Takes the batch and asks once; its index and the answer.
-    pub fn take(&mut self, at: u64, batch: Batch) -> (usize, Place) {
+impl Gateway {
+    /// Takes the request and asks once; its index and the answer.
+    pub fn take(&mut self, at: u64, request: Request) -> (usize, RoutingDecision) {
         let b = self.next;
         self.next += 1;
-        self.policy.take(ms(at), b, batch);
+        self.policy.take(ms(at), b, request);
         (b, self.policy.place(ms(at), b))
     }
 
-    /// How many of `n` batches of one group, taken at once, are sent.
-    pub fn send_all(&mut self, n: usize, group: usize) -> usize {
-        (0..n).filter(|_| sent_to(self.take(2, batch(group)).1).is_some()).count()
+    /// How many of `n` requests of one class, taken at once, are sent.
+    pub fn send_all(&mut self, n: usize, class: usize) -> usize {
+        (0..n).filter(|_| sent_to(self.take(2, request(class)).1).is_some()).count()
     }
 
-    pub fn end(&mut self, at: u64, b: usize, number: u8, outcome: Outcome, took_ms: u64) -> Next {
-        self.finish(at, b, number, outcome, took_ms, Report::default())
+    pub fn end(&mut self, at: u64, b: usize, number: u8, outcome: Outcome, took_ms: u64) -> AfterAttempt {
+        self.finish(at, b, number, outcome, took_ms, LoadReport::default())
     }
 
-    /// The first dispatch of a batch ends with a load report.
-    pub fn end_with(&mut self, at: u64, b: usize, outcome: Outcome, took_ms: u64, report: Report) {
+    /// The first attempt of a request ends with a load report.
+    pub fn end_with(&mut self, at: u64, b: usize, outcome: Outcome, took_ms: u64, report: LoadReport) {
         self.finish(at, b, 0, outcome, took_ms, report);
     }
 
@@ -127,11 +132,11 @@
         number: u8,
         outcome: Outcome,
         took_ms: u64,
-        report: Report,
-    ) -> Next {
-        let answer = Answer {
+        report: LoadReport,
+    ) -> AfterAttempt {
+        let answer = AttemptResult {
             outcome,
-            took: Span::from_millis(took_ms),
+            took: Duration::from_millis(took_ms),
             over: outcome == Outcome::Returned,
             seen: SAID,
             work: None,
@@ -141,9 +146,9 @@
     }
 }
 
-pub fn sent_to(place: Place) -> Option<usize> {
+pub fn sent_to(place: RoutingDecision) -> Option<usize> {
     match place {
-        Place::Send(d) => Some(d.engine),
+        RoutingDecision::Send(d) => Some(d.engine),
         _ => None,
     }
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,26 +1,26 @@
-//! Rule 4 summed over a whole fleet: each front decides alone, and an engine in slow start has a budget for all of
-//! them together. Fronts here are the real decisions, each with a chance of its own; traffic is what hurts most.
+//! Rule 4 summed over a whole fleet: each gateway decides alone, and an engine in slow start has a budget for all of
+//! them together. Gateways here are the real decisions, each with a chance of its own; traffic is what hurts most.
 
 #[allow(dead_code, reason = "other tests use the rest of it")]
 mod common;
 
 use common::*;
 use larchfall_policy::interface::*;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::{iter, thread};
 
-const COLD: usize = 0;
+const SLOW_START: usize = 0;
 const LIGHT: usize = LOOK_UP;
 const HEAVY: usize = REPORT;
-/// The engine starts then, long after the fronts.
+/// The engine starts then, long after the gateways.
 const STARTS: u64 = 20_000;
 const LASTS: u64 = 5_500;
-/// Between two batches where more comes than is sent on.
+/// Between two requests where more comes than is sent on.
 const STEP: u64 = 20;
 
-/// What comes to one front and when.
+/// What comes to one gateway and when.
 #[derive(Clone, Copy, Debug)]
 enum Traffic {
     /// More than it can send on, from the moment on in which it hears of the engine.
@@ -33,23 +33,23 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    fronts: usize,
-    /// Work in ms of a light and of a heavy batch, and how many of a hundred are heavy.
+    gateways: usize,
+    /// Work in ms of a light and of a heavy request, and how many of a hundred are heavy.
     work: (u64, u64, u64),
     traffic: Traffic,
-    /// Fronts hear of the engine up to so much apart.
+    /// Gateways hear of the engine up to so much apart.
     told_within: u64,
-    /// So many of ten fronts are started anew in the middle.
+    /// So many of ten gateways are started anew in the middle.
     restarted: usize,
 }
 
 impl Case {
-    fn rig(&self) -> Given {
+    fn rig(&self) -> PolicyConfig {
         let mut rig = usual();
-        rig.fleet.fronts = self.fronts;
-        rig.fleet.kinds = vec![Kind { cores: 16.0, memory_mb: 16_000.0 }];
-        rig.groups.truncate(2);
-        rig.groups.iter_mut().for_each(|g| g.threads = 1.0);
+        rig.fleet.gateways = self.gateways;
+        rig.fleet.kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
+        rig.classes.truncate(2);
+        rig.classes.iter_mut().for_each(|g| g.threads = 1.0);
         rig
     }
 
@@ -58,19 +58,22 @@
         (light * (100 - part) + heavy * part) as f64 / 100.0
     }
 
-    /// The rule's budget and slack in batches of mean work, for a window that begins then.
-    fn most(&self, rig: &Given, from: At) -> f64 {
-        let cold = &rig.cold;
-        let bears = cold.multiple * cold.warmth(Some(ms(STARTS)), from) * 16.0 * cold.window.secs();
+    /// The rule's budget and slack in requests of mean work, for a window that begins then.
+    fn most(&self, rig: &PolicyConfig, from: Timestamp) -> f64 {
+        let slow_start = &rig.slow_start;
+        let bears = slow_start.multiple
+            * slow_start.warm_up_factor(Some(ms(STARTS)), from)
+            * 16.0
+            * slow_start.window.secs();
         let n = bears * 1000.0 / self.mean();
         n + if n < 30.0 { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 }
     }
 
-    /// Everything sent to the engine by all fronts: when, and how much in batches of mean work.
+    /// Everything sent to the engine by all gateways: when, and how much in requests of mean work.
     fn play(&self, seed: u64) -> Vec<(u64, f64)> {
         let mut chance = WyRand::new_seed(seed);
         let mut sent = Vec::new();
-        for me in 0..self.fronts {
+        for me in 0..self.gateways {
             let told = STARTS + chance.generate_range(0..=self.told_within);
             let restarts = STARTS + LASTS / 2;
             let anew = chance.generate_range(0..10_usize) < self.restarted;
@@ -84,11 +87,11 @@
                 }
                 let mut rig = self.rig();
                 rig.fleet.me = me;
-                let mut front = rig.start(0);
+                let mut gateway = rig.start(0);
                 // What it hears first is when it starts.
-                front.policy.engine(ms(born), 9, Engine { state: EngineState::Gone, ..engine() });
-                self.learn(&mut front, born);
-                front.policy.engine(ms(from), COLD, Engine { started: Some(ms(STARTS)), ..engine() });
+                gateway.policy.engine(ms(born), 9, Engine { state: EngineState::Gone, ..engine() });
+                self.learn(&mut gateway, born);
+                gateway.policy.engine(ms(from), SLOW_START, Engine { started: Some(ms(STARTS)), ..engine() });
                 for at in (from..until).step_by(STEP as usize) {
                     let comes = match self.traffic {
                         Traffic::Dense => true,
@@ -97,7 +100,7 @@
                     };
                     if comes {
                         let heavy = chance.generate_range(0..100) < self.work.2;
-                        sent.extend(self.one(&mut front, at, heavy).map(|work| (at, work / self.mean())));
+                        sent.extend(self.one(&mut gateway, at, heavy).map(|work| (at, work / self.mean())));
                     }
                 }
             }
@@ -106,34 +109,34 @@
         sent
     }
 
-    fn batch(&self, at: u64, heavy: bool) -> Batch {
-        let (group, work) = if heavy { (HEAVY, self.work.1) } else { (LIGHT, self.work.0) };
-        Batch { work: Some(Span::from_millis(work)), time_limit: ms(at + 60_000), ..batch(group) }
+    fn request(&self, at: u64, heavy: bool) -> Request {
+        let (class, work) = if heavy { (HEAVY, self.work.1) } else { (LIGHT, self.work.0) };
+        Request { work: Some(Duration::from_millis(work)), deadline: ms(at + 60_000), ..request(class) }
     }
 
-    /// The front knows the usual work of each group, and how often each is asked for.
-    fn learn(&self, front: &mut Front, at: u64) {
+    /// The gateway knows the usual work of each class, and how often each is asked for.
+    fn learn(&self, gateway: &mut Gateway, at: u64) {
         for n in 0..100 {
-            let (b, place) = front.take(at, self.batch(at, n < self.work.2));
+            let (b, place) = gateway.take(at, self.request(at, n < self.work.2));
             assert_eq!(sent_to(place), None);
-            front.policy.client_left(b);
+            gateway.policy.client_left(b);
         }
     }
 
     /// The work in ms that goes out; it comes back at once, so that only the rule holds anything back.
-    fn one(&self, front: &mut Front, at: u64, heavy: bool) -> Option<f64> {
-        let batch = self.batch(at, heavy);
-        let work = batch.work.unwrap();
-        let (b, place) = front.take(at, batch);
+    fn one(&self, gateway: &mut Gateway, at: u64, heavy: bool) -> Option<f64> {
+        let request = self.request(at, heavy);
+        let work = request.work.unwrap();
+        let (b, place) = gateway.take(at, request);
         sent_to(place)?;
-        front.end(at, b, 0, Outcome::Returned, 1);
+        gateway.end(at, b, 0, Outcome::Returned, 1);
         Some(work.secs() * 1000.0)
     }
 
     /// The window that comes nearest to the rule's budget with its slack, as a part of it.
     fn worst(&self, seed: u64) -> f64 {
         let (rig, sent) = (self.rig(), self.play(seed));
-        let window = rig.cold.window.micros() / 1000;
+        let window = rig.slow_start.window.micros() / 1000;
         let (mut worst, mut from, mut sum) = (0.0_f64, 0, 0.0);
         for (at, work) in &sent {
             sum += work;
@@ -148,18 +151,18 @@
 }
 
 #[test]
-fn all_fronts_together_stay_within_the_budget_of_an_engine_in_slow_start() {
+fn all_gateways_together_stay_within_the_budget_of_an_engine_in_slow_start() {
     let one = |work| (work, work, 0);
     let mut cases = Vec::new();
-    for fronts in [1, 5, 30, 300] {
-        // Some hundred batches, some tens, a few, and none that fits.
+    for gateways in [1, 5, 30, 300] {
+        // Some hundred requests, some tens, a few, and none that fits.
         for work in [one(150), one(300), one(1_500), one(10_000), (150, 1_500, 10), (100, 4_000, 3)] {
             for traffic in [Traffic::Dense, Traffic::ThinThenSurge, Traffic::Even] {
-                cases.push(Case { fronts, work, traffic, told_within: 0, restarted: 0 });
+                cases.push(Case { gateways, work, traffic, told_within: 0, restarted: 0 });
             }
             let traffic = Traffic::Dense;
-            cases.push(Case { fronts, work, traffic, told_within: 2_500, restarted: 0 });
-            cases.push(Case { fronts, work, traffic, told_within: 0, restarted: 7 });
+            cases.push(Case { gateways, work, traffic, told_within: 2_500, restarted: 0 });
+            cases.push(Case { gateways, work, traffic, told_within: 0, restarted: 7 });
         }
     }
     let played = |case: &Case| {
@@ -182,9 +185,10 @@
 /// Guards against a budget that is kept by sending nothing.
 #[test]
 fn an_engine_in_slow_start_is_used() {
-    for fronts in [1, 5, 30, 300] {
-        let case = Case { fronts, work: (300, 300, 0), traffic: Traffic::Even, told_within: 0, restarted: 0 };
+    for gateways in [1, 5, 30, 300] {
+        let case =
+            Case { gateways, work: (300, 300, 0), traffic: Traffic::Even, told_within: 0, restarted: 0 };
         let worst = case.worst(1);
-        assert!(worst > 0.25, "{fronts} fronts: {worst:.2} of the budget at most");
+        assert!(worst > 0.25, "{gateways} fronts: {worst:.2} of the budget at most");
     }
 }
--- a/crates/quotas/src/fair.rs
+++ b/crates/quotas/src/fair.rs
@@ -7,7 +7,7 @@
     if squares > 0.0 { sum * sum / (n * squares) } else { 1.0 }
 }
 
-/// By what factor a batch is better off at the best of them than at the worst; none where the worst got nothing.
+/// By what factor a request is better off at the best of them than at the worst; none where the worst got nothing.
 pub fn factor(parts: impl Iterator<Item = f64>) -> Option<f64> {
     let (least, most) = parts.fold((f64::MAX, 0.0_f64), |(least, most), p| (least.min(p), most.max(p)));
     (least > 0.0 && least <= most).then(|| most / least)
--- a/crates/quotas/src/holder.rs
+++ b/crates/quotas/src/holder.rs
@@ -1,13 +1,13 @@
-//! A front's side: the share that it has, until its end as counted from before it asked, and its own part else.
+//! A gateway's side: the share that it has, until its end as counted from before it asked, and its own part else.
 
 use crate::Terms;
-use larchfall_policy::time::At;
+use larchfall_policy::time::Timestamp;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Holder {
     terms: Terms,
     /// The share, its keeper's token, and when it ends.
-    has: Option<(f64, u64, At)>,
+    has: Option<(f64, u64, Timestamp)>,
 }
 
 impl Holder {
@@ -17,7 +17,7 @@
 
     /// A keeper's answer to what was asked at that time. One of an older keeper than was heard of is none; a late one
     /// that would end sooner than what there is changes nothing.
-    pub fn granted(&mut self, share: f64, token: u64, asked: At, now: At) -> bool {
+    pub fn granted(&mut self, share: f64, token: u64, asked: Timestamp, now: Timestamp) -> bool {
         let until = asked + self.terms.counted();
         let sound = share.is_finite() && (0.0..=1.0).contains(&share);
         let newer = self.has.is_none_or(|(_, t, end)| token > t || (token == t && until > end));
@@ -29,12 +29,12 @@
     }
 
     /// The part of the whole that may be used now.
-    pub fn part(&self, now: At) -> f64 {
+    pub fn part(&self, now: Timestamp) -> f64 {
         let runs = self.has.filter(|(_, _, until)| now < *until);
         runs.map_or(self.terms.alone(), |(share, ..)| share)
     }
 
-    pub fn has_share(&self, now: At) -> bool {
+    pub fn has_share(&self, now: Timestamp) -> bool {
         self.has.is_some_and(|(_, _, until)| now < until)
     }
 }
--- a/crates/quotas/src/shares.rs
+++ b/crates/quotas/src/shares.rs
@@ -1,4 +1,4 @@
-//! One front's shares of all capacities that are handed out, and its part as the keeper of some: whom it asks and when,
+//! One gateway's shares of all capacities that are handed out, and its part as the keeper of some: whom it asks and when,
 //! what it answers, and what part of each it may use.
 
 use crate::Terms;
@@ -6,7 +6,7 @@
 use crate::demand::{Came, Demand, Wanted};
 use crate::holder::Holder;
 use crate::keeper::{Fairness, Keeper};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Shares are asked for so many times within their length.
@@ -20,7 +20,7 @@
     pub soft: Terms,
     /// How many keepers share the capacities.
     pub keepers: usize,
-    /// Of more than this a front has its own part only.
+    /// Of more than this a gateway has its own part only.
     pub most: usize,
 }
 
@@ -42,14 +42,14 @@
     settings: Settings,
     holders: BTreeMap<u64, Holder>,
     keepers: BTreeMap<u64, (u64, Keeper)>,
-    rounds: VecDeque<(u32, At)>,
+    rounds: VecDeque<(u32, Timestamp)>,
     round: u32,
-    next: At,
+    next: Timestamp,
     demand: Demand,
 }
 
 impl Shares {
-    pub fn new(settings: Settings, now: At) -> Shares {
+    pub fn new(settings: Settings, now: Timestamp) -> Shares {
         Shares {
             settings,
             holders: BTreeMap::new(),
@@ -61,27 +61,27 @@
         }
     }
 
-    /// How many fronts there are at most, and how long shares last, by this front's file.
-    pub fn terms(&self) -> (usize, Span) {
-        (self.settings.strict.fronts, self.settings.strict.length)
+    /// How many gateways there are at most, and how long shares last, by this gateway's file.
+    pub fn terms(&self) -> (usize, Duration) {
+        (self.settings.strict.gateways, self.settings.strict.length)
     }
 
     pub fn keepers(&self) -> usize {
         self.settings.keepers
     }
 
-    pub fn due(&self) -> At {
+    pub fn due(&self) -> Timestamp {
         self.next
     }
 
-    /// What came to this front in all, and what it wants by that of all that is handed out: what to ask of which keeper, if
+    /// What came to this gateway in all, and what it wants by that of all that is handed out: what to ask of which keeper, if
     /// it is time. Capacities that are no longer among them leave memory.
     pub fn asks(
         &mut self,
         came: impl FnOnce() -> Came,
         wanted: impl FnOnce(&Demand) -> Vec<Wanted>,
         keeper_of: impl Fn(u64) -> usize,
-        now: At,
+        now: Timestamp,
     ) -> Vec<Asking> {
         if now < self.next {
             return Vec::new();
@@ -114,9 +114,9 @@
     pub fn answer(
         &mut self,
         token: u64,
-        (front, by): (&str, (usize, Span)),
+        (gateway, by): (&str, (usize, Duration)),
         wants: &[(u64, f32)],
-        now: At,
+        now: Timestamp,
     ) -> Vec<(u64, f64)> {
         let mut handed = Vec::new();
         if by != self.terms() {
@@ -132,14 +132,14 @@
                 Some(_) => {}
             }
             let keeper = self.keepers.get_mut(key);
-            let share = keeper.and_then(|(_, keeper)| keeper.ask(front, f64::from(*weight), 1.0, now));
+            let share = keeper.and_then(|(_, keeper)| keeper.ask(gateway, f64::from(*weight), 1.0, now));
             handed.extend(share.map(|share| (*key, share)));
         }
         handed
     }
 
     /// A keeper's answer to what was asked in that round.
-    pub fn granted(&mut self, round: u32, token: u64, handed: &[(u64, f64)], now: At) -> usize {
+    pub fn granted(&mut self, round: u32, token: u64, handed: &[(u64, f64)], now: Timestamp) -> usize {
         let Some(asked) = self.rounds.iter().find(|(number, _)| *number == round).map(|(_, at)| *at) else {
             return 0;
         };
@@ -152,8 +152,8 @@
         taken
     }
 
-    /// By key: the part that this front may use now, and whether that was handed out.
-    pub fn parts(&self, now: At) -> impl Iterator<Item = (u64, f64, bool)> {
+    /// By key: the part that this gateway may use now, and whether that was handed out.
+    pub fn parts(&self, now: Timestamp) -> impl Iterator<Item = (u64, f64, bool)> {
         self.holders.iter().map(move |(key, holder)| (*key, holder.part(now), holder.has_share(now)))
     }
 
@@ -162,8 +162,8 @@
         self.settings.strict.alone()
     }
 
-    /// What this front hands out just now, and how fairly.
-    pub fn kept(&self, now: At) -> impl Iterator<Item = (u64, Fairness)> {
+    /// What this gateway hands out just now, and how fairly.
+    pub fn kept(&self, now: Timestamp) -> impl Iterator<Item = (u64, Fairness)> {
         let busy = self.keepers.iter().filter(move |(_, (_, keeper))| !keeper.is_idle(now));
         busy.map(|(key, (_, keeper))| (*key, keeper.fairness()))
     }
--- a/crates/quotas/tests/shares.rs
+++ b/crates/quotas/tests/shares.rs
@@ -1,7 +1,7 @@
-//! Division as a table; keepers and fronts under what may come between them, by seed.
+//! Division as a table; keepers and gateways under what may come between them, by seed.
 
-use larchfall_policy::interface::{Effect, Engine, ServiceGroup};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::interface::{Engine, Idempotency, RequestClass};
+use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::Terms;
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::{Came, Demand};
@@ -52,16 +52,16 @@
     }
 }
 
-const LENGTH: Span = Span::from_millis(1000);
-const WINDOW: Span = Span::from_millis(400);
+const LENGTH: Duration = Duration::from_millis(1000);
+const WINDOW: Duration = Duration::from_millis(400);
 /// The same in steps of ten milliseconds, as the slowest clock has it.
 const STEPS: usize = 38;
 
-fn terms(fronts: usize) -> Terms {
-    Terms { fronts, length: LENGTH, margin: 60, window: WINDOW, strict: true }
+fn terms(gateways: usize) -> Terms {
+    Terms { gateways, length: LENGTH, margin: 60, window: WINDOW, strict: true }
 }
 
-/// Fronts that ask one keeper at a time; some see it and some do not, some are dead, clocks run three in a hundred off,
+/// Gateways that ask one keeper at a time; some see it and some do not, some are dead, clocks run three in a hundred off,
 /// answers come late, and the keeper changes hands whenever its lease may have ended. What all use at any time, those
 /// that nobody sees among them, is within the whole.
 #[test]
@@ -70,12 +70,12 @@
         let mut chance = WyRand::new_seed(seed);
         let n = chance.generate_range(2..30_usize);
         let rates: Vec<f64> = (0..n).map(|_| 0.97 + 0.06 * chance.generate::<f64>()).collect();
-        let clock = |at: u64, i: usize| At::from_micros(((at + 10_000_000) as f64 * rates[i]) as u64);
+        let clock = |at: u64, i: usize| Timestamp::from_micros(((at + 10_000_000) as f64 * rates[i]) as u64);
         let mut holders = vec![Holder::new(terms(n)); n];
         let (mut me, mut token) = (0, 1);
         let mut keeper = Keeper::new(terms(n), clock(0, me));
         let mut seen = vec![true; n];
-        let mut late: Vec<(u64, usize, f64, u64, At)> = Vec::new();
+        let mut late: Vec<(u64, usize, f64, u64, Timestamp)> = Vec::new();
         let mut most: f64 = 0.0;
         let mut lately: Vec<std::collections::VecDeque<f64>> = vec![Default::default(); n];
         for step in 0..1500_u64 {
@@ -114,12 +114,12 @@
     }
 }
 
-/// Shares follow what fronts take, and grow by steps; those that are gone leave what they had but for the careful part.
+/// Shares follow what gateways take, and grow by steps; those that are gone leave what they had but for the careful part.
 #[test]
-fn busy_fronts_get_more_and_what_the_dead_had_is_handed_on() {
+fn busy_gateways_get_more_and_what_the_dead_had_is_handed_on() {
     let n = 12;
-    let mut keeper = Keeper::new(terms(n), At::default());
-    let mut now = At::default() + LENGTH + WINDOW;
+    let mut keeper = Keeper::new(terms(n), Timestamp::default());
+    let mut now = Timestamp::default() + LENGTH + WINDOW;
     let mut shares = vec![0.0; n];
     let mut turn = |keeper: &mut Keeper, up: usize, shares: &mut Vec<f64>| {
         for _ in 0..30 {
@@ -138,18 +138,18 @@
     // Half of it is for whoever is not seen; of the other half and their own parts those five have all.
     let careful = terms(n).careful();
     assert!((five - (1.0 - 7.0 * careful)).abs() < 0.01, "{five}");
-    assert_eq!(keeper.fronts(), 5);
+    assert_eq!(keeper.gateways(), 5);
 }
 
-/// A front whose clock runs slow by half of the margin, a keeper whose clock runs fast by as much.
+/// A gateway whose clock runs slow by half of the margin, a keeper whose clock runs fast by as much.
 #[test]
-fn a_share_ends_at_its_front_before_it_ends_at_its_keeper() {
+fn a_share_ends_at_its_gateway_before_it_ends_at_its_keeper() {
     let terms = terms(3);
     let mut holder = Holder::new(terms);
-    let asked = At::from_micros(5_000_000);
+    let asked = Timestamp::from_micros(5_000_000);
     assert!(holder.granted(0.4, 7, asked, asked));
     for true_ms in 0..1200_u64 {
-        let here = asked + Span::from_micros((true_ms as f64 * 1000.0 * 0.97) as u64);
+        let here = asked + Duration::from_micros((true_ms as f64 * 1000.0 * 0.97) as u64);
         let over_there = true_ms as f64 * 1.03 >= LENGTH.secs() * 1000.0;
         assert!(!(over_there && holder.has_share(here)), "at {true_ms} ms");
     }
@@ -162,15 +162,16 @@
 /// What is asked for of whom, by which weight, and what comes of it: one that keeps, one that has other terms, one that
 /// hears of a newer keeper, an engine that is cold no more.
 #[test]
-fn fronts_ask_the_keeper_of_each_capacity_and_use_what_it_hands_out() {
-    let (strict, soft) = (terms(4), Terms { strict: false, window: Span::ZERO, ..terms(4) });
+fn gateways_ask_the_keeper_of_each_capacity_and_use_what_it_hands_out() {
+    let (strict, soft) = (terms(4), Terms { strict: false, window: Duration::ZERO, ..terms(4) });
     let settings = Settings { strict, soft, keepers: 2, most: 10 };
-    let (mut here, mut keeper) = (Shares::new(settings, At::default()), Shares::new(settings, At::default()));
-    let all = [Capacity::Cold(4), Capacity::Threads(5), Capacity::Customer(7)];
-    let wanted = |demand: &Demand| all.map(|what| (what, demand.of_customer(0))).to_vec();
-    let came = |n: u64| Came { groups: vec![], customers: vec![n] };
+    let (mut here, mut keeper) =
+        (Shares::new(settings, Timestamp::default()), Shares::new(settings, Timestamp::default()));
+    let all = [Capacity::SlowStart(4), Capacity::Threads(5), Capacity::Tenant(7)];
+    let wanted = |demand: &Demand| all.map(|what| (what, demand.of_tenant(0))).to_vec();
+    let came = |n: u64| Came { classes: vec![], tenants: vec![n] };
     let keeper_of = |key: u64| key as usize % 2;
-    let at = |ms: u64| At::from_micros(ms * 1000);
+    let at = |ms: u64| Timestamp::from_micros(ms * 1000);
     let by = here.terms();
     let mut last = Vec::new();
     for turn in 0..12 {
@@ -206,41 +207,41 @@
 #[test]
 fn capacities_come_back_from_their_numbers() {
     for what in
-        [Capacity::Cold(0), Capacity::Threads(u32::MAX), Capacity::Customer(7), Capacity::customer("acme")]
+        [Capacity::SlowStart(0), Capacity::Threads(u32::MAX), Capacity::Tenant(7), Capacity::tenant("acme")]
     {
         assert_eq!(Capacity::of(what.key()), Some(what));
     }
     assert_eq!(Capacity::of(3 << 32), None);
-    assert_ne!(Capacity::customer("acme"), Capacity::customer("arena"));
+    assert_ne!(Capacity::tenant("acme"), Capacity::tenant("arena"));
 }
 
-/// What came is counted whatever became of it, fades, and only by groups that may go to an engine.
+/// What came is counted whatever became of it, fades, and only by classes that may go to an engine.
 #[test]
-fn demand_is_what_came_lately_for_an_engine_and_a_customer() {
-    let group = |threads, kinds| ServiceGroup {
-        utility: 1.0,
-        goal: LENGTH,
-        goal_stretch: 0.0,
-        effect: Effect::Repeatable,
+fn demand_is_what_came_lately_for_an_engine_and_a_tenant() {
+    let class = |threads, kinds| RequestClass {
+        priority_weight: 1.0,
+        latency_objective: LENGTH,
+        objective_stretch: 0.0,
+        effect: Idempotency::Idempotent,
         in_order: false,
         threads,
-        holds_data: false,
-        waits_for_holder: false,
+        locks_data_set: false,
+        waits_for_data_lock: false,
         zones: None,
         kinds,
     };
-    let groups = [group(2.0, None), group(4.0, Some(vec![1]))];
+    let classes = [class(2.0, None), class(4.0, Some(vec![1]))];
     let engine = |kind| Engine { kind, ..Engine::default() };
     let mut demand = Demand::default();
     let (mut came, mut seen) = (Came::default(), Vec::new());
-    for batches in [10, 0, 0] {
-        for _ in 0..batches {
+    for requests in [10, 0, 0] {
+        for _ in 0..requests {
             came.add(0, Some(1));
             came.add(1, None);
         }
         demand.look(came.clone());
-        let of = |kind| demand.of_engine(&engine(kind), &groups);
-        seen.push([of(0), of(1), demand.of_customer(0), demand.of_customer(1)].map(|w| (w * 100.0).round()));
+        let of = |kind| demand.of_engine(&engine(kind), &classes);
+        seen.push([of(0), of(1), demand.of_tenant(0), demand.of_tenant(1)].map(|w| (w * 100.0).round()));
     }
     assert_eq!(seen, [[2000., 6000., 5., 1000.], [1400., 4200., 5., 700.], [980., 2940., 5., 490.]]);
 }
@@ -260,13 +261,13 @@
     }
 }
 
-/// A front that asks for everything always, an endless weight among what it says: others keep their floors, and nothing it
+/// A gateway that asks for everything always, an endless weight among what it says: others keep their floors, and nothing it
 /// says takes from what others have before that has run out.
 #[test]
-fn a_greedy_front_leaves_all_others_their_floor() {
+fn a_greedy_gateway_leaves_all_others_their_floor() {
     let n = 12;
-    let mut keeper = Keeper::new(terms(n), At::default());
-    let mut now = At::default() + LENGTH + WINDOW;
+    let mut keeper = Keeper::new(terms(n), Timestamp::default());
+    let mut now = Timestamp::default() + LENGTH + WINDOW;
     let mut least = 1.0_f64;
     for turn in 0..60 {
         now = now + LENGTH * 0.25;
@@ -290,10 +291,10 @@
 #[test]
 fn soft_shares_go_no_more_than_half_beyond_the_whole() {
     for n in [2, 5, 12, 300] {
-        let soft = Terms { strict: false, window: Span::ZERO, ..terms(n) };
+        let soft = Terms { strict: false, window: Duration::ZERO, ..terms(n) };
         for with in 1..=n {
-            let mut keeper = Keeper::new(soft, At::default());
-            let mut now = At::default() + LENGTH;
+            let mut keeper = Keeper::new(soft, Timestamp::default());
+            let mut now = Timestamp::default() + LENGTH;
             let mut out = vec![0.0; with];
             for _ in 0..16 {
                 now = now + LENGTH * 0.25;
--- a/crates/simulator-adapter/src/front.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -1,10 +1,10 @@
-//! One front: its decisions, the batches in hand, its timers, and the door where ids become small indices.
+//! One gateway: its decisions, the requests in hand, its timers, and the door where ids become small indices.
 
 use crate::wire::Reply;
 use larchfall_config as settings;
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::{Policy, TICK};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::{BTreeSet, HashMap};
 
 const TICK_TAG: u64 = 0;
@@ -14,14 +14,14 @@
     id: u32,
     out: usize,
     over: bool,
-    due: Option<At>,
+    due: Option<Timestamp>,
 }
 
-pub struct Front {
+pub struct Gateway {
     who: u32,
     policy: Policy,
-    groups: usize,
-    pub customers: usize,
+    classes: usize,
+    pub tenants: usize,
     pub tells_work: bool,
     report_fields: Vec<String>,
     slots: Vec<Slot>,
@@ -29,23 +29,29 @@
     by_id: HashMap<u32, usize>,
     engines: Vec<([u8; 6], Engine)>,
     engine_ix: HashMap<[u8; 6], usize>,
-    due: BTreeSet<(At, usize)>,
-    timer_at: Option<At>,
+    due: BTreeSet<(Timestamp, usize)>,
+    timer_at: Option<Timestamp>,
 }
 
-impl Front {
-    pub fn start(who: u32, seed: u64, boot: &[u8], now: At, reply: &mut Reply) -> Result<Front, String> {
+impl Gateway {
+    pub fn start(
+        who: u32,
+        seed: u64,
+        boot: &[u8],
+        now: Timestamp,
+        reply: &mut Reply,
+    ) -> Result<Gateway, String> {
         let s = settings::read(boot)?;
-        let (groups, customers) = (s.given.groups.len(), s.given.customers.len());
+        let (classes, tenants) = (s.given.classes.len(), s.given.tenants.len());
         let policy = Policy::new(seed, s.given);
         if s.must_ask {
             reply.watch(who);
         }
-        let front = Front {
+        let gateway = Gateway {
             who,
             policy,
-            groups,
-            customers,
+            classes,
+            tenants,
             tells_work: s.tells_work,
             report_fields: s.report_fields,
             slots: Vec::new(),
@@ -56,21 +62,21 @@
             due: BTreeSet::new(),
             timer_at: None,
         };
-        front.next_tick(now, reply);
-        Ok(front)
+        gateway.next_tick(now, reply);
+        Ok(gateway)
     }
 
-    fn next_tick(&self, now: At, reply: &mut Reply) {
+    fn next_tick(&self, now: Timestamp, reply: &mut Reply) {
         reply.schedule(self.who, (now + TICK).micros(), TICK_TAG);
     }
 
-    pub fn report(&self, values: &[f64]) -> Report {
+    pub fn report(&self, values: &[f64]) -> LoadReport {
         let field = |name| self.report_fields.iter().zip(values).find(|(n, _)| *n == name).map(|(_, v)| *v);
-        Report { in_hand: field("concurrent"), busy: field("load_share") }
+        LoadReport { in_hand: field("concurrent"), busy: field("load_share") }
     }
 
     /// The list's entries: all of them, or changes only.
-    pub fn list(&mut self, now: At, entries: &[([u8; 6], Engine)], whole: bool) {
+    pub fn list(&mut self, now: Timestamp, entries: &[([u8; 6], Engine)], whole: bool) {
         let mut named = vec![false; self.engines.len()];
         for (address, engine) in entries {
             let next = self.engines.len();
@@ -89,9 +95,15 @@
         }
     }
 
-    pub fn take(&mut self, now: At, id: u32, batch: Batch, reply: &mut Reply) -> Result<(), String> {
-        if batch.group >= self.groups {
-            return Err(format!("front {}, id {id}: no service group {}", self.who, batch.group));
+    pub fn take(
+        &mut self,
+        now: Timestamp,
+        id: u32,
+        request: Request,
+        reply: &mut Reply,
+    ) -> Result<(), String> {
+        if request.class >= self.classes {
+            return Err(format!("front {}, id {id}: no service group {}", self.who, request.class));
         }
         let slot = Slot { id, out: 0, over: false, due: None };
         let b = match self.spare.pop() {
@@ -107,19 +119,26 @@
         if self.by_id.insert(id, b).is_some() {
             return Err(format!("front {}: id {id} came twice", self.who));
         }
-        self.policy.take(now, b, batch);
+        self.policy.take(now, b, request);
         self.ask(now, b, reply);
         Ok(())
     }
 
-    pub fn outcome(&mut self, now: At, id: u32, number: u8, answer: &Answer, reply: &mut Reply) {
+    pub fn outcome(
+        &mut self,
+        now: Timestamp,
+        id: u32,
+        number: u8,
+        answer: &AttemptResult,
+        reply: &mut Reply,
+    ) {
         let Some(&b) = self.by_id.get(&id) else { return };
         let slot = &mut self.slots[b];
         slot.out = slot.out.saturating_sub(1);
         slot.over |= answer.over;
         match self.policy.after(now, b, number, answer) {
-            Next::Ask => self.ask(now, b, reply),
-            Next::Over => self.leave(b),
+            AfterAttempt::RouteAgain => self.ask(now, b, reply),
+            AfterAttempt::Finished => self.leave(b),
         }
     }
 
@@ -134,19 +153,19 @@
         self.leave(b);
     }
 
-    pub fn note(&mut self, now: At, id: u32, number: u8, note: Note) {
+    pub fn note(&mut self, now: Timestamp, id: u32, number: u8, note: ProgressUpdate) {
         if let Some(&b) = self.by_id.get(&id) {
             self.policy.note(now, b, number, note);
         }
     }
 
-    pub fn probed(&mut self, now: At, address: [u8; 6], report: Report) {
+    pub fn probed(&mut self, now: Timestamp, address: [u8; 6], report: LoadReport) {
         if let Some(&e) = self.engine_ix.get(&address) {
             self.policy.probed(now, e, report);
         }
     }
 
-    pub fn timer(&mut self, now: At, tag: u64, reply: &mut Reply) {
+    pub fn timer(&mut self, now: Timestamp, tag: u64, reply: &mut Reply) {
         if tag == TICK_TAG {
             self.policy.tick(now);
             for e in self.policy.probes() {
@@ -159,7 +178,7 @@
             self.timer_at = None;
         }
         // Each is asked once: whatever comes due again at this reading of the clock waits for the next.
-        let later = self.due.split_off(&(now + Span::from_micros(1), 0));
+        let later = self.due.split_off(&(now + Duration::from_micros(1), 0));
         for (_, b) in std::mem::replace(&mut self.due, later) {
             self.slots[b].due = None;
             self.ask(now, b, reply);
@@ -167,29 +186,33 @@
     }
 
     /// Writes what the module answers until it has nothing more to say, then notes when to ask again.
-    fn ask(&mut self, now: At, b: usize, reply: &mut Reply) {
+    fn ask(&mut self, now: Timestamp, b: usize, reply: &mut Reply) {
         let (who, id) = (self.who, self.slots[b].id);
         loop {
             if self.slots[b].over {
                 return self.leave(b);
             }
             match self.policy.place(now, b) {
-                Place::Send(d) => {
+                RoutingDecision::Send(d) => {
                     self.slots[b].out += 1;
                     reply.resources(who, id, d.memory_mb.unwrap_or(0.0) as f32, d.priority);
                     let allow = d.time_out.micros().clamp(1, u64::from(i32::MAX as u32)) as u32;
                     reply.call_out(who, id, self.engines[d.engine].0, allow);
                 }
-                Place::NotYet => break,
-                Place::PushBack(wait) => {
-                    reply.deny(who, id, wait.unwrap_or(Span::ZERO).micros().min(u64::from(u32::MAX)) as u32);
+                RoutingDecision::Wait => break,
+                RoutingDecision::Reject(wait) => {
+                    reply.deny(
+                        who,
+                        id,
+                        wait.unwrap_or(Duration::ZERO).micros().min(u64::from(u32::MAX)) as u32,
+                    );
                     self.slots[b].over = true;
                 }
-                Place::Error => {
+                RoutingDecision::Fail => {
                     reply.abort(who, id);
                     self.slots[b].over = true;
                 }
-                Place::CallOff(number) => reply.call_off(who, id, number),
+                RoutingDecision::CancelAttempt(number) => reply.call_off(who, id, number),
             }
         }
         let at = self.policy.wait(now, b);
@@ -199,7 +222,7 @@
         self.due.insert((at, b));
     }
 
-    /// Lets go of a batch once it is over and nothing of it is out.
+    /// Lets go of a request once it is over and nothing of it is out.
     fn leave(&mut self, b: usize) {
         if let Some(at) = self.slots[b].due.take() {
             self.due.remove(&(at, b));
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,12 +1,12 @@
 //! Speaks the bench's wire on standard input and output and asks the module; decides nothing. Anything
 //! malformed ends it with one line on standard error, before any part of that reply is written.
 
-mod front;
+mod gateway;
 mod wire;
 
-use front::Front;
+use gateway::Gateway;
 use larchfall_policy::interface::*;
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use wire::{Reader, Reply};
@@ -15,8 +15,8 @@
 
 #[derive(Default)]
 struct Process {
-    fronts: BTreeMap<u32, Front>,
-    /// Lists by number, shared by all fronts; a number is used again, so each is read in event order.
+    gateways: BTreeMap<u32, Gateway>,
+    /// Lists by number, shared by all gateways; a number is used again, so each is read in event order.
     lists: BTreeMap<u8, Entries>,
 }
 
@@ -28,7 +28,7 @@
         110 => Outcome::TimedOut,
         111 => Outcome::ConnectFailed,
         104 => Outcome::Reset,
-        125 => Outcome::CalledOff,
+        125 => Outcome::Cancelled,
         114 => Outcome::Moot,
         other => return Err(format!("unknown outcome {other}")),
     })
@@ -48,7 +48,7 @@
         };
         let _size = r.f32()?;
         let born = r.u64()?;
-        let started = (born > 0).then(|| At::from_micros(born));
+        let started = (born > 0).then(|| Timestamp::from_micros(born));
         out.push((address, Engine { zone, kind, cell, state, started }));
     }
     Ok(out)
@@ -63,8 +63,14 @@
 }
 
 impl Process {
-    /// One event; answers the front that may act on it.
-    fn event(&mut self, now: At, code: u8, fields: &[u8], reply: &mut Reply) -> Result<Option<u32>, String> {
+    /// One event; answers the gateway that may act on it.
+    fn event(
+        &mut self,
+        now: Timestamp,
+        code: u8,
+        fields: &[u8],
+        reply: &mut Reply,
+    ) -> Result<Option<u32>, String> {
         let mut r = Reader::new(fields, event_name(code));
         if code == 120 {
             let list = r.u8()?;
@@ -76,18 +82,18 @@
         if code == 10 {
             let seed = r.u64()?;
             let n = r.u32()? as usize;
-            let front = Front::start(who, seed, r.take(n)?, now, reply)?;
-            self.fronts.insert(who, front);
+            let gateway = Gateway::start(who, seed, r.take(n)?, now, reply)?;
+            self.gateways.insert(who, gateway);
             return Ok(Some(who));
         }
         if code == 100 {
-            self.fronts.remove(&who);
+            self.gateways.remove(&who);
             return Ok(None);
         }
         if event_name(code) == "unknown" {
             return Err(format!("unknown event code {code}"));
         }
-        let Some(front) = self.fronts.get_mut(&who) else {
+        let Some(gateway) = self.gateways.get_mut(&who) else {
             return Err(format!("{}: no front {who} is running", event_name(code)));
         };
         match code {
@@ -99,68 +105,68 @@
                 if kind < 3 {
                     let members =
                         self.lists.get(&list).ok_or_else(|| format!("view: no list numbered {list} came"))?;
-                    front.list(now, members, kind > 0);
+                    gateway.list(now, members, kind > 0);
                 }
             }
             30 => {
                 let id = r.u32()?;
-                let (group, customer) = (r.u8()? as usize, r.u32()? as usize);
+                let (class, tenant) = (r.u8()? as usize, r.u32()? as usize);
                 let (key, not_after, cost) = (r.u64()?, r.u64()?, r.u32()?);
                 let (memory, set, bits) = (r.f32()?, r.f32()?, r.u16()?);
-                let batch = Batch {
-                    group,
-                    customer: (customer < front.customers).then_some(customer),
+                let request = Request {
+                    class,
+                    tenant: (tenant < gateway.tenants).then_some(tenant),
                     key: (key != 0).then_some(key),
-                    time_limit: At::from_micros(not_after),
-                    work: (bits & 1 != 0 && cost > 0).then(|| Span::from_micros(u64::from(cost))),
+                    deadline: Timestamp::from_micros(not_after),
+                    work: (bits & 1 != 0 && cost > 0).then(|| Duration::from_micros(u64::from(cost))),
                     memory_mb: (memory > 0.0).then_some(memory),
                     data_set: set as u32,
                 };
-                front.take(now, id, batch, reply)?;
+                gateway.take(now, id, request, reply)?;
             }
             50 => {
                 let (id, ended) = (r.u32()?, r.u8()? != 0);
                 let (_engine, number, rtt) = (r.address()?, r.u8()?, r.u32()?);
                 let outcome = outcome(r.u8()?)?;
                 let used = if r.left() >= 4 { r.u32()? } else { 0 };
-                let told = front.tells_work && used > 0 && outcome == Outcome::Returned;
-                let answer = Answer {
+                let told = gateway.tells_work && used > 0 && outcome == Outcome::Returned;
+                let answer = AttemptResult {
                     outcome,
-                    took: Span::from_micros(u64::from(rtt)),
+                    took: Duration::from_micros(u64::from(rtt)),
                     over: ended,
                     // Here an outcome comes once nothing runs on, but for what the rule's own rest covers.
-                    seen: Seen { last: Last::Ended, same: true },
-                    work: told.then(|| Span::from_millis(u64::from(used >> 12))),
-                    report: front.report(&values(&mut r)?),
+                    seen: AttemptEvidence { last: LastObservation::Ended, same_process: true },
+                    work: told.then(|| Duration::from_millis(u64::from(used >> 12))),
+                    report: gateway.report(&values(&mut r)?),
                 };
-                front.outcome(now, id, number, &answer, reply);
+                gateway.outcome(now, id, number, &answer, reply);
             }
-            60 => front.client_left(r.u32()?, reply),
-            70 => front.timer(now, r.u64()?, reply),
+            60 => gateway.client_left(r.u32()?, reply),
+            70 => gateway.timer(now, r.u64()?, reply),
             80 => {
                 let (address, _ending, _rtt) = (r.address()?, r.u8()?, r.u32()?);
-                let report = front.report(&values(&mut r)?);
-                front.probed(now, address, report);
+                let report = gateway.report(&values(&mut r)?);
+                gateway.probed(now, address, report);
             }
             110 => {
                 let id = r.u32()?;
                 let (number, _engine, what, level) = (r.u8()?, r.address()?, r.u8()?, r.f32()?);
                 let note = match what {
-                    1 => Note::Done(level),
-                    2 => Note::SpillsMb(level),
-                    3 if level < 1.5 => Note::WaitsForMemory,
-                    3 => Note::WaitsForHolder,
+                    1 => ProgressUpdate::Done(level),
+                    2 => ProgressUpdate::SpillsMb(level),
+                    3 if level < 1.5 => ProgressUpdate::WaitsForMemory,
+                    3 => ProgressUpdate::WaitsForHolder,
                     other => return Err(format!("notice: unknown what {other}")),
                 };
-                front.note(now, id, number, note);
+                gateway.note(now, id, number, note);
             }
-            // Streams and peers: no service group streams, fronts share nothing.
+            // Streams and peers: no request class streams, gateways share nothing.
             _ => {}
         }
         Ok(Some(who))
     }
 
-    fn round(&mut self, now: At, count: u32, body: &[u8]) -> Result<Reply, String> {
+    fn round(&mut self, now: Timestamp, count: u32, body: &[u8]) -> Result<Reply, String> {
         let mut reply = Reply::default();
         let mut r = Reader::new(body, "record");
         let mut acted: Vec<u32> = Vec::new();
@@ -184,8 +190,8 @@
         acted.sort_unstable();
         acted.dedup();
         for who in acted {
-            if let Some(front) = self.fronts.get_mut(&who) {
-                front.settle(&mut reply);
+            if let Some(gateway) = self.gateways.get_mut(&who) {
+                gateway.settle(&mut reply);
             }
         }
         Ok(reply)
@@ -242,7 +248,7 @@
             return Err(format!("batch {number}: input ended after {got} of {size} bytes"));
         }
         let mut r = Reader::new(&rest, "header");
-        let (now, count) = (At::from_micros(r.u64()?), r.u32()?);
+        let (now, count) = (Timestamp::from_micros(r.u64()?), r.u32()?);
         let reply = process.round(now, count, &rest[12..]).map_err(|e| format!("batch {number}: {e}"))?;
         let written = output.write_all(&reply.framed(number)).and_then(|()| output.flush());
         written.map_err(|e| format!("batch {number}: reply: {e}"))?;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -96,7 +96,7 @@
         self.record(60, who, &[&(words.len() as u16).to_le_bytes(), words]);
     }
 
-    /// The framed reply to one batch of events.
+    /// The framed reply to one request of events.
     pub fn framed(&self, number: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(8 + self.bytes.len());
         out.extend(number.to_le_bytes());
--- a/crates/subsetting/src/aperture.rs
+++ b/crates/subsetting/src/aperture.rs
@@ -1,21 +1,21 @@
-//! How much of its liking a front uses beside its part of the plan: more while that reads congested or too little of it is
+//! How much of its liking a gateway uses beside its part of the plan: more while that reads congested or too little of it is
 //! ready, all at once when half of it is failing or gone, and back one by one in calm.
 
 use crate::plan::Plan;
 use crate::rank::order;
-use crate::{Front, Listed};
-use larchfall_policy::time::{At, Span};
+use crate::{Gateway, Listed};
+use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// One more engine each such time while what is used reads congested.
-    pub grows: Span,
+    pub grows: Duration,
     /// One fewer each such time in calm.
-    pub shrinks: Span,
+    pub shrinks: Duration,
 }
 
-/// What a front sees of the engines that it uses.
+/// What a gateway sees of the engines that it uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sight {
     pub used: usize,
@@ -37,11 +37,11 @@
     settings: Settings,
     /// Engines beyond the plan.
     beyond: usize,
-    next: At,
+    next: Timestamp,
 }
 
 impl Aperture {
-    pub fn new(settings: Settings, now: At) -> Aperture {
+    pub fn new(settings: Settings, now: Timestamp) -> Aperture {
         Aperture { settings, beyond: 0, next: now + settings.grows }
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// `others` are the engines beyond what the plan says: no more than those can be added.
-    pub fn look(&mut self, sight: Sight, others: usize, now: At) {
+    pub fn look(&mut self, sight: Sight, others: usize, now: Timestamp) {
         let part = |n: usize| n as f64 / sight.used.max(1) as f64;
         self.beyond = self.beyond.min(others);
         if sight.used == 0 || part(sight.bad) >= HALF {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// What is used now: the front's part of the plan, and of the rest what it likes best.
-    pub fn used(&self, plan: &Plan, me: Front, engines: &[Listed]) -> BTreeSet<u32> {
+    /// What is used now: the gateway's part of the plan, and of the rest what it likes best.
+    pub fn used(&self, plan: &Plan, me: Gateway, engines: &[Listed]) -> BTreeSet<u32> {
         let mut used = plan.chosen.get(&me.number).cloned().unwrap_or_default();
         let liked = order(me, engines);
         let beyond: Vec<u32> =
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,5 +1,5 @@
-//! Which engines a front uses: few, so that each engine is known to few fronts that know it well, chosen so that loads stay
-//! even and little moves as either fleet grows and shrinks. Without input or output; all fronts that see the same lists work
+//! Which engines a gateway uses: few, so that each engine is known to few gateways that know it well, chosen so that loads stay
+//! even and little moves as either fleet grows and shrinks. Without input or output; all gateways that see the same lists work
 //! out the same plan.
 
 pub mod aperture;
@@ -7,7 +7,7 @@
 pub mod rank;
 pub mod survey;
 
-use larchfall_policy::interface::{Engine, ServiceGroup};
+use larchfall_policy::interface::{Engine, RequestClass};
 use std::collections::BTreeSet;
 
 /// An engine that is ready, by its id.
@@ -17,14 +17,14 @@
     pub told: Engine,
 }
 
-/// A front, as the plan knows it: a number of its own (a hash of its name, or its place), and its zone where that is known.
+/// A gateway, as the plan knows it: a number of its own (a hash of its name, or its place), and its zone where that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Front {
+pub struct Gateway {
     pub number: u64,
     pub zone: Option<usize>,
 }
 
-/// Which engines one service group may go to, or some groups alike.
+/// Which engines one request class may go to, or some classes alike.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Need(BTreeSet<u32>);
 
@@ -42,12 +42,12 @@
     }
 }
 
-/// What must be found in every subset, the scarcest first: groups that may go to the same engines need the same.
-pub fn needs(engines: &[Listed], groups: &[ServiceGroup]) -> Vec<Need> {
-    let open = |group: &ServiceGroup| {
-        Need(engines.iter().filter(|x| group.may_go_to(&x.told)).map(|x| x.id).collect())
+/// What must be found in every subset, the scarcest first: classes that may go to the same engines need the same.
+pub fn needs(engines: &[Listed], classes: &[RequestClass]) -> Vec<Need> {
+    let open = |class: &RequestClass| {
+        Need(engines.iter().filter(|x| class.allows_engine(&x.told)).map(|x| x.id).collect())
     };
-    let all: BTreeSet<Need> = groups.iter().map(open).filter(|need| !need.is_empty()).collect();
+    let all: BTreeSet<Need> = classes.iter().map(open).filter(|need| !need.is_empty()).collect();
     let mut all: Vec<Need> = all.into_iter().collect();
     all.sort_by_key(Need::len);
     all
--- a/crates/subsetting/src/plan.rs
+++ b/crates/subsetting/src/plan.rs
@@ -1,39 +1,44 @@
-//! The plan of all fronts at once. Each takes the engines that it likes best, but none that has as many fronts as is its
+//! The plan of all gateways at once. Each takes the engines that it likes best, but none that has as many gateways as is its
 //! part (rendezvous hashing with bounded loads, after Mirrokni, Thorup, Zadimoghaddam: "Consistent Hashing with Bounded
-//! Loads", 2018). Fronts choose one after the other in the order of their numbers, so one that comes or goes moves only
+//! Loads", 2018). Gateways choose one after the other in the order of their numbers, so one that comes or goes moves only
 //! what comes after it, and of that only what meets a bound.
 
 use crate::rank::order;
-use crate::{Front, Listed, Need};
+use crate::{Gateway, Listed, Need};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// So many engines at least that each service group may go to, where there are as many.
+    /// So many engines at least that each request class may go to, where there are as many.
     pub least: usize,
-    /// By so much of the mean an engine may have more fronts than that.
+    /// By so much of the mean an engine may have more gateways than that.
     pub slack: f64,
 }
 
-/// By front: the engines that it uses. The same at all that have the same lists.
+/// By gateway: the engines that it uses. The same at all that have the same lists.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub chosen: BTreeMap<u64, BTreeSet<u32>>,
-    /// By engine: how many fronts use it.
+    /// By engine: how many gateways use it.
     pub users: BTreeMap<u32, usize>,
 }
 
 impl Plan {
-    pub fn make(settings: Settings, fronts: &BTreeSet<Front>, engines: &[Listed], needs: &[Need]) -> Plan {
+    pub fn make(
+        settings: Settings,
+        gateways: &BTreeSet<Gateway>,
+        engines: &[Listed],
+        needs: &[Need],
+    ) -> Plan {
         let mut plan = Plan { chosen: BTreeMap::new(), users: engines.iter().map(|x| (x.id, 0)).collect() };
-        let bounds: Vec<usize> = needs.iter().map(|need| settings.bound(fronts.len(), need)).collect();
-        for front in fronts {
-            let liked = order(*front, engines);
+        let bounds: Vec<usize> = needs.iter().map(|need| settings.bound(gateways.len(), need)).collect();
+        for gateway in gateways {
+            let liked = order(*gateway, engines);
             let mut chosen = BTreeSet::new();
             for (need, bound) in needs.iter().zip(&bounds) {
                 plan.choose(settings, &liked, need, *bound, &mut chosen);
             }
-            plan.chosen.insert(front.number, chosen);
+            plan.chosen.insert(gateway.number, chosen);
         }
         plan
     }
@@ -77,9 +82,9 @@
 }
 
 impl Settings {
-    /// How many fronts an engine may have for this need: all that are wanted, spread evenly, and a little more.
-    fn bound(&self, fronts: usize, need: &Need) -> usize {
-        let wanted = fronts as f64 * self.least.min(need.len()) as f64;
+    /// How many gateways an engine may have for this need: all that are wanted, spread evenly, and a little more.
+    fn bound(&self, gateways: usize, need: &Need) -> usize {
+        let wanted = gateways as f64 * self.least.min(need.len()) as f64;
         (wanted / need.len() as f64 * (1.0 + self.slack)).ceil().max(1.0) as usize
     }
 }
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,25 +1,25 @@
-//! What must hold of every subset, whichever fronts and engines there are; how little moves; how wide a front goes.
+//! What must hold of every subset, whichever gateways and engines there are; how little moves; how wide a gateway goes.
 
-use larchfall_policy::interface::{Effect, Engine, ServiceGroup};
-use larchfall_policy::time::{At, Span};
+use larchfall_policy::interface::{Engine, Idempotency, RequestClass};
+use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_subsetting::aperture::{self, Aperture, Sight};
 use larchfall_subsetting::plan::{Plan, Settings};
-use larchfall_subsetting::{Front, Listed, needs};
+use larchfall_subsetting::{Gateway, Listed, needs};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
 const SETTINGS: Settings = Settings { least: 4, slack: 0.25 };
 
-fn group(zones: Option<Vec<usize>>, kinds: Option<Vec<usize>>) -> ServiceGroup {
-    ServiceGroup {
-        utility: 1.0,
-        goal: Span::from_millis(1000),
-        goal_stretch: 0.0,
-        effect: Effect::Repeatable,
+fn class(zones: Option<Vec<usize>>, kinds: Option<Vec<usize>>) -> RequestClass {
+    RequestClass {
+        priority_weight: 1.0,
+        latency_objective: Duration::from_millis(1000),
+        objective_stretch: 0.0,
+        effect: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
-        holds_data: false,
-        waits_for_holder: false,
+        locks_data_set: false,
+        waits_for_data_lock: false,
         zones,
         kinds,
     }
@@ -33,13 +33,13 @@
     (0..n).map(|id| engine(id, id as usize % 3, usize::from(id % 5 == 0), id as usize % 4)).collect()
 }
 
-fn fronts(numbers: impl Iterator<Item = u64>) -> BTreeSet<Front> {
-    numbers.map(|number| Front { number, zone: Some(number as usize % 3) }).collect()
+fn gateways(numbers: impl Iterator<Item = u64>) -> BTreeSet<Gateway> {
+    numbers.map(|number| Gateway { number, zone: Some(number as usize % 3) }).collect()
 }
 
-/// Pairs of a front and an engine that only one of two plans has.
+/// Pairs of a gateway and an engine that only one of two plans has.
 fn moved(a: &Plan, b: &Plan) -> usize {
-    let differ = |front: &u64| match (a.chosen.get(front), b.chosen.get(front)) {
+    let differ = |gateway: &u64| match (a.chosen.get(gateway), b.chosen.get(gateway)) {
         (Some(a), Some(b)) => a.symmetric_difference(b).count(),
         _ => 0,
     };
@@ -47,31 +47,31 @@
 }
 
 proptest! {
-    /// Each group finds enough that it may go to, in two cells where there are two, and no engine is everybody's.
+    /// Each class finds enough that it may go to, in two cells where there are two, and no engine is everybody's.
     #[test]
-    fn every_front_finds_what_each_group_needs(
+    fn every_gateway_finds_what_each_class_needs(
         told in proptest::collection::vec((0..3_usize, 0..2_usize, 0..3_usize), 1..40),
         n in 1..60_u64,
         only in 0..2_usize,
     ) {
         let engines: Vec<Listed> =
             (0..).zip(&told).map(|(id, (zone, kind, cell))| engine(id, *zone, *kind, *cell)).collect();
-        let groups = [group(None, None), group(None, Some(vec![only])), group(Some(vec![1]), None)];
-        let needs = needs(&engines, &groups);
-        let fronts = fronts(0..n);
-        let plan = Plan::make(SETTINGS, &fronts, &engines, &needs);
-        for front in &fronts {
-            let chosen = &plan.chosen[&front.number];
-            for group in &groups {
-                let open: Vec<&Listed> = engines.iter().filter(|x| group.may_go_to(&x.told)).collect();
+        let classes = [class(None, None), class(None, Some(vec![only])), class(Some(vec![1]), None)];
+        let needs = needs(&engines, &classes);
+        let gateways = gateways(0..n);
+        let plan = Plan::make(SETTINGS, &gateways, &engines, &needs);
+        for gateway in &gateways {
+            let chosen = &plan.chosen[&gateway.number];
+            for class in &classes {
+                let open: Vec<&Listed> = engines.iter().filter(|x| class.allows_engine(&x.told)).collect();
                 let found: Vec<&&Listed> = open.iter().filter(|x| chosen.contains(&x.id)).collect();
-                prop_assert!(found.len() >= SETTINGS.least.min(open.len()), "{front:?} {group:?}");
+                prop_assert!(found.len() >= SETTINGS.least.min(open.len()), "{gateway:?} {class:?}");
                 let cells = |of: &mut dyn Iterator<Item = usize>| of.collect::<BTreeSet<_>>().len();
                 let (there, here) = (
                     cells(&mut open.iter().map(|x| x.told.cell)),
                     cells(&mut found.iter().map(|x| x.told.cell)),
                 );
-                prop_assert!(there < 2 || here >= 2, "{front:?}: one cell of {there}");
+                prop_assert!(there < 2 || here >= 2, "{gateway:?}: one cell of {there}");
             }
         }
         let users: usize = plan.users.values().sum();
@@ -81,16 +81,16 @@
 
 #[test]
 fn loads_are_even_and_own_zones_come_first() {
-    let (engines, groups) = (engines(80), [group(None, None)]);
-    let all = fronts((0..300).map(|n| n * 7919));
-    let plan = Plan::make(Settings { least: 12, ..SETTINGS }, &all, &engines, &needs(&engines, &groups));
+    let (engines, classes) = (engines(80), [class(None, None)]);
+    let all = gateways((0..300).map(|n| n * 7919));
+    let plan = Plan::make(Settings { least: 12, ..SETTINGS }, &all, &engines, &needs(&engines, &classes));
     let mean = 300.0 * 12.0 / 80.0;
     let (least, most) = (plan.users.values().min().unwrap(), plan.users.values().max().unwrap());
     assert!(
         *most as f64 <= (mean * 1.25_f64).ceil() && *least as f64 > mean * 0.5,
         "{least} to {most} of {mean}"
     );
-    let near = |front: &Front, id: &u32| front.zone == Some(engines[*id as usize].told.zone);
+    let near = |gateway: &Gateway, id: &u32| gateway.zone == Some(engines[*id as usize].told.zone);
     let pairs = || all.iter().flat_map(|f| plan.chosen[&f.number].iter().map(move |id| (f, id)));
     let own = pairs().filter(|(f, id)| near(f, id)).count();
     assert!(own * 10 > pairs().count() * 9, "{own} of {} in the own zone", pairs().count());
@@ -100,32 +100,33 @@
 
 /// One that comes or goes moves little of what others have: the same lists always give the same plan.
 #[test]
-fn little_moves_when_one_front_or_engine_comes_or_goes() {
-    let (engines, groups) = (engines(80), [group(None, None), group(None, Some(vec![1]))]);
+fn little_moves_when_one_gateway_or_engine_comes_or_goes() {
+    let (engines, classes) = (engines(80), [class(None, None), class(None, Some(vec![1]))]);
     let settings = Settings { least: 8, ..SETTINGS };
-    let make = |fronts: &BTreeSet<Front>, engines: &[Listed]| {
-        Plan::make(settings, fronts, engines, &needs(engines, &groups))
+    let make = |gateways: &BTreeSet<Gateway>, engines: &[Listed]| {
+        Plan::make(settings, gateways, engines, &needs(engines, &classes))
     };
-    let all = fronts((0..300).map(|n| n * 7919));
+    let all = gateways((0..300).map(|n| n * 7919));
     let (plan, pairs) = (make(&all, &engines), make(&all, &engines).users.values().sum::<usize>());
     assert_eq!(make(&all, &engines), plan);
     let mut most = [0, 0];
     for gone in (0..300).step_by(20) {
-        let rest: BTreeSet<Front> = all.iter().copied().filter(|f| f.number != gone * 7919).collect();
+        let rest: BTreeSet<Gateway> = all.iter().copied().filter(|f| f.number != gone * 7919).collect();
         most[0] = most[0].max(moved(&plan, &make(&rest, &engines)));
     }
     for gone in (0..80).step_by(8) {
         let rest: Vec<Listed> = engines.iter().copied().filter(|x| x.id != gone).collect();
         most[1] = most[1].max(moved(&plan, &make(&all, &rest)));
     }
-    // A front has 1 in 300 of the pairs, an engine 1 in 80; each pair that moves counts twice.
+    // A gateway has 1 in 300 of the pairs, an engine 1 in 80; each pair that moves counts twice.
     assert!(most[0] * 10 < pairs, "a front: {} of {pairs}", most[0]);
     assert!(most[1] * 10 < pairs * 2, "an engine: {} of {pairs}", most[1]);
 }
 
 #[test]
-fn a_front_widens_at_once_when_half_is_gone_and_comes_back_one_by_one() {
-    let settings = aperture::Settings { grows: Span::from_millis(100), shrinks: Span::from_millis(500) };
+fn a_gateway_widens_at_once_when_half_is_gone_and_comes_back_one_by_one() {
+    let settings =
+        aperture::Settings { grows: Duration::from_millis(100), shrinks: Duration::from_millis(500) };
     let sight = |bad, congested| Sight { used: 10, bad, congested };
     // (at, what is seen, how many beyond the plan then); twenty others.
     let cases = [
@@ -144,20 +145,20 @@
         (2450, sight(4, 0), 18),
         (2950, Sight::default(), 20),
     ];
-    let mut aperture = Aperture::new(settings, At::default());
+    let mut aperture = Aperture::new(settings, Timestamp::default());
     for (at, sight, beyond) in cases {
-        aperture.look(sight, 20, At::from_micros(at * 1000));
+        aperture.look(sight, 20, Timestamp::from_micros(at * 1000));
         assert_eq!(aperture.beyond(), beyond, "at {at}: {sight:?}");
     }
-    aperture.look(sight(0, 0), 3, At::from_micros(2_951_000));
+    aperture.look(sight(0, 0), 3, Timestamp::from_micros(2_951_000));
     assert_eq!(aperture.beyond(), 3, "no more than there are");
-    // Two fronts that widen by one do not take the same.
+    // Two gateways that widen by one do not take the same.
     let engines = engines(40);
-    let all = fronts(0..200);
-    let plan = Plan::make(SETTINGS, &all, &engines, &needs(&engines, &[group(None, None)]));
-    let mut one = Aperture::new(settings, At::default());
-    one.look(sight(0, 9), 9, At::from_micros(100_000));
-    let added = |f: &Front| {
+    let all = gateways(0..200);
+    let plan = Plan::make(SETTINGS, &all, &engines, &needs(&engines, &[class(None, None)]));
+    let mut one = Aperture::new(settings, Timestamp::default());
+    one.look(sight(0, 9), 9, Timestamp::from_micros(100_000));
+    let added = |f: &Gateway| {
         let used = one.used(&plan, *f, &engines);
         used.difference(&plan.chosen[&f.number]).copied().collect::<Vec<_>>()
     };
@@ -170,24 +171,24 @@
 #[test]
 fn a_survey_says_what_the_plan_comes_to() {
     use larchfall_subsetting::survey::survey;
-    let front = |i: u64| Front { number: i * 7919 + 3, zone: Some(i as usize % 3) };
+    let gateway = |i: u64| Gateway { number: i * 7919 + 3, zone: Some(i as usize % 3) };
     let engine = |id: u32| Listed {
         id,
         told: Engine { cell: id as usize % 4, zone: id as usize % 3, ..Engine::default() },
     };
-    // (fronts, engines, least; pairs that come of it)
-    for (fronts, engines, least, pairs) in [(30, 20, 4, 120), (3, 2, 5, 6), (1, 1, 1, 1), (4, 0, 3, 0)] {
-        let fronts: BTreeSet<Front> = (0..fronts).map(front).collect();
+    // (gateways, engines, least; pairs that come of it)
+    for (gateways, engines, least, pairs) in [(30, 20, 4, 120), (3, 2, 5, 6), (1, 1, 1, 1), (4, 0, 3, 0)] {
+        let gateways: BTreeSet<Gateway> = (0..gateways).map(gateway).collect();
         let list: Vec<Listed> = (0..engines).map(engine).collect();
         let settings = Settings { least, slack: 0.25 };
-        let all = survey(settings, &fronts, &list, &[group(None, None)]);
-        assert_eq!(all.pairs, (pairs, fronts.len() * list.len()));
+        let all = survey(settings, &gateways, &list, &[class(None, None)]);
+        assert_eq!(all.pairs, (pairs, gateways.len() * list.len()));
         let (fewest, mean, most) = all.users;
         assert!(fewest as f64 <= mean && mean <= most as f64, "{:?}", all.users);
         assert!(all.moved.0 <= 1.0 && all.moved.1 <= 3.0, "{:?}", all.moved);
         assert_eq!(
             all,
-            survey(settings, &fronts, &list, &[group(None, None)]),
+            survey(settings, &gateways, &list, &[class(None, None)]),
             "the same for the same lists"
         );
     }
--- a/examples/stub-engine/src/client.rs
+++ b/examples/stub-engine/src/client.rs
@@ -1,4 +1,4 @@
-//! A toy client of a front.
+//! A toy client of a gateway.
 
 use rmpv::Value;
 use rmpv::decode::read_value;
@@ -12,7 +12,7 @@
     next: u32,
 }
 
-/// What a front answered.
+/// What a gateway answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Rows(Vec<u8>),
@@ -43,11 +43,11 @@
         self.raw(&bytes)
     }
 
-    /// Sends a batch; the id under which its answer will come.
-    pub fn send(&mut self, group: &str, fields: &[(&str, &str)], statement: &str) -> io::Result<u32> {
+    /// Sends a request; the id under which its answer will come.
+    pub fn send(&mut self, class: &str, fields: &[(&str, &str)], statement: &str) -> io::Result<u32> {
         let id = self.next;
         self.next += 1;
-        self.write(request(id, group, fields, statement))?;
+        self.write(request(id, class, fields, statement))?;
         Ok(id)
     }
 
@@ -90,16 +90,16 @@
         Ok((id, answer))
     }
 
-    /// Whether the front has ended the connection: everything before that is read.
+    /// Whether the gateway has ended the connection: everything before that is read.
     pub fn is_ended(&mut self) -> bool {
         let mut rest = Vec::new();
         matches!(self.stream.read_to_end(&mut rest), Ok(0)) || rest.is_empty()
     }
 }
 
-/// A batch as bytes would be written, for those who send it differently.
-pub fn request(id: u32, group: &str, fields: &[(&str, &str)], statement: &str) -> Value {
+/// A request as bytes would be written, for those who send it differently.
+pub fn request(id: u32, class: &str, fields: &[(&str, &str)], statement: &str) -> Value {
     let fields = fields.iter().map(|(k, v)| (Value::from(*k), Value::from(*v))).collect();
     let body = Value::Binary(statement.as_bytes().to_vec());
-    Value::Array(vec![0.into(), id.into(), group.into(), vec![Value::Map(fields), body].into()])
+    Value::Array(vec![0.into(), id.into(), class.into(), vec![Value::Map(fields), body].into()])
 }
--- a/examples/stub-engine/src/board.rs
+++ b/examples/stub-engine/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A toy notice board: it tells whoever connects all events after the number it was given.
+//! A toy discovery service: it tells whoever connects all events after the number it was given.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// One engine as the board lists it.
+/// One engine as the discovery service lists it.
 #[derive(Clone, Copy, Debug)]
 pub struct Listed {
     pub id: u32,
@@ -39,7 +39,7 @@
     out
 }
 
-pub struct Board {
+pub struct Discovery {
     pub address: SocketAddr,
     events: Arc<Events>,
 }
@@ -50,8 +50,8 @@
     new: Condvar,
 }
 
-impl Board {
-    pub fn start(at: &str) -> io::Result<Board> {
+impl Discovery {
+    pub fn start(at: &str) -> io::Result<Discovery> {
         let listener = TcpListener::bind(at)?;
         let address = listener.local_addr()?;
         let events = Arc::new(Events::default());
@@ -62,19 +62,19 @@
                 thread::spawn(move || tell(stream, &shared));
             }
         });
-        Ok(Board { address, events })
+        Ok(Discovery { address, events })
     }
 
-    /// A board that takes connections and never says a word.
-    pub fn start_mute(at: &str) -> io::Result<Board> {
+    /// A discovery service that takes connections and never says a word.
+    pub fn start_mute(at: &str) -> io::Result<Discovery> {
         let listener = TcpListener::bind(at)?;
         let address = listener.local_addr()?;
         let events = Arc::new(Events::default());
         thread::spawn(move || listener.incoming().flatten().collect::<Vec<TcpStream>>());
-        Ok(Board { address, events })
+        Ok(Discovery { address, events })
     }
 
-    /// Bytes under a number, in place of what stood there: a frame, or whatever else a board may say.
+    /// Bytes under a number, in place of what stood there: a frame, or whatever else a discovery service may say.
     pub fn say(&self, number: u64, bytes: Vec<u8>) {
         let mut frames = self.events.frames.lock().unwrap_or_else(PoisonError::into_inner);
         frames.retain(|(n, _)| *n != number);
--- a/examples/stub-engine/src/lib.rs
+++ b/examples/stub-engine/src/lib.rs
@@ -1,8 +1,8 @@
-//! Toy counterparts of a front: a query engine, a notice board and a client. They speak the protocols and no
-//! more; the front's tests and `main.rs` beside this use them.
+//! Toy counterparts of a gateway: a query engine, a discovery service and a client. They speak the protocols and no
+//! more; the gateway's tests and `main.rs` beside this use them.
 
-pub mod board;
 pub mod client;
+pub mod discovery;
 pub mod engine;
 pub mod hall;
 pub mod rest;
--- a/examples/stub-engine/src/main.rs
+++ b/examples/stub-engine/src/main.rs
@@ -1,7 +1,7 @@
-//! The toy as a program: `serve` is a query engine and a notice board in one, `send` a client.
+//! The toy as a program: `serve` is a query engine and a discovery service in one, `send` a client.
 
-use larchfall_stub::board::{Board, Listed, frame};
 use larchfall_stub::client::{Answer, Client};
+use larchfall_stub::discovery::{Discovery, Listed, frame};
 use larchfall_stub::engine::{Act, Engine};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 The engine takes a fifth of a second for a statement and returns its words as rows; one that begins with decline
 is turned away, one that begins with fail ends in an error.
 ";
-const FRONT: &str = "127.0.0.1:7100";
+const GATEWAY: &str = "127.0.0.1:7100";
 const ENGINE: &str = "127.0.0.1:7101";
-const BOARD: &str = "127.0.0.1:7102";
+const DISCOVERY: &str = "127.0.0.1:7102";
 /// Bytes of a page at most.
 const PAGE: usize = 6_000;
 
@@ -41,20 +41,21 @@
         }
         Act::Serve(Duration::from_millis(200), pages)
     })?;
-    let board = Board::start(BOARD)?;
-    board.say(2, frame(2, true, &[Listed { id: 1, address: engine.address, state: 0, zone: 0, kind: 0 }]));
-    println!("engine on {}, notice board on {}; Ctrl-C ends both", engine.address, board.address);
+    let discovery = Discovery::start(DISCOVERY)?;
+    discovery
+        .say(2, frame(2, true, &[Listed { id: 1, address: engine.address, state: 0, zone: 0, kind: 0 }]));
+    println!("engine on {}, notice board on {}; Ctrl-C ends both", engine.address, discovery.address);
     loop {
         std::thread::park();
     }
 }
 
-fn send(group: &str, statement: &str) -> std::io::Result<bool> {
-    let address = FRONT.parse().map_err(std::io::Error::other)?;
+fn send(class: &str, statement: &str) -> std::io::Result<bool> {
+    let address = GATEWAY.parse().map_err(std::io::Error::other)?;
     let mut client = Client::connect(address)?;
     let nanos = std::time::UNIX_EPOCH.elapsed().unwrap_or_default().as_nanos() as u64;
     let id = format!("{nanos:016x}");
-    client.send(group, &[("req", &id), ("timeout", "5000"), ("owner", "toy")], statement)?;
+    client.send(class, &[("req", &id), ("timeout", "5000"), ("owner", "toy")], statement)?;
     match client.answer()?.1 {
         Answer::Rows(rows) => {
             print!("{}", String::from_utf8_lossy(&rows));
@@ -73,7 +74,7 @@
     let words: Vec<&str> = args.iter().map(String::as_str).collect();
     let done = match words[..] {
         ["serve"] => serve().map(|()| true),
-        ["send", group, statement] => send(group, statement),
+        ["send", class, statement] => send(class, statement),
         ["help" | "-h" | "--help"] => {
             print!("{HELP}");
             return ExitCode::SUCCESS;
