--- a/crates/fault-tests/examples/holders.rs
+++ b/crates/fault-tests/examples/holders.rs
@@ -55,7 +55,7 @@
             fleet.joined();
             let (holder, token) = wait_for("a holder", || {
                 let token = vault.last("writer")?.token;
-                let line = format!("duties: holds writer, token: {token}");
+                let line = format!("lease acquired, lease: writer, token: {token}");
                 Some((fleet.up().find(|i| fleet.gateway(*i).log.last(&line).is_some())?, token))
             });
             let from = Instant::now();
@@ -93,12 +93,14 @@
     for _ in 0..10 {
         for i in fleet.up() {
             let log = &fleet.gateway(i).log;
-            let before = log.count("duties: counters");
+            let before = log.count("lease counters");
             fleet.gateway(i).signal("-USR1");
-            wait_for("the counters", || (log.count("duties: counters") > before).then_some(()));
-            let line = log.last("duties: counters").unwrap_or_default();
-            let age =
-                line.split("readings_age_ms: ").nth(1).and_then(|l| l.split(',').next()?.parse::<f64>().ok());
+            wait_for("the counters", || (log.count("lease counters") > before).then_some(()));
+            let line = log.last("lease counters").unwrap_or_default();
+            let age = line
+                .split("load_reports_age_ms: ")
+                .nth(1)
+                .and_then(|l| l.split(',').next()?.parse::<f64>().ok());
             (sum, n) = (sum + age.unwrap_or_default(), n + 1.0);
         }
         std::thread::sleep(Duration::from_millis(130));
--- a/crates/fault-tests/src/process.rs
+++ b/crates/fault-tests/src/process.rs
@@ -376,7 +376,7 @@
         let site = gateways + &(self.more)(i);
         let gateway = Gateway::start(self.program, discovery, &text, Some(&site), &(self.put)(i));
         // One that ends because its address is taken is seen here, and not as a member that nobody ever hears of.
-        gateway.log.wait_for("fronts: listening");
+        gateway.log.wait_for("listening to members");
         self.logs.push((name(called), gateway.log.clone()));
         self.gateways[i] = Some(gateway);
     }
@@ -396,8 +396,8 @@
 
     /// How this gateway's log last calls that one.
     pub fn held(&self, by: usize, of: usize) -> Option<String> {
-        let line = self.gateway(by).log.last(&format!("fronts: {} is ", name(of)))?;
-        Some(line.split(" is ").nth(1)?.split(',').next()?.to_owned())
+        let line = self.gateway(by).log.last(&format!("member changed, name: {}, state: ", name(of)))?;
+        Some(line.split(", state: ").nth(1)?.split(',').next()?.to_owned())
     }
 
     /// Waits until all that are up hold these so.
@@ -416,7 +416,7 @@
     }
 
     pub fn deaths(&self) -> usize {
-        self.up().map(|i| self.gateway(i).log.count(" is dead")).sum()
+        self.up().map(|i| self.gateway(i).log.count(", state: dead")).sum()
     }
 
     /// Lets the gateways go on until so many datagrams have passed between them.
--- a/crates/fault-tests/tests/duties.rs
+++ b/crates/fault-tests/tests/duties.rs
@@ -146,7 +146,7 @@
     fn holder(&self, duty: &str) -> (usize, u64) {
         wait_for("a holder", || {
             let token = self.vault.last(duty)?.token;
-            let line = format!("duties: holds {duty}, token: {token}");
+            let line = format!("lease acquired, lease: {duty}, token: {token}");
             let holds = |i: &usize| self.fleet.gateway(*i).log.last(&line).is_some();
             Some((self.fleet.up().find(holds)?, token))
         })
@@ -196,7 +196,7 @@
                 .fleet
                 .gateway(holder)
                 .log
-                .wait_for(&format!("duties: lost writer0, why: RanOut, token: {token}"));
+                .wait_for(&format!("lease lost, lease: writer0, token: {token}, reason: RanOut"));
         }
         tried.fleet.net.heal();
         if what != "killed" {
@@ -242,8 +242,8 @@
         // Its program has 100 ms to end, then two rounds.
         assert!(gap < LEASE, "{duty}: nobody acted for {gap:?}");
         println!("{duty}: handed on in {gap:?}");
-        let gave = tried.fleet.gateway(holder).log.wait_for(&format!("duties: gave back {duty}"));
-        assert!(gave.contains("to: n0"), "{gave}");
+        let gave = tried.fleet.gateway(holder).log.wait_for(&format!("lease released, lease: {duty},"));
+        assert!(gave.contains("successor: n0"), "{gave}");
     }
     tried.in_order();
 
@@ -366,7 +366,7 @@
         (0..4).for_each(|i| tried.fleet.begin(i));
         if damage == "spoilt" {
             wait_for("the damage to be told", || {
-                (0..3).any(|i| tried.fleet.gateway(i).log.count("duties.record is damaged") > 0).then_some(())
+                (0..3).any(|i| tried.fleet.gateway(i).log.count("duties.record, reason: ") > 0).then_some(())
             });
         }
         tried.all_act(Some(before));
@@ -446,11 +446,11 @@
     };
     let (old, new) = ("[\"n00\", \"n01\", \"n02\"]", "[\"n02\", \"n03\", \"n04\"]");
     reload(&format!("electors = {new}"), 1);
-    tried.fleet.gateway(1).log.wait_for("duties: not taken: electors");
+    tried.fleet.gateway(1).log.wait_for("lease settings rejected, reason: electors");
     let read = |times: usize| {
         wait_for("all to have read it", || {
             let more = |i| usize::from(i == 1) + usize::from(i == 4 && times == 2);
-            let read = |i| tried.fleet.gateway(i).log.count("configuration read again") >= times + more(i);
+            let read = |i| tried.fleet.gateway(i).log.count("configuration reloaded") >= times + more(i);
             (0..5).all(read).then_some(())
         });
         tried.all_act(None);
@@ -460,12 +460,14 @@
     // The new electors are silent at first, and nobody may go on before all have read it.
     let changed = Instant::now();
     reload(&format!("electors = {new}"), 4);
-    tried.fleet.gateway(4).log.wait_for("duties: not taken: electors: were changed just now");
+    tried.fleet.gateway(4).log.wait_for("lease settings rejected, reason: electors: were changed just now");
     wait_for("three longest leases", || (changed.elapsed() > Duration::from_millis(4_600)).then_some(()));
     tried.all_act(None);
     (0..5).for_each(|i| reload(&format!("electors = {new}"), i));
     read(2);
-    assert!((0..4).all(|i| tried.fleet.gateway(i).log.count("duties: not taken") == usize::from(i == 1)));
+    assert!(
+        (0..4).all(|i| tried.fleet.gateway(i).log.count("lease settings rejected") == usize::from(i == 1))
+    );
     // Two of the old are gone for good, and nothing needs them.
     let (holder, token) = tried.holder("writer0");
     let mut tried = tried;
@@ -498,7 +500,7 @@
     fleet.gateway(holder).reload_site(&(gateways_table(&fleet.net, holder, holder, &[0, 1]) + &table));
     let gap = tried.followed("writer0", token, Instant::now());
     assert!(gap < LEASE, "nobody acted for {gap:?}");
-    fleet.gateway(holder).log.wait_for("duties: gave back writer0");
+    fleet.gateway(holder).log.wait_for("lease released, lease: writer0,");
     assert_ne!(tried.holder("writer0").0, holder);
     tried.in_order();
 }
@@ -524,7 +526,10 @@
     // One that starts with its clock a day back is the member that it was, and a later process of it.
     tried.folder.wall_is_off(holder, "-86400");
     let known = |fleet: &Fleet| {
-        let line = fleet.gateway(elector).log.last(&format!("fronts: {} is alive", name(holder)))?;
+        let line = fleet
+            .gateway(elector)
+            .log
+            .last(&format!("member changed, name: {}, state: alive", name(holder)))?;
         line.split("generation: ").nth(1)?.split(',').next()?.parse::<u64>().ok()
     };
     let before = known(&tried.fleet);
@@ -552,8 +557,8 @@
         std::thread::sleep(Duration::from_millis(700));
         gateway.signal("-CONT");
         std::thread::sleep(Duration::from_millis(30));
-        let ends = gateway.log.last("duties: ends writer0")?;
-        assert!(ends.contains("why: Unfit"), "{ends}");
+        let ends = gateway.log.last("lease ending, lease: writer0,")?;
+        assert!(ends.contains("reason: Unfit"), "{ends}");
         Some(())
     });
     tried.followed("writer0", token, Instant::now());
--- a/crates/fault-tests/tests/probing.rs
+++ b/crates/fault-tests/tests/probing.rs
@@ -14,13 +14,17 @@
 fn engines_are_asked_as_often_whatever_the_fleet_and_by_all_again_where_nobody_asks_for_them() {
     let probed = Probed::start(PROGRAM, 6, 3, TAKES, true, 91);
     let held = || {
-        probed.fleet.up().filter(|i| probed.fleet.gateway(*i).log.count("duties: holds probing:") > 0).count()
+        probed
+            .fleet
+            .up()
+            .filter(|i| probed.fleet.gateway(*i).log.count("lease acquired, lease: probing:") > 0)
+            .count()
     };
     wait_for("both duties to be held", || (held() > 0).then_some(()));
     let told = |i: usize| {
         probed.fleet.gateway(i).signal("-USR1");
-        let line = probed.fleet.gateway(i).log.last("duties: counters")?;
-        line.split("readings: ").nth(1)?.split(',').next()?.parse::<u64>().ok().filter(|n| *n > 0)
+        let line = probed.fleet.gateway(i).log.last("lease counters")?;
+        line.split("load_reports: ").nth(1)?.split(',').next()?.parse::<u64>().ok().filter(|n| *n > 0)
     };
     wait_for("others to be told", || (0..6).filter(|i| told(*i).is_some()).count().ge(&5).then_some(()));
     let shown = probed.load(PACE, GOAL, DURATION);
@@ -32,8 +36,8 @@
     let mut probed = probed;
     (0..3).for_each(|i| probed.fleet.gateways[i] = None);
     wait_for("leases to end", || {
-        let last = |i: usize| probed.fleet.gateway(i).log.count("duties: lost probing:");
-        let holds = |i: usize| probed.fleet.gateway(i).log.count("duties: holds probing:");
+        let last = |i: usize| probed.fleet.gateway(i).log.count("lease lost, lease: probing:");
+        let holds = |i: usize| probed.fleet.gateway(i).log.count("lease acquired, lease: probing:");
         (3..6).all(|i| last(i) >= holds(i)).then_some(())
     });
     let alone = probed.load(PACE, GOAL, DURATION);
--- a/crates/fault-tests/tests/shares.rs
+++ b/crates/fault-tests/tests/shares.rs
@@ -47,13 +47,13 @@
 /// The part of a capacity that this gateway says it may use, and how many were handed out to it.
 fn part(fleet: &Fleet, i: usize, what: &str) -> (f64, usize) {
     let log = &fleet.gateway(i).log;
-    let before = log.count("duties: shares");
+    let before = log.count("quotas, granted");
     fleet.gateway(i).signal("-USR1");
-    wait_for("a line of shares", || (log.count("duties: shares") > before).then_some(()));
-    let line = log.last("duties: shares").unwrap();
+    wait_for("a line of shares", || (log.count("quotas, granted") > before).then_some(()));
+    let line = log.last("quotas, granted").unwrap();
     let after = |word: &str| line.split(word).nth(1).map(|p| p.split([',', ' ']).next().unwrap());
     let part = after(&format!("{what}:")).map_or(0.0, |p| p.parse().unwrap());
-    (part, after("has: ").unwrap().parse().unwrap())
+    (part, after("granted: ").unwrap().parse().unwrap())
 }
 
 /// All parts, looked at within a window of the engine's: together they are within the whole. And how many were handed out.
@@ -75,8 +75,9 @@
 
 fn keeper(fleet: &Fleet) -> usize {
     wait_for("a keeper", || {
-        let count = |i: usize, what: &str| fleet.gateway(i).log.count(&format!("duties: {what} keeper:0"));
-        fleet.up().find(|i| count(*i, "holds") > count(*i, "lost") + count(*i, "gave back"))
+        let count =
+            |i: usize, what: &str| fleet.gateway(i).log.count(&format!("lease {what}, lease: keeper:0,"));
+        fleet.up().find(|i| count(*i, "acquired") > count(*i, "lost") + count(*i, "released"))
     })
 }
 
@@ -134,7 +135,7 @@
     }
     let kept = keeper(&fleet);
     let log = &fleet.gateway(kept).log;
-    assert!(log.count("duties: handed out") > 0, "it says how fairly it hands out");
+    assert!(log.count("quota allocation") > 0, "it says how fairly it hands out");
     fleet.gateway(kept).stop();
     let others: Vec<usize> = (0..GATEWAYS).filter(|i| *i != kept).collect();
     let even = 1.0 / GATEWAYS as f64;
--- a/crates/fault-tests/tests/signals.rs
+++ b/crates/fault-tests/tests/signals.rs
@@ -52,17 +52,19 @@
         assert_eq!(ledger.wrong, 0, "seed {}: {ledger:?}", self.fleet.seed);
     }
 
-    fn count(&self, i: usize, words: &str) -> usize {
-        self.fleet.gateway(i).log.count(words)
+    /// How many lines of a gateway's log hold all of these words.
+    fn count(&self, i: usize, words: &[&str]) -> usize {
+        let lines = self.fleet.gateway(i).log.lines();
+        lines.iter().filter(|(_, line)| words.iter().all(|word| line.contains(word))).count()
     }
 
     /// Counts of one gateway as it logs them.
     fn counter(&self, i: usize, name: &str) -> usize {
         let log = &self.fleet.gateway(i).log;
-        let before = log.count("signals: counters");
+        let before = log.count("health gossip counters");
         self.fleet.gateway(i).signal("-USR1");
-        wait_for("the counters", || (log.count("signals: counters") > before).then_some(()));
-        let line = log.last("signals: counters").unwrap();
+        wait_for("the counters", || (log.count("health gossip counters") > before).then_some(()));
+        let line = log.last("health gossip counters").unwrap();
         line.split(&format!("{name}: ")).nth(1).unwrap().split(',').next().unwrap().parse().unwrap()
     }
 }
@@ -77,19 +79,19 @@
     tried.fails[2].store(true, Ordering::Relaxed);
     wait_for("the idle to leave it out", || {
         tried.load(&[0, 1, 2, 3], Duration::from_millis(200));
-        [4, 5].iter().all(|i| tried.count(*i, "failing: told") > 0).then_some(())
+        [4, 5].iter().all(|i| tried.count(*i, &["engine ejected", "evidence: gossip"]) > 0).then_some(())
     });
-    let told = |i: usize| tried.fleet.gateway(i).log.last("failing: told").unwrap();
-    assert!([4, 5].iter().all(|i| told(*i).contains("engine 2 ")), "{}", told(4));
+    let told = |i: usize| tried.fleet.gateway(i).log.last("evidence: gossip").unwrap();
+    assert!([4, 5].iter().all(|i| told(*i).contains("engine ejected, engine: 2,")), "{}", told(4));
     // They do without it: no request of theirs meets it.
-    let before = tried.count(4, "engine 2 failing: outcomes");
+    let before = tried.count(4, &["engine ejected, engine: 2, evidence: outcomes"]);
     tried.load(&[4, 5], Duration::from_millis(300));
-    assert_eq!(tried.count(4, "engine 2 failing: outcomes"), before);
+    assert_eq!(tried.count(4, &["engine ejected, engine: 2, evidence: outcomes"]), before);
     // Back again: whoever tries it finds out, and tells.
     tried.fails[2].store(false, Ordering::Relaxed);
     wait_for("all to have it back", || {
         tried.load(&[0, 1, 2, 3, 4, 5], Duration::from_millis(200));
-        (0..GATEWAYS).all(|i| tried.count(i, "engine 2 sound again") > 0).then_some(())
+        (0..GATEWAYS).all(|i| tried.count(i, &["engine restored, engine: 2,"]) > 0).then_some(())
     });
 }
 
@@ -101,22 +103,24 @@
     tried.relays.set(|f, e| (f, e) == (0, 1) || f == 1, Way::Cut);
     wait_for("both to find it out", || {
         tried.load(&[0, 1], Duration::from_millis(200));
-        (tried.count(0, "engine 1 failing") > 0 && tried.count(1, " failing: outcomes") > 1).then_some(())
+        (tried.count(0, &["engine ejected, engine: 1,"]) > 0
+            && tried.count(1, &["engine ejected", "evidence: outcomes"]) > 1)
+            .then_some(())
     });
-    let heard = tried.counter(4, "heard");
+    let heard = tried.counter(4, "received");
     wait_for("their letters to come", || {
         tried.load(&[0, 1], Duration::from_millis(300));
-        (tried.counter(4, "heard") > heard + 40).then_some(())
+        (tried.counter(4, "received") > heard + 40).then_some(())
     });
     for i in 2..GATEWAYS {
         assert_eq!(
-            tried.count(i, " failing: "),
+            tried.count(i, &["engine ejected, "]),
             0,
             "front {i}: {:?}",
-            tried.fleet.gateway(i).log.last(" failing: ")
+            tried.fleet.gateway(i).log.last("engine ejected, ")
         );
     }
-    assert_eq!(tried.counter(4, "passed_over"), 0);
+    assert_eq!(tried.counter(4, "ignored"), 0);
 }
 
 const TURN: Duration = Duration::from_millis(1_500);
@@ -127,7 +131,7 @@
         self.fails[e].store(true, Ordering::Relaxed);
         wait_for("all to leave it out", || {
             self.load(on, Duration::from_millis(200));
-            on.iter().all(|i| self.count(*i, &format!("engine {e} failing")) > 0).then_some(())
+            on.iter().all(|i| self.count(*i, &[&format!("engine ejected, engine: {e},")]) > 0).then_some(())
         });
     }
 
@@ -143,8 +147,8 @@
         wait_for("all to have it back", || {
             self.load(on, Duration::from_millis(200));
             let back = |i: &usize| {
-                let lines = self.fleet.gateway(*i).log.last(&format!("engine {e} "));
-                lines.is_some_and(|line| line.contains("sound again"))
+                let lines = self.fleet.gateway(*i).log.last(&format!(", engine: {e}, evidence"));
+                lines.is_some_and(|line| line.contains("engine restored"))
             };
             on.iter().all(back).then_some(())
         });
--- a/crates/fault-tests/tests/subsets.rs
+++ b/crates/fault-tests/tests/subsets.rs
@@ -41,14 +41,14 @@
 
     /// How many engines this gateway last said that it uses, and of how many.
     fn uses(&self, i: usize) -> Option<(usize, usize)> {
-        let line = self.fleet.gateway(i).log.last("subset: ")?;
-        let words: Vec<&str> = line.split("subset: ").nth(1)?.split(' ').collect();
-        Some((words[0].parse().ok()?, words[2].parse().ok()?))
+        let line = self.fleet.gateway(i).log.last("subset changed")?;
+        let field = |name: &str| line.split(name).nth(1)?.split(',').next()?.parse().ok();
+        Some((field("used: ")?, field("engines: ")?))
     }
 
     /// Which engines those are, by their places here.
     fn ids(&self, i: usize) -> Vec<usize> {
-        let line = self.fleet.gateway(i).log.last("subset: ").unwrap();
+        let line = self.fleet.gateway(i).log.last("subset changed").unwrap();
         let ids = line.split("ids: ").nth(1).unwrap().split(',').next().unwrap();
         ids.split(' ').map(|id| usize::from_str_radix(id, 16).unwrap() - 1).collect()
     }
--- a/crates/gateway/src/cluster/duties.rs
+++ b/crates/gateway/src/cluster/duties.rs
@@ -116,11 +116,11 @@
         let mut disk = site.record.as_ref().map(|folder| (parts.disk)(folder));
         let found = disk.as_mut().map(|disk| find(disk.as_mut())).unwrap_or_default();
         for (file, why) in &found.damaged {
-            warn!(state.log, "duties: {} is damaged", file; "why" => why);
+            warn!(state.log, "voter record damaged"; "reason" => why, "file" => file);
         }
         if is_elector {
             let version = found.record.as_ref().map_or(0, |r| r.version);
-            info!(state.log, "duties: elector"; "record" => version, "remembers" => disk.is_some());
+            info!(state.log, "voter started"; "persistent" => disk.is_some(), "record_version" => version);
         }
         let settings = site.settings;
         let shared = Shared { kinds: site.keepers.map_or(Kinds::default(), |k| k.kinds), ..shared };
@@ -180,7 +180,7 @@
                 *lock(&self.lines) = site.lines;
                 self.take(state, gateways, out);
             }
-            Err(why) => warn!(state.log, "duties: not taken: {}", why),
+            Err(why) => warn!(state.log, "lease settings rejected"; "reason" => why.to_string()),
         }
     }
 
@@ -304,7 +304,7 @@
 
     fn look_after_programs(&self, state: &State, gateways: &Gateways) {
         for ended in self.programs.take_ended(self.now()) {
-            info!(state.log, "duties: program of {} ended", ended.duty; "token" => ended.token, "how" => ended.how);
+            info!(state.log, "supervised program exited"; "status" => ended.how, "token" => ended.token, "lease" => &ended.duty);
             let out = lock(&self.leases).stopped(&ended.duty, self.now());
             self.take(state, gateways, out);
         }
@@ -393,10 +393,12 @@
         self.soon.fetch_or(!out.changes.is_empty(), Ordering::Relaxed);
         for Change { duty, what } in out.changes {
             match what {
-                What::Holds { token } => info!(state.log, "duties: holds {}", duty; "token" => token),
+                What::Holds { token } => {
+                    info!(state.log, "lease acquired"; "token" => token, "lease" => duty)
+                }
                 What::Ends { token, why, to } => {
-                    info!(state.log, "duties: ends {}", duty; "token" => token, "why" => format!("{why:?}"),
-                        "to" => to.unwrap_or_default());
+                    info!(state.log, "lease ending"; "successor" => to.unwrap_or_default(),
+                        "reason" => format!("{why:?}"), "token" => token, "lease" => &duty);
                     self.programs.end(&duty);
                     if !self.programs.runs(&duty) {
                         let out = lock(&self.leases).stopped(&duty, self.now());
@@ -404,12 +406,12 @@
                     }
                 }
                 What::Lost { token, why } => {
-                    warn!(state.log, "duties: lost {}", duty; "token" => token, "why" => format!("{why:?}"));
+                    warn!(state.log, "lease lost"; "reason" => format!("{why:?}"), "token" => token, "lease" => &duty);
                     self.programs.end(&duty);
                 }
                 What::GivenBack { token, to } => {
                     let to = to.unwrap_or_default();
-                    info!(state.log, "duties: gave back {}", duty; "token" => token, "to" => to);
+                    info!(state.log, "lease released"; "successor" => to, "token" => token, "lease" => duty);
                 }
             }
         }
@@ -452,7 +454,7 @@
             taken.map(|readings| readings.into_iter().copied().collect())
         };
         match taken {
-            None => warn!(state.log, "duties: refused readings of {}", told.duty; "token" => told.token),
+            None => warn!(state.log, "load reports rejected"; "token" => told.token, "lease" => &told.duty),
             Some(readings) => {
                 for reading in readings {
                     one(&self.counters.readings);
@@ -468,7 +470,7 @@
         one(&self.counters.records);
         if let Err(e) = &kept {
             one(&self.counters.records_failed);
-            warn!(state.log, "duties: record not kept: {}", e);
+            warn!(state.log, "voter record not written"; "error" => e.to_string());
         }
         let out = lock(&self.leases).written(kept.is_ok(), self.now());
         self.take(state, gateways, out);
@@ -541,24 +543,24 @@
             let probing = lock(probing);
             (probing.refused(), probing.ages(ids, state.clock.now()))
         });
-        info!(state.log, "duties: counters"; "heard" => n(&c.heard), "sent" => n(&c.sent), "unknown" => n(&c.unknown),
-            "spoilt" => n(&c.spoilt), "records" => n(&c.records), "records_failed" => n(&c.records_failed),
-            "readings" => n(&c.readings), "refused" => refused, "shares" => n(&c.shares),
-            "readings_age_ms" => age.micros() / 1000, "unread" => unread);
+        info!(state.log, "lease counters"; "received" => n(&c.heard), "sent" => n(&c.sent), "unknown" => n(&c.unknown),
+            "corrupt" => n(&c.spoilt), "records_written" => n(&c.records), "records_failed" => n(&c.records_failed),
+            "load_reports" => n(&c.readings), "load_reports_rejected" => refused, "quota_messages" => n(&c.shares),
+            "load_reports_age_ms" => age.micros() / 1000, "engines_without_report" => unread);
         if let Some(shares) = &self.shares {
             let (now, shares) = (self.now(), lock(shares));
             let (has, keeps) = (shares.parts(now).filter(|(.., has)| *has).count(), shares.kept(now).count());
             let parts: Vec<String> =
                 shares.parts(now).map(|(key, part, _)| format!("{}:{part:.4}", self.word(key))).collect();
-            info!(state.log, "duties: shares"; "has" => has, "keeps" => keeps, "parts" => parts.join(" "));
+            info!(state.log, "quotas"; "fractions" => parts.join(" "), "allocated" => keeps, "granted" => has);
             for (key, fair) in shares.kept(now) {
-                info!(state.log, "duties: handed out"; "what" => self.word(key), "fronts" => fair.gateways,
+                info!(state.log, "quota allocation"; "capacity" => self.word(key), "gateways" => fair.gateways,
                     "in_use" => fair.in_use, "jain" => fair.jain, "factor" => fair.factor.unwrap_or(f64::INFINITY));
             }
         }
         for row in self.rows() {
-            info!(state.log, "duties: duty"; "name" => &row[0], "holder" => &row[1], "token" => &row[2],
-                "left_ms" => &row[3], "last" => &row[4]);
+            info!(state.log, "lease"; "name" => &row[0], "holder" => &row[1], "token" => &row[2],
+                "remaining_ms" => &row[3], "last_change" => &row[4]);
         }
     }
 }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -108,7 +108,7 @@
         match (&self.duties, duties) {
             (Some(duties), Some(site)) => duties.set(state, self, site),
             (Some(_), None) | (None, Some(_)) => {
-                warn!(state.log, "duties: a [duties] table comes and goes with the next start only");
+                warn!(state.log, "lease settings are added or removed with the next start only");
             }
             (None, None) => {}
         }
@@ -128,9 +128,9 @@
     pub fn log(&self, state: &State) {
         let (now, c) = (state.clock.now(), &self.counters);
         let n = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        info!(state.log, "fronts: counters"; "heard" => n(&c.heard), "sent" => n(&c.sent), "unsent" => n(&c.unsent),
-            "other_version" => n(&c.other_version), "other_cluster" => n(&c.other_cluster), "spoilt" => n(&c.spoilt),
-            "strangers" => n(&c.strangers), "over_budget" => n(&c.over_budget));
+        info!(state.log, "membership counters"; "received" => n(&c.heard), "sent" => n(&c.sent), "unsent" => n(&c.unsent),
+            "other_version" => n(&c.other_version), "other_cluster" => n(&c.other_cluster), "corrupt" => n(&c.spoilt),
+            "unknown_senders" => n(&c.strangers), "over_budget" => n(&c.over_budget));
         let (table, health, version) = {
             let members = lock(&self.members);
             (members.table().clone(), members.health().score(), members.version())
@@ -141,10 +141,10 @@
         if let Some(signals) = &self.signals {
             signals.log(state);
         }
-        info!(state.log, "fronts: table"; "known" => table.len(), "version" => version, "own_health" => health);
+        info!(state.log, "membership"; "known" => table.len(), "version" => version, "own_health" => health);
         for (name, member) in &table {
             let heard = member.heard.map_or(-1.0, |at| now.since(at).secs());
-            info!(state.log, "fronts: member"; "name" => name, "standing" => word(member.claim.standing),
+            info!(state.log, "member"; "name" => name, "state" => word(member.claim.standing),
                 "generation" => member.claim.generation, "incarnation" => member.claim.incarnation,
                 "address" => member.about.address.to_string(), "zone" => &member.about.zone,
                 "since_s" => now.since(member.since).secs(), "heard_s_ago" => heard);
@@ -158,7 +158,7 @@
         let counted = lock(count).see(fleet, now);
         if counted != before {
             state.facade.count(counted);
-            info!(state.log, "fronts: counted {}", counted; "live" => fleet.live, "silent" => fleet.silent);
+            info!(state.log, "gateways counted"; "silent" => fleet.silent, "alive" => fleet.live, "count" => counted);
         }
         counted
     }
@@ -167,8 +167,9 @@
     fn take(&self, state: &State, out: Out) {
         for change in out.changes {
             let from = change.from.map_or("unknown", word);
-            info!(state.log, "fronts: {} is {}", change.name, word(change.to); "was" => from,
-                "reason" => format!("{:?}", change.reason), "generation" => change.generation);
+            info!(state.log, "member changed"; "generation" => change.generation,
+                "reason" => format!("{:?}", change.reason), "was" => from, "state" => word(change.to),
+                "name" => change.name);
         }
         for (to, letter) in out.letters {
             // Straight to the socket: a full buffer loses a datagram, as the net may, and holds nobody up.
--- a/crates/gateway/src/cluster/signals.rs
+++ b/crates/gateway/src/cluster/signals.rs
@@ -145,7 +145,7 @@
 
     pub fn log(&self, state: &State) {
         let n = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        info!(state.log, "signals: counters"; "sent" => n(&self.sent), "heard" => n(&self.heard),
-            "passed_over" => n(&self.passed_over), "counted" => n(&self.counted));
+        info!(state.log, "health gossip counters"; "sent" => n(&self.sent), "received" => n(&self.heard),
+            "ignored" => n(&self.passed_over), "counted" => n(&self.counted));
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -30,7 +30,7 @@
     while state.is_current_discovery(era) {
         let mut frames = 0;
         let reason = listen(state, address, era, &mut frames);
-        info!(state.log, "notice board connection ended"; "reason" => reason, "frames" => frames);
+        info!(state.log, "discovery connection ended"; "reason" => reason, "frames" => frames);
         pause = if frames > 0 { FIRST_PAUSE } else { (pause * 2.0).min(LONGEST_PAUSE) };
         state.sleep(pause * (0.5 + 0.5 * chance.generate::<f64>()));
     }
@@ -72,7 +72,7 @@
                 }
                 Ok(None) => break,
                 Err(why) => {
-                    warn!(state.log, "notice board: {}", why);
+                    warn!(state.log, "discovery event rejected"; "reason" => why.to_string());
                     return "malformed";
                 }
             }
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -261,7 +261,7 @@
     pub(super) fn end(&self, last: LastObservation, outcome: Outcome) -> Ended {
         let seen = AttemptEvidence { last, same_process: self.same_process.get() };
         if self.task.in_order && !proves_over(seen) {
-            info!(self.state.log, "end not seen: {:?}", last; "id" => &self.task.id, "dispatch" => self.number,
+            info!(self.state.log, "end of attempt not observed"; "last" => format!("{last:?}"), "id" => &self.task.id, "attempt" => self.number,
                 "engine" => self.to.engine, "address" => self.home.address.to_string());
         }
         Ended { outcome, report: LoadReport::default(), seen, torn: false, unsettled: false }
--- a/crates/gateway/src/engines/result.rs
+++ b/crates/gateway/src/engines/result.rs
@@ -24,7 +24,7 @@
         let report = first.report;
         let pages = first.pages.unwrap_or(1);
         if pages > MOST_PAGES {
-            warn!(self.state.log, "result of {} pages is passed over", pages);
+            warn!(self.state.log, "result ignored"; "pages" => pages);
             return self.lose(link, Outcome::Errored, report);
         }
         link = self.keep(link, first.closes);
@@ -38,7 +38,7 @@
                 None => {
                     let late = self.state.clock.now() >= self.until();
                     let outcome = if late { Outcome::TimedOut } else { Outcome::Errored };
-                    warn!(self.state.log, "page lost"; "id" => &self.task.id, "page" => number, "late" => late);
+                    warn!(self.state.log, "result page lost"; "id" => &self.task.id, "page" => number, "late" => late);
                     return self.lose(link, outcome, report);
                 }
             }
--- a/crates/gateway/src/protocols/rest.rs
+++ b/crates/gateway/src/protocols/rest.rs
@@ -91,7 +91,7 @@
                 may::coroutine::yield_now();
             }
             Err(e) => {
-                warn!(state.log, "accept: {}", e);
+                warn!(state.log, "accept failed"; "error" => e.to_string());
                 state.sleep(PAUSE);
             }
         }
@@ -112,7 +112,7 @@
     let _ = stream.set_nodelay(true);
     let reason = converse(state, service, &mut stream);
     drop(stream);
-    info!(state.log, "rest connection ended";
+    info!(state.log, "paged REST connection ended";
         "from" => from.to_string(), "reason" => reason.code(), "detail" => reason.detail());
 }
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -89,7 +89,7 @@
         let now = state.clock.now();
         if now > task.limit {
             warn!(state.log, "answered late"; "id" => &task.id, "late_ms" => now.since(task.limit).micros() / 1000,
-                "group" => &state.names.classes[task.class], "with" => end.word());
+                "class" => &state.names.classes[task.class], "answer" => end.word());
         }
         state.counters.ended(task.class, end);
     }
--- a/crates/gateway/src/run/log.rs
+++ b/crates/gateway/src/run/log.rs
@@ -14,5 +14,5 @@
         .chan_size(LINES)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    (Logger::root(drain.fuse(), o!("front" => name.to_owned())), guard)
+    (Logger::root(drain.fuse(), o!("gateway" => name.to_owned())), guard)
 }
--- a/crates/gateway/src/run/reload.rs
+++ b/crates/gateway/src/run/reload.rs
@@ -55,7 +55,7 @@
             for event in &config.known {
                 discovery::take(state, event);
             }
-            info!(state.log, "configuration read again"; "board" => config.discovery.to_string());
+            info!(state.log, "configuration reloaded"; "discovery" => config.discovery.to_string());
             // A follower of its own, at once: the old discovery service may stay silent and hold its connection open.
             let era = state.next_discovery();
             let state = state.clone();
@@ -83,7 +83,9 @@
         });
         match read {
             Ok(read) => return Some(read),
-            Err(why) => warn!(state.log, "configuration not taken: {}", why; "attempt" => attempt),
+            Err(why) => {
+                warn!(state.log, "configuration rejected"; "try" => attempt, "reason" => why.to_string())
+            }
         }
         state.sleep(PAUSE);
     }
--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -111,10 +111,10 @@
     }
     let looks = timer::Looks::open().map_err(|e| (1, format!("a pair of sockets: {e}")))?;
     let mut signals = stop::Signals::listen(caught).map_err(|e| (1, format!("signals: {e}")))?;
-    info!(state.log, "listening"; "clients" => state.limits.clients, "engine_links" => state.limits.engine_links,
-        "batches" => state.limits.requests, "address" => listener.local_addr().unwrap_or(address.into()).to_string());
+    info!(state.log, "listening"; "clients" => state.limits.clients, "engine_connections" => state.limits.engine_links,
+        "requests" => state.limits.requests, "address" => listener.local_addr().unwrap_or(address.into()).to_string());
     if let Some((_, listener, site)) = &rest {
-        info!(state.log, "listening for rest"; "connections" => site.connections, "results" => site.caps.results,
+        info!(state.log, "listening for paged REST"; "connections" => site.connections, "results" => site.caps.results,
             "address" => listener.local_addr().unwrap_or(site.listen.into()).to_string());
     }
     let (gateways, keeper) = match gateways {
@@ -197,7 +197,7 @@
     let signals = signals.map(|site| Signals::new(state, site, seed, now));
     let opened = Gateways::open(site.address, members, (cluster, me.name.clone()), count, duties, signals);
     let gateways = opened.map_err(|e| (2, format!("fronts.address: {}: {e}", site.address)))?;
-    info!(state.log, "fronts: listening"; "name" => &me.name, "address" => gateways.address().to_string());
+    info!(state.log, "listening to members"; "name" => &me.name, "address" => gateways.address().to_string());
     Ok((gateways, keeper))
 }
 
@@ -286,7 +286,7 @@
                 may::coroutine::yield_now();
             }
             Err(e) => {
-                warn!(state.log, "accept: {}", e);
+                warn!(state.log, "accept failed"; "error" => e.to_string());
                 state.sleep(PAUSE);
             }
         }
--- a/crates/gateway/src/run/stop.rs
+++ b/crates/gateway/src/run/stop.rs
@@ -86,7 +86,7 @@
     let longest = state.class_limits.iter().max().copied().unwrap_or_default().min(LONGEST_WAIT);
     let ends = told + (longest + KILL_AFTER).saturating_sub(LAST_ANSWERS);
     state.end_at(ends);
-    info!(state.log, "told to stop"; "in_hand" => state.facade.in_hand(), "clients" => state.peers.len());
+    info!(state.log, "shutdown requested"; "in_flight" => state.facade.in_hand(), "clients" => state.peers.len());
     let killed = ends + LAST_ANSWERS;
     loop {
         state.sleep(LOOK);
@@ -99,7 +99,7 @@
             break;
         }
     }
-    info!(state.log, "ended"; "in_hand" => state.facade.in_hand(), "clients" => state.peers.len());
+    info!(state.log, "shutdown complete"; "in_flight" => state.facade.in_hand(), "clients" => state.peers.len());
     // Each connection that is still open leaves its own line.
     state.done.store(true, Ordering::Relaxed);
     state.peers.wake_quiet(state.clock.now(), state.clock.now());
--- a/crates/gateway/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -50,8 +50,8 @@
     (Outcome::TimedOut, "timed_out"),
     (Outcome::ConnectFailed, "connect_failed"),
     (Outcome::Reset, "reset"),
-    (Outcome::Cancelled, "called_off"),
-    (Outcome::Moot, "moot"),
+    (Outcome::Cancelled, "cancelled"),
+    (Outcome::Moot, "not_sent"),
 ];
 
 impl Counters {
@@ -94,22 +94,22 @@
             .zip(names)
             .map(|(g, name)| {
                 let outcomes: Vec<String> =
-                    OUTCOMES.iter().zip(g.outcomes).map(|((_, word), n)| format!("{word}={n}")).collect();
+                    OUTCOMES.iter().zip(g.outcomes).map(|((_, word), n)| format!("attempts_{word}: {n}")).collect();
                 format!(
-                    "group={name} taken={} returned={} pushed_back={} errored={} left={} dispatches={} | outcomes {}",
+                    "request class counters, class: {name}, admitted: {}, returned: {}, rejected: {}, errored: {}, disconnected: {}, attempts: {}, {}",
                     g.taken,
                     g.returned,
                     g.pushed_back,
                     g.errored,
                     g.left,
                     g.attempts,
-                    outcomes.join(" ")
+                    outcomes.join(", ")
                 )
             })
             .collect();
         let r = lock(&self.rest);
         lines.push(format!(
-            "connections={} unusable={} over_limits={} pings={} probes={} board_events={} results_read={} results_left={} most_in_hand={} most_clients={} most_links={} most_lag_ms={}",
+            "gateway counters, connections: {}, unusable: {}, over_limits: {}, pings: {}, load_probes: {}, discovery_events: {}, results_read: {}, results_abandoned: {}, most_in_flight: {}, most_clients: {}, most_engine_connections: {}, most_lag_ms: {}",
             r.connections, r.unusable,
             r.over_limits, r.pings, r.probes, r.discovery_events, r.results_read, r.results_left, r.most_in_hand, r.most_clients, r.most_links,
             r.most_lag_ms
--- a/crates/gateway/src/state/facade.rs
+++ b/crates/gateway/src/state/facade.rs
@@ -165,7 +165,7 @@
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         if let Some(e) = inner.engines.of_process(process) {
-            inner.policy.outcome(self.clock.now(), e, bad, "told");
+            inner.policy.outcome(self.clock.now(), e, bad, "gossip");
         }
     }
 
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -113,7 +113,7 @@
 
     pub fn log_counters(&self) {
         for line in self.counters.lines(&self.names.classes) {
-            info!(self.log, "counters: {}", line);
+            info!(self.log, "{}", line);
         }
     }
 
--- a/crates/gateway/src/subset.rs
+++ b/crates/gateway/src/subset.rs
@@ -81,9 +81,10 @@
         let now_used = aperture.used(&made.plan, me, &made.engines);
         if now_used != used {
             let ids: Vec<String> = now_used.iter().take(NAMED).map(|id| format!("{id:08x}")).collect();
-            info!(state.log, "subset: {} of {} engines", now_used.len(), made.engines.len(); "ids" => ids.join(" "),
-                "beyond" => aperture.beyond(), "fronts" => made.gateways.len(),
-                "new" => now_used.difference(&used).count(), "left" => used.difference(&now_used).count());
+            info!(state.log, "subset changed"; "added" => now_used.difference(&used).count(),
+                "removed" => used.difference(&now_used).count(), "gateways" => made.gateways.len(),
+                "beyond_assignment" => aperture.beyond(), "ids" => ids.join(" "),
+                "engines" => made.engines.len(), "used" => now_used.len());
             used = now_used;
         }
         let parts = used.iter().filter_map(|id| Some((*id, made.plan.part(*id)?))).collect();
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -22,7 +22,7 @@
         let next_due = state.alarms.ring(&blocker);
         let now = state.clock.now();
         if state.stalls.beat(now) {
-            warn!(state.log, "this front stood still");
+            warn!(state.log, "process stall detected");
         }
         if now >= next_tick {
             tick(state);
@@ -69,7 +69,7 @@
         may::go!(move || attempt::probe(&state, e));
     }
     for line in state.facade.log_lines() {
-        info!(state.log, "module: {}", line);
+        info!(state.log, "{}", line);
     }
     let now = state.clock.now();
     state.pool.drop_stale(now);
--- a/crates/gateway/tests/gateway/cluster.rs
+++ b/crates/gateway/tests/gateway/cluster.rs
@@ -16,11 +16,11 @@
     fleet.joined();
     // Told to stop, it says so itself: nobody has to find it silent.
     fleet.gateway(3).signal("-TERM");
-    fleet.gateway(3).log.wait_for("ended");
+    fleet.gateway(3).log.wait_for("shutdown complete");
     fleet.gateways[3] = None;
     fleet.wait_until_held(&[3], "left");
     for by in fleet.up() {
-        assert_eq!(fleet.gateway(by).log.count("n03 is dead"), 0, "{} found it silent", name(by));
+        assert_eq!(fleet.gateway(by).log.count("name: n03, state: dead"), 0, "{} found it silent", name(by));
     }
 }
 
@@ -33,7 +33,7 @@
     wait_for("five periods", || (from.elapsed() > PERIOD * 5).then_some(()));
     fleet.gateway(2).signal("-CONT");
     fleet.until_passed(400);
-    assert_eq!(fleet.gateway(2).log.count(" is dead"), 0, "it held others for dead");
+    assert_eq!(fleet.gateway(2).log.count(", state: dead"), 0, "it held others for dead");
     fleet.joined();
 }
 
@@ -51,7 +51,7 @@
         });
         // A file read again in the middle of it changes seeds, and keeps who is known.
         fleet.gateway(0).reload_site(&gateways_table(&fleet.net, 0, 0, &[1, 3]));
-        fleet.gateway(0).log.wait_for("configuration read again");
+        fleet.gateway(0).log.wait_for("configuration reloaded");
         fleet.net.heal();
         fleet.joined();
     }
@@ -64,7 +64,7 @@
     let mut fleet = Fleet::start(PROGRAM, 6, 21);
     fleet.joined();
     let counted = |fleet: &Fleet, by: usize| {
-        let line = fleet.gateway(by).log.last("fronts: counted ")?;
+        let line = fleet.gateway(by).log.last("gateways counted, count: ")?;
         line.split("counted ").nth(1)?.split(',').next()?.parse::<usize>().ok()
     };
     wait_for("all six to count", || (0..6).all(|i| counted(&fleet, i) == Some(6)).then_some(()));
@@ -135,7 +135,7 @@
     let mut fleet = Fleet::start(PROGRAM, 6, 20);
     fleet.joined();
     let generation = |fleet: &Fleet, by: usize| {
-        let line = fleet.gateway(by).log.last("fronts: n04 is alive")?;
+        let line = fleet.gateway(by).log.last("member changed, name: n04, state: alive")?;
         line.split("generation: ").nth(1)?.split(',').next()?.parse::<u64>().ok()
     };
     let before = generation(&fleet, 0).unwrap();
@@ -181,9 +181,9 @@
     let before = fleet.net.passed();
     wait_for("the others to go on", || (fleet.net.passed() > before + 100).then_some(()));
     fleet.gateway(1).signal("-USR1");
-    let counters = fleet.gateway(1).log.wait_for("fronts: counters");
-    let spoilt: u64 = counters.split("spoilt: ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+    let counters = fleet.gateway(1).log.wait_for("membership counters");
+    let spoilt: u64 = counters.split("corrupt: ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
     assert!(spoilt > 0, "{counters}");
-    fleet.gateway(1).log.wait_for("fronts: member");
+    fleet.gateway(1).log.wait_for("member, ");
     fleet.joined();
 }
--- a/crates/gateway/tests/gateway/common.rs
+++ b/crates/gateway/tests/gateway/common.rs
@@ -51,7 +51,7 @@
     /// With the operator's own settings beside the configuration, and the paged protocol among them.
     pub fn start_site(discovery: Discovery, text: &str, site: Option<&str>) -> Gateway {
         let mut gateway = process::Gateway::start(PROGRAM, discovery, text, site, &[]);
-        gateway.rest = site.map(|_| process::address_in(&gateway.log.wait_for("listening for rest,")));
+        gateway.rest = site.map(|_| process::address_in(&gateway.log.wait_for("listening for paged REST,")));
         Gateway(gateway)
     }
 }
--- a/crates/gateway/tests/gateway/crossings.rs
+++ b/crates/gateway/tests/gateway/crossings.rs
@@ -208,7 +208,7 @@
     gateway.list(2, &[(1, at_first, 0), (2, second.address(), 0)]);
     wait_for("the front to hear of it", || {
         gateway.signal("-USR1");
-        gateway.log.last("board_events=")?.contains("board_events=2").then_some(())
+        gateway.log.last("discovery_events: ")?.contains("discovery_events: 2,").then_some(())
     });
     drop((first, held));
     second.until_dialled();
@@ -332,7 +332,7 @@
 /// Guards against a signal that ends a gateway which is not ready yet: its handlers came last.
 #[test]
 fn a_signal_before_a_gateway_is_ready_waits_until_it_is() {
-    for (signal, line) in [("-HUP", "configuration read again"), ("-TERM", "told to stop")] {
+    for (signal, line) in [("-HUP", "configuration read again"), ("-TERM", "shutdown requested")] {
         let path = std::env::temp_dir().join(format!("larchfall-{}{signal}", std::process::id()));
         let _ = std::fs::remove_file(&path);
         assert!(Command::new("mkfifo").arg(&path).status().unwrap().success());
@@ -416,7 +416,7 @@
     assert!(Command::new("mkfifo").arg(&gateway.file).status().unwrap().success());
     gateway.signal("-HUP");
     gateway.signal("-TERM");
-    gateway.log.wait_for("told to stop");
+    gateway.log.wait_for("shutdown requested");
     gateway.signal("-TERM");
     client.raw(&bytes[9..]).unwrap();
     assert_eq!(client.answer().unwrap(), (1, rows("ok\n")));
@@ -439,13 +439,13 @@
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
     way.set(|_, _| true, Way::Cut);
-    gateway.log.wait_for("notice board connection ended");
+    gateway.log.wait_for("discovery connection ended");
     // More than it has descriptors for, and as many as it takes say something.
     let mut idle: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
     idle.iter_mut().take(16).for_each(|client| _ = client.ping());
     wait_for("all places to be taken", || {
         gateway.signal("-USR1");
-        gateway.log.last("most_clients=")?.contains("most_clients=16").then_some(())
+        gateway.log.last("most_clients: ")?.contains("most_clients: 16,").then_some(())
     });
     gateway.list(2, &[(2, new.address, 0)]);
     way.set(|_, _| true, Way::Sound);
--- a/crates/gateway/tests/gateway/memory.rs
+++ b/crates/gateway/tests/gateway/memory.rs
@@ -393,8 +393,16 @@
     counters.outcome(1, Outcome::Moot);
     counters.class(9, |c| c.taken += 1);
     let lines = counters.lines(&["a".into(), "b".into()]);
-    assert!(lines[0].starts_with("group=a taken=2 returned=0"), "{}", lines[0]);
-    assert!(lines[1].contains("dispatches=2") && lines[1].contains("reset=1") && lines[1].contains("moot=1"));
+    assert!(
+        lines[0].starts_with("request class counters, class: a, admitted: 2, returned: 0,"),
+        "{}",
+        lines[0]
+    );
+    assert!(
+        lines[1].contains("attempts: 2,")
+            && lines[1].contains("attempts_reset: 1,")
+            && lines[1].contains("attempts_not_sent: 1")
+    );
     assert_eq!(lines.len(), 3);
 }
 
--- a/crates/gateway/tests/gateway/rest.rs
+++ b/crates/gateway/tests/gateway/rest.rs
@@ -88,7 +88,7 @@
     wait_for("the result to leave memory", || (status(paths.last().unwrap()) == 410).then_some(()));
     assert_eq!(engine.seen().started.len(), 1);
     gateway.signal("-USR1");
-    assert!(gateway.log.wait_for("results_read").contains("results_read=1 results_left=0"));
+    assert!(gateway.log.wait_for("results_read").contains("results_read: 1, results_abandoned: 0"));
 }
 
 #[test]
@@ -208,7 +208,7 @@
         assert_eq!(answer.status, 410, "its pages are gone");
         wait_for("the end to be counted", || {
             gateway.signal("-USR1");
-            (gateway.log.count("results_read=0 results_left=1") > 0).then_some(())
+            (gateway.log.count("results_read: 0, results_abandoned: 1") > 0).then_some(())
         });
     }
 }
@@ -274,7 +274,7 @@
         }
         wait_for("it to be taken", || {
             gateway.signal("-USR1");
-            let taken = format!("group=load taken={}", if n == 5 { 5 } else { n + 1 });
+            let taken = format!("class: load, admitted: {},", if n == 5 { 5 } else { n + 1 });
             (gateway.log.count(&taken) > 0).then_some(())
         });
     }
@@ -336,7 +336,7 @@
     gateway.log.wait_for("line 8: rest.poll-ms: 200000 ms is not within 1 to 60000");
     assert_eq!(status(), 400, "as before");
     gateway.reload_site(&site(&format!("headers = \"presto\"\n{REST}")));
-    gateway.log.wait_for("configuration read again");
+    gateway.log.wait_for("configuration reloaded");
     wait_for("the other headers", || (status() == 200).then_some(()));
 }
 
@@ -347,7 +347,7 @@
     let mut client = gateway.rest_client();
     let first = post(&mut client, "once", "select 1");
     gateway.signal("-TERM");
-    gateway.log.wait_for("told to stop");
+    gateway.log.wait_for("shutdown requested");
     let refused = post(&mut gateway.rest_client(), "once", "select 2");
     assert_eq!((refused.status, refused.field("retry-after")), (503, Some("1")));
     assert_eq!(rows(&follow(&mut client, first)), ["1", "2", "3"]);
--- a/crates/gateway/tests/gateway/sockets.rs
+++ b/crates/gateway/tests/gateway/sockets.rs
@@ -244,7 +244,7 @@
     assert_eq!(client.answer().unwrap(), (1, pushed_back));
     assert_eq!(client.answer().unwrap(), (2, rows("ok\n")));
     let ran = hall.ledger().ran;
-    let until = ran[0].until.expect("told to stop");
+    let until = ran[0].until.expect("shutdown requested");
     assert!(until <= ran[1].from, "the next began {:?} too early", until - ran[1].from);
     assert!(until - ran[0].from < RUNS_ON, "not told before it ended: {:?}", until - ran[0].from);
     hall.open(at);
@@ -466,8 +466,8 @@
     });
     // Told as failed connections, they would have counted against a sound engine.
     gateway.signal("-USR1");
-    let line = gateway.log.wait_for("group=once");
-    assert!(line.contains("connect_failed=0") && !line.contains("moot=0"), "{line}");
+    let line = gateway.log.wait_for("class: once, admitted");
+    assert!(line.contains("connect_failed: 0,") && !line.contains("attempts_not_sent: 0"), "{line}");
 }
 
 #[test]
@@ -520,9 +520,9 @@
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     discovery.say(2, frame(2, true, &[Listed { id: 2, address: new.address, state: 0, zone: 0, kind: 0 }]));
     gateway.reload("{\"board\":");
-    gateway.log.wait_for("configuration not taken");
+    gateway.log.wait_for("configuration rejected");
     gateway.reload(&config("127.0.0.1:0", discovery.address, Some(engine.address), 256));
-    gateway.log.wait_for("configuration read again");
+    gateway.log.wait_for("configuration reloaded");
     assert_eq!(client.answer().unwrap(), (held, rows("old\n")), "was in hand");
     wait_for("the new board's engine", || {
         client.send("look", &fields(ID, "20000"), "").unwrap();
@@ -646,14 +646,14 @@
     });
     let after = last.duration_since(told);
     assert!(after > Duration::from_secs(5) && after < Duration::from_secs(9), "served until {after:?} after");
-    gateway.log.wait_for("list of engines too old");
+    gateway.log.wait_for("endpoint list expired");
     gateway.list(3, &[(1, engine.address, 0)]);
     way.set(|_, _| true, Way::Sound);
     wait_for("it to be heard again", || {
         n += 1;
         (ask(n) == rows("ok\n")).then_some(())
     });
-    gateway.log.wait_for("list of engines holds again");
+    gateway.log.wait_for("endpoint list current again");
 }
 
 #[test]
@@ -670,7 +670,7 @@
     let long = waiting.send("once", &fields("bbbbbbbbbbbbbbbb", "25000"), "long").unwrap();
     until_seen(&slow, "both to start", |s| s.started.len() == 2);
     gateway.signal("-TERM");
-    gateway.log.wait_for("told to stop");
+    gateway.log.wait_for("shutdown requested");
     let mut late = gateway.client();
     let after = late.send("once", &fields("cccccccccccccccc", "25000"), "").unwrap();
     assert_eq!(late.answer().unwrap(), (after, rows("ok\n")), "came after the signal");
@@ -678,8 +678,8 @@
     assert_eq!(waiting.answer().unwrap(), (long, Answer::Error("Errored".into(), None)), "outlasts the end");
     assert!(gateway.ended().success());
     gateway.log.wait_for("reason: stopped");
-    let line = gateway.log.wait_for("group=once");
-    assert!(line.contains("taken=3 returned=2 pushed_back=0 errored=1"), "{line}");
+    let line = gateway.log.wait_for("class: once, admitted");
+    assert!(line.contains("admitted: 3, returned: 2, rejected: 0, errored: 1,"), "{line}");
 }
 
 /// Guards against an end by the clock alone: a gateway that stood still has not heard its sockets yet.
@@ -690,7 +690,7 @@
         let mut gateway = Gateway::start(Some(slow.address));
         let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
         gateway.signal("-TERM");
-        gateway.log.wait_for("told to stop");
+        gateway.log.wait_for("shutdown requested");
         let told = Instant::now();
         gateway.stop();
         for (n, client) in clients.iter_mut().enumerate() {
@@ -729,8 +729,11 @@
     client.send("look", &fields(ID, "20000"), "").unwrap();
     client.answer().unwrap();
     gateway.signal("-USR1");
-    let line = gateway.log.wait_for("group=look");
-    assert!(line.contains("taken=1 returned=1 pushed_back=0 errored=0 left=0 dispatches=1"), "{line}");
+    let line = gateway.log.wait_for("class: look, admitted");
+    assert!(
+        line.contains("admitted: 1, returned: 1, rejected: 0, errored: 0, disconnected: 0, attempts: 1,"),
+        "{line}"
+    );
 }
 
 /// Guards against a worker that looks for no events while any coroutine is ready: connections that always have
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -705,7 +705,10 @@
     pub fn outcome(&mut self, now: Timestamp, e: usize, bad: bool, how: &str) {
         let Some(engine) = self.engines.get_mut(&e) else { return };
         if engine.health.see(bad, &mut self.bad, now) {
-            self.log.push(format!("engine {e} {}: {how}", if bad { "failing" } else { "sound again" }));
+            self.log.push(format!(
+                "engine {}, engine: {e}, evidence: {how}",
+                if bad { "ejected" } else { "restored" }
+            ));
         }
     }
 
@@ -844,7 +847,7 @@
             // Silence: notes are due from what is out and nothing at all has come from the engine.
             for _ in 0..std::mem::take(&mut engine.missed).min(2) {
                 if !engine.health.failing && engine.health.see(true, &mut self.bad, now) {
-                    self.log.push(format!("engine {e} failing: silent"));
+                    self.log.push(format!("engine ejected, engine: {e}, evidence: silence"));
                 }
             }
             ready += f64::from(engine.is_used());
@@ -852,13 +855,13 @@
         }
         let old = !self.is_listed(now);
         if old != std::mem::replace(&mut self.listed.1, old) {
-            self.log.push(format!("list of engines {}", ["holds again", "too old"][usize::from(old)]));
+            self.log.push(format!("endpoint list {}", ["current again", "expired"][usize::from(old)]));
         }
         let overloaded = ready > 0.0 && congested >= ready * OVERLOAD_SHARE;
         if overloaded != self.overloaded {
             self.overloaded = overloaded;
-            let word = ["off", "on"][usize::from(overloaded)];
-            self.log.push(format!("overload {word}: {congested} of {ready} engines congested"));
+            let word = ["ended", "started"][usize::from(overloaded)];
+            self.log.push(format!("overload {word}, congested: {congested}, ready: {ready}"));
         }
     }
 
--- a/crates/policy/tests/policy.rs
+++ b/crates/policy/tests/policy.rs
@@ -392,8 +392,8 @@
             gateway.policy.client_left(b);
         }
         let lines = gateway.policy.log_lines();
-        let failing = lines.iter().filter(|l| l.contains("failing")).count();
-        let sound = lines.iter().filter(|l| l.contains("sound again")).count();
+        let failing = lines.iter().filter(|l| l.contains("ejected")).count();
+        let sound = lines.iter().filter(|l| l.contains("restored")).count();
         assert_eq!(failing - sound, left_out, "{at_all} at all, {at_one} at one: {lines:?}");
         assert!(failing <= left_out, "{at_all} at all, {at_one} at one: {lines:?}");
     }
@@ -416,7 +416,7 @@
         });
         gateway.policy.tick(ms(9_250));
         let lines = [early, gateway.policy.log_lines()].concat();
-        assert_eq!(lines.iter().any(|l| l.contains("overload on")), congested, "{note:?}: {lines:?}");
+        assert_eq!(lines.iter().any(|l| l.contains("overload started")), congested, "{note:?}: {lines:?}");
     }
 }
 
