--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,132 +1,131 @@
-//! What no gateway can serve by: settings that are missing, out of range or contradict each other, each named by its
-//! field. Keys that are not known are passed over, as the wire's page asks.
+//! Settings that no gateway can serve by: values that are missing, out of range or contradict each other. Keys that are
+//! not known are ignored, as the wire's page asks.
 
-use crate::{Raw, RawClass, RawDomain, RawSafety};
+use crate::error::{Problem, SettingsError};
+use crate::raw::{Raw, RawClass, RawDomain, RawSafety};
 use std::collections::HashSet;
 
-type Checked = Result<(), String>;
+type Checked = Result<(), SettingsError>;
 
-fn refuse(field: &str, why: &str) -> Checked {
-    Err(format!("settings: {field}: {why}"))
+fn refuse(field: impl Into<String>, problem: Problem) -> Checked {
+    Err(SettingsError::field(field, problem))
 }
 
-fn at_least_zero(field: &str, value: f64) -> Checked {
-    if value.is_finite() && value >= 0.0 { Ok(()) } else { refuse(field, "no number from zero up") }
+fn not_negative(field: impl Into<String>, value: f64) -> Checked {
+    if value.is_finite() && value >= 0.0 { Ok(()) } else { refuse(field, Problem::Negative { value }) }
 }
 
 pub(crate) fn check(raw: &Raw) -> Checked {
-    if raw.instances > 0 && raw.me >= raw.instances {
-        return refuse("me", "not under instances");
+    if raw.gateways > 0 && raw.me >= raw.gateways {
+        return refuse("me", Problem::GatewayOutOfRange { gateway: raw.me, gateways: raw.gateways });
     }
-    if !raw.zones.is_empty() && raw.az >= raw.zones.len() {
-        return refuse("az", "no place in zones");
+    if !raw.zones.is_empty() && raw.zone >= raw.zones.len() {
+        return refuse("az", Problem::ZoneOutOfRange { zone: raw.zone, zones: raw.zones.len() });
     }
-    unique("zones", raw.zones.iter())?;
-    unique("models", raw.models.iter())?;
-    unique("parties", raw.parties.iter().map(|party| &party.name))?;
-    for (i, party) in raw.parties.iter().enumerate() {
-        at_least_zero(&format!("parties[{i}].allowance_per_s"), party.allowance_per_s)?;
+    check_names("zones", raw.zones.iter())?;
+    check_names("models", raw.kinds.iter())?;
+    check_names("parties", raw.tenants.iter().map(|tenant| &tenant.name))?;
+    for (i, tenant) in raw.tenants.iter().enumerate() {
+        not_negative(format!("parties[{i}].allowance_per_s"), tenant.quota_rate)?;
     }
-    unique("classes", raw.classes.iter().map(|class| &class.name))?;
+    check_names("classes", raw.classes.iter().map(|class| &class.name))?;
     for (i, class) in raw.classes.iter().enumerate() {
         check_class(raw, class, &format!("classes[{i}]"))?;
     }
     check_domain(raw, &raw.domain)?;
-    at_least_zero("prices.handshake", raw.prices.handshake)?;
-    at_least_zero("prices.probe", raw.prices.probe)?;
+    not_negative("prices.handshake", raw.costs.connection)?;
+    not_negative("prices.probe", raw.costs.load_probe)?;
     check_safety(&raw.safety)
 }
 
-fn unique<'a>(field: &str, names: impl Iterator<Item = &'a String>) -> Checked {
+/// Each of a list has a name, and no two the same.
+fn check_names<'a>(field: &str, names: impl Iterator<Item = &'a String>) -> Checked {
     let mut seen = HashSet::new();
     for (i, name) in names.enumerate() {
         if name.is_empty() {
-            return refuse(&format!("{field}[{i}]"), "without a name");
+            return refuse(format!("{field}[{i}]"), Problem::Unnamed);
         }
         if !seen.insert(name) {
-            return refuse(&format!("{field}[{i}]"), &format!("'{name}' comes twice"));
+            return refuse(format!("{field}[{i}]"), Problem::Duplicate { name: name.clone() });
         }
     }
     Ok(())
 }
 
-fn check_class(raw: &Raw, class: &RawClass, at: &str) -> Checked {
-    let field = |name: &str| format!("{at}.{name}");
-    at_least_zero(&field("worth"), class.worth)?;
-    at_least_zero(&field("aim_stretch"), class.aim_stretch)?;
-    if class.hard_limit == 0 {
-        return refuse(&field("hard_limit"), "missing or zero: nothing can be answered in time");
-    }
-    if class.aim == 0 {
-        return refuse(&field("aim"), "missing or zero: nothing is ever on time");
-    }
-    if class.effect == "idempotency_key" && class.dedup_window == 0 {
-        return refuse(&field("dedup_window"), "missing or zero where repeats are known by a key");
-    }
-    let places = [
-        ("models_open", &class.models_open, raw.models.len().max(raw.domain.size_cores.len())),
-        ("stays_in", &class.stays_in, raw.zones.len()),
-    ];
-    for (name, places, all) in places {
-        match places {
-            Some(places) if places.is_empty() => return refuse(&field(name), "leaves no engine open"),
-            Some(places) if places.iter().any(|place| *place >= all) => {
-                return refuse(&field(name), "names a place that is not in the settings");
-            }
-            _ => {}
-        }
+fn check_class(raw: &Raw, class: &RawClass, path: &str) -> Checked {
+    let field = |name: &str| format!("{path}.{name}");
+    not_negative(field("worth"), class.priority_weight)?;
+    not_negative(field("aim_stretch"), class.objective_stretch)?;
+    if class.time_limit == 0 {
+        return refuse(field("hard_limit"), Problem::NoTimeLimit);
+    }
+    if class.latency_objective == 0 {
+        return refuse(field("aim"), Problem::NoLatencyObjective);
+    }
+    if class.idempotency == "idempotency_key" && class.deduplication_window == 0 {
+        return refuse(field("dedup_window"), Problem::NoDeduplicationWindow);
+    }
+    let kinds = raw.kinds.len().max(raw.domain.kind_cores.len());
+    check_allowed(&field("models_open"), class.allowed_kinds.as_deref(), kinds)?;
+    check_allowed(&field("stays_in"), class.allowed_zones.as_deref(), raw.zones.len())
+}
+
+/// A list of what a class may use, where there is one, leaves something and names nothing that is not there.
+fn check_allowed(field: &str, allowed: Option<&[usize]>, length: usize) -> Checked {
+    let Some(allowed) = allowed else { return Ok(()) };
+    if allowed.is_empty() {
+        return refuse(field, Problem::NoneAllowed);
+    }
+    match allowed.iter().find(|index| **index >= length) {
+        Some(&index) => refuse(field, Problem::IndexOutOfRange { index, length }),
+        None => Ok(()),
     }
-    Ok(())
 }
 
 fn check_domain(raw: &Raw, domain: &RawDomain) -> Checked {
-    let numbers = [
-        ("size_cores", &domain.size_cores),
-        ("size_mb", &domain.size_mb),
-        ("threads_by_class", &domain.threads_by_class),
+    let lists = [
+        ("size_cores", &domain.kind_cores),
+        ("size_mb", &domain.kind_memory_mb),
+        ("threads_by_class", &domain.class_threads),
     ];
-    for (name, all) in numbers {
-        for (i, number) in all.iter().enumerate() {
-            at_least_zero(&format!("domain.{name}[{i}]"), *number)?;
+    for (name, values) in lists {
+        for (i, value) in values.iter().enumerate() {
+            not_negative(format!("domain.{name}[{i}]"), *value)?;
         }
     }
     let classes = raw.classes.len();
-    let by_class = [
-        ("threads_by_class", domain.threads_by_class.len()),
-        ("writes_tables", domain.writes_tables.len()),
-        ("blocked_by_loads", domain.blocked_by_loads.len()),
+    let lists_by_class = [
+        ("threads_by_class", domain.class_threads.len()),
+        ("writes_tables", domain.locks_data_set.len()),
+        ("blocked_by_loads", domain.waits_for_data_lock.len()),
     ];
-    for (name, named) in by_class {
-        // Without any class there is nothing to serve, which is said elsewhere.
+    for (name, named) in lists_by_class {
+        // Settings without any class are refused elsewhere.
         if named > classes && classes > 0 {
-            return refuse(
-                &format!("domain.{name}"),
-                &format!("of {named} classes, and there are {classes}"),
-            );
+            return refuse(format!("domain.{name}"), Problem::TooManyClasses { named, classes });
         }
     }
-    if !domain.size_cores.is_empty() && domain.size_cores.len() < raw.models.len() {
-        return refuse("domain.size_cores", "does not name each of models");
+    let named = domain.kind_cores.len();
+    if named > 0 && named < raw.kinds.len() {
+        return refuse("domain.size_cores", Problem::TooFewKinds { named, kinds: raw.kinds.len() });
     }
     Ok(())
 }
 
 fn check_safety(safety: &RawSafety) -> Checked {
-    at_least_zero("safety.fall_multiple", safety.fall_multiple)?;
-    if !(0.0..=1.0).contains(&safety.slow_start_from) {
-        return refuse("safety.cold_from", "no share between 0 and 1");
-    }
-    if safety.fall > 0 && safety.fall_multiple > 0.0 && safety.slow_start_from <= 0.0 {
-        return refuse(
-            "safety.cold_from",
-            "missing or zero where an engine in slow start falls at a multiple of it",
-        );
-    }
-    at_least_zero("safety.budget_free", safety.budget_free.unwrap_or(0.0))?;
-    at_least_zero("safety.extra_per_request", safety.extra_per_request.unwrap_or(0.0))?;
-    let budget = safety.budget_free.or(safety.extra_per_request);
-    if safety.extra_window.unwrap_or(0) == 0 && budget.is_some() {
-        return refuse("safety.extra_window", "missing or zero where further attempts have a budget");
+    not_negative("safety.fall_multiple", safety.overload_multiple)?;
+    let value = safety.initial_capacity_factor;
+    if !(0.0..=1.0).contains(&value) {
+        return refuse("safety.cold_from", Problem::NoFraction { value });
+    }
+    if safety.overload_window > 0 && safety.overload_multiple > 0.0 && value <= 0.0 {
+        return refuse("safety.cold_from", Problem::NoInitialCapacity);
+    }
+    not_negative("safety.budget_free", safety.free_retries.unwrap_or(0.0))?;
+    not_negative("safety.extra_per_request", safety.retries_per_request.unwrap_or(0.0))?;
+    let has_budget = safety.free_retries.is_some() || safety.retries_per_request.is_some();
+    if has_budget && safety.retry_window.unwrap_or(0) == 0 {
+        return refuse("safety.extra_window", Problem::NoRetryWindow);
     }
     Ok(())
 }
--- /dev/null
+++ b/crates/config/src/convert.rs
@@ -0,0 +1,136 @@
+//! Checked settings as the policy and the gateway take them.
+
+use crate::error::{Problem, SettingsError};
+use crate::raw::{Raw, RawClass, RawSafety};
+use crate::{Names, Settings};
+use larchfall_policy::interface::{
+    Caps, DeduplicationScope, EngineKind, Fleet, Idempotency, PolicyConfig, RequestClass, RetryBudgetRule,
+    SlowStartPolicy, Tenant,
+};
+use larchfall_policy::time::Duration;
+
+pub(crate) fn settings(raw: Raw) -> Result<Settings, SettingsError> {
+    let given = PolicyConfig {
+        classes: classes(&raw)?,
+        fleet: fleet(&raw),
+        tenants: raw.tenants.iter().map(|tenant| Tenant { quota_rate: tenant.quota_rate }).collect(),
+        caps: caps(&raw),
+        slow_start: slow_start(&raw.safety),
+        retry_budget: retry_budget(&raw.safety),
+        key_cooldown: Duration::from_micros(raw.safety.key_cooldown),
+    };
+    Ok(Settings {
+        given,
+        tells_work: raw.domain.outcomes_report_work,
+        report_fields: raw.load_reports.fields,
+        must_ask: raw.discovery == "subscribe",
+        limits: raw.classes.iter().map(|class| Duration::from_micros(class.time_limit)).collect(),
+        connect_within: Duration::from_micros(raw.caps.connect_timeout),
+        idle_close: Duration::from_micros(raw.caps.idle_timeout),
+        drain_grace: Duration::from_micros(raw.safety.drain_grace),
+        single_attempt: raw.caps.hedging == Some(false),
+        names: Names {
+            classes: raw.classes.into_iter().map(|class| class.name).collect(),
+            tenants: raw.tenants.into_iter().map(|tenant| tenant.name).collect(),
+            zones: raw.zones,
+            kinds: raw.kinds,
+        },
+    })
+}
+
+/// Zero stands for a time that is not set.
+fn unless_zero(micros: u64) -> Option<Duration> {
+    (micros > 0).then(|| Duration::from_micros(micros))
+}
+
+fn classes(raw: &Raw) -> Result<Vec<RequestClass>, SettingsError> {
+    let domain = &raw.domain;
+    let class = |(i, class): (usize, &RawClass)| {
+        Ok(RequestClass {
+            priority_weight: class.priority_weight,
+            latency_objective: Duration::from_micros(class.latency_objective),
+            objective_stretch: class.objective_stretch,
+            effect: idempotency(class, &format!("classes[{i}]"))?,
+            in_order: class.in_order,
+            threads: domain.class_threads.get(i).copied().unwrap_or(1.0),
+            locks_data_set: domain.locks_data_set.get(i).copied().unwrap_or(false),
+            waits_for_data_lock: domain.waits_for_data_lock.get(i).copied().unwrap_or(false),
+            zones: class.allowed_zones.clone(),
+            kinds: class.allowed_kinds.clone(),
+        })
+    };
+    raw.classes.iter().enumerate().map(class).collect()
+}
+
+fn idempotency(class: &RawClass, path: &str) -> Result<Idempotency, SettingsError> {
+    let unknown = |field: &str, value: &str| {
+        SettingsError::field(format!("{path}.{field}"), Problem::UnknownWord { value: value.to_owned() })
+    };
+    match class.idempotency.as_str() {
+        "read_like" => Ok(Idempotency::Idempotent),
+        "non_idempotent" => Ok(Idempotency::NonIdempotent),
+        "idempotency_key" => {
+            let scope = match class.deduplication_scope.as_str() {
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
+                other => return Err(unknown("key_scope", other)),
+            };
+            let window = Duration::from_micros(class.deduplication_window);
+            Ok(Idempotency::IdempotentWithKey { scope, window })
+        }
+        other => Err(unknown("effect", other)),
+    }
+}
+
+fn fleet(raw: &Raw) -> Fleet {
+    let cores = &raw.domain.kind_cores;
+    let memory_mb = &raw.domain.kind_memory_mb;
+    let kind = |i| EngineKind {
+        cores: cores.get(i).copied().unwrap_or(0.0),
+        memory_mb: memory_mb.get(i).copied().unwrap_or(0.0),
+    };
+    Fleet {
+        gateways: raw.gateways,
+        me: raw.me,
+        zone: raw.zone,
+        kinds: (0..raw.kinds.len().max(cores.len())).map(kind).collect(),
+    }
+}
+
+fn caps(raw: &Raw) -> Caps {
+    let may_probe = raw.caps.load_probes && matches!(raw.load_reports.how.as_str(), "answers" | "probe");
+    Caps {
+        can_cancel: raw.caps.can_cancel,
+        load_probe_cost: may_probe.then_some(raw.costs.load_probe),
+        connection_cost: raw.costs.connection,
+        idle_connection_lifetime: Duration::ZERO,
+        max_attempts: raw.caps.max_attempts,
+        single_attempt: false,
+        max_retry_after: if raw.caps.retry_after { unless_zero(raw.caps.max_retry_after) } else { None },
+        sets_memory_grant: raw.domain.memory_grants,
+        swaps_when_out_of_memory: raw.domain.out_of_memory == "swap",
+        progress_interval: unless_zero(raw.domain.progress_interval),
+        unobserved_attempt_lifetime: None,
+        endpoint_list_lifetime: None,
+        clock_step: Duration::from_micros(raw.clock_step),
+    }
+}
+
+fn slow_start(safety: &RawSafety) -> SlowStartPolicy {
+    SlowStartPolicy {
+        multiple: safety.overload_multiple,
+        window: Duration::from_micros(safety.overload_window),
+        initial_capacity_factor: safety.initial_capacity_factor,
+        warm_up_time: Duration::from_micros(safety.warm_up_time),
+    }
+}
+
+fn retry_budget(safety: &RawSafety) -> Option<RetryBudgetRule> {
+    let window = safety.retry_window.and_then(unless_zero)?;
+    Some(RetryBudgetRule {
+        window,
+        free: safety.free_retries.unwrap_or(0.0),
+        per_request: safety.retries_per_request.unwrap_or(0.0),
+    })
+}
--- /dev/null
+++ b/crates/config/tests/refusals.rs
@@ -0,0 +1,80 @@
+//! Settings with every key, as they were written before the program's terms were changed, and what they are refused
+//! with, byte for byte. The texts in `files/refusals.txt` were produced by the version before.
+
+use larchfall_config::{Settings, read};
+use larchfall_policy::interface::{DeduplicationScope, Idempotency, RequestClass};
+use larchfall_policy::time::Duration;
+
+const FILE: &str = include_str!("files/settings.json");
+const REFUSALS: &str = include_str!("files/refusals.txt");
+const REFUSAL_COUNT: usize = 44;
+
+#[test]
+fn refusals_are_the_texts_of_the_version_before() {
+    let cases: Vec<&str> = REFUSALS.trim().split("\n\n").collect();
+    assert_eq!(cases.len(), REFUSAL_COUNT);
+    for case in cases {
+        let [removed, inserted, expected] = case.lines().collect::<Vec<_>>()[..] else { panic!("{case}") };
+        let removed = removed.strip_prefix("- ").expect(case);
+        let inserted = inserted.strip_prefix('+').expect(case).trim_start();
+        let expected = expected.strip_prefix("! ").expect(case);
+        assert!(FILE.contains(removed), "{removed} is not in the settings");
+        let error = read(FILE.replacen(removed, inserted, 1).as_bytes()).err().expect(case);
+        assert_eq!(error.to_string().replace('\n', "\\n"), expected);
+    }
+}
+
+fn load_class(class: &RequestClass) {
+    let ms = Duration::from_millis;
+    assert_eq!((class.priority_weight, class.objective_stretch), (0.5, 2.5));
+    assert_eq!((class.latency_objective, class.threads), (ms(900), 2.0));
+    let (scope, window) = (DeduplicationScope::Zone, ms(4_000));
+    assert_eq!(class.effect, Idempotency::IdempotentWithKey { scope, window });
+    assert!(class.in_order && class.locks_data_set && !class.waits_for_data_lock);
+    assert_eq!((&class.zones, &class.kinds), (&Some(vec![1]), &Some(vec![0, 1])));
+}
+
+#[test]
+fn settings_of_the_version_before_mean_the_same() {
+    let ms = Duration::from_millis;
+    let settings = read(FILE.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
+    let Settings { given, names, .. } = &settings;
+
+    assert_eq!((given.fleet.gateways, given.fleet.me, given.fleet.zone), (4, 2, 1));
+    let kinds: Vec<_> = given.fleet.kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
+    assert_eq!(kinds, [(4.0, 8_192.0), (16.0, 65_536.0)]);
+    let [load, look, once] = &given.classes[..] else { panic!("{:?}", given.classes) };
+    load_class(load);
+    assert_eq!((look.effect, once.effect), (Idempotency::Idempotent, Idempotency::NonIdempotent));
+    assert_eq!((look.threads, once.threads), (1.5, 1.0));
+    assert!(look.waits_for_data_lock && !look.locks_data_set && !look.in_order && look.zones.is_none());
+    let quotas: Vec<f64> = given.tenants.iter().map(|tenant| tenant.quota_rate).collect();
+    assert_eq!(quotas, [12.5, 0.0]);
+
+    let caps = &given.caps;
+    assert!(
+        caps.can_cancel && caps.sets_memory_grant && caps.swaps_when_out_of_memory && !caps.single_attempt
+    );
+    assert_eq!((caps.load_probe_cost, caps.connection_cost, caps.max_attempts), (Some(0.002), 0.01, 3));
+    assert_eq!((caps.max_retry_after, caps.progress_interval), (Some(ms(500)), Some(ms(250))));
+    assert_eq!((caps.clock_step, given.key_cooldown), (ms(1), ms(700)));
+    let slow_start = &given.slow_start;
+    assert_eq!((slow_start.multiple, slow_start.initial_capacity_factor), (3.5, 0.3));
+    assert_eq!((slow_start.window, slow_start.warm_up_time), (ms(2_000), ms(14_000)));
+    let budget = given.retry_budget.as_ref().unwrap();
+    assert_eq!((budget.window, budget.free, budget.per_request), (ms(10_000), 2.5, 0.1));
+
+    assert!(settings.tells_work && settings.must_ask && settings.single_attempt);
+    assert_eq!(settings.report_fields, ["concurrent", "load_share"]);
+    assert_eq!(settings.limits, [ms(30_000), ms(5_000), ms(6_000)]);
+    assert_eq!((settings.connect_within, settings.idle_close), (ms(250), ms(15_000)));
+    assert_eq!(settings.drain_grace, ms(2_000));
+    assert_eq!(
+        (&names.classes[..], &names.tenants[..]),
+        (&["load", "look", "once"].map(String::from)[..], &["acme", "zeta"].map(String::from)[..])
+    );
+    assert_eq!(
+        (&names.zones[..], &names.kinds[..]),
+        (&["east", "west"].map(String::from)[..], &["std", "big"].map(String::from)[..])
+    );
+}
--- a/crates/gateway/src/run/config.rs
+++ b/crates/gateway/src/run/config.rs
@@ -46,7 +46,7 @@
     let address = |field, text: &str| {
         text.parse::<SocketAddrV4>().map_err(|_| format!("{field}: '{text}' is no address with a port"))
     };
-    let settings = settings::read(raw.settings.to_string().as_bytes())?;
+    let settings = settings::read(raw.settings.to_string().as_bytes()).map_err(|error| error.to_string())?;
     if settings.names.classes.is_empty() {
         return Err("settings.classes: no service group is named".into());
     }
--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -41,7 +41,7 @@
         now: Timestamp,
         reply: &mut Reply,
     ) -> Result<Gateway, String> {
-        let s = settings::read(boot)?;
+        let s = settings::read(boot).map_err(|error| error.to_string())?;
         let (classes, tenants) = (s.given.classes.len(), s.given.tenants.len());
         let policy = Policy::new(seed, s.given);
         if s.must_ask {
