--- a/crates/fault-tests/src/sighted.rs
+++ b/crates/fault-tests/src/sighted.rs
@@ -5,6 +5,7 @@
 use larchfall_health_gossip::sights::{Saw, Sights};
 use larchfall_health_gossip::wire::MOST_ENGINES;
 use larchfall_health_gossip::{Counts, Process, weigh};
+use larchfall_policy::event::Evidence;
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::{Policy, TICK};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -135,7 +136,7 @@
         let gateway = |i: usize| {
             let mut policy = Policy::new(seed ^ (i as u64) << 20, given(setting.gateways));
             let engine = Engine { started: None, ..Engine::default() };
-            (0..ENGINES).for_each(|e| policy.engine(now, e, engine));
+            (0..ENGINES).for_each(|e| policy.update_engine(now, e, engine));
             let pace = if i.is_multiple_of(10) { low * 8.0 } else { low };
             let desk = Desk::new(bounds, weigh, turn);
             Gateway { policy, sights: Sights::new(64), desk, pace, next: 0 }
@@ -178,7 +179,7 @@
     /// How many gateways that do not lie have the engine left out.
     pub fn leave_out(&self) -> usize {
         let honest = self.gateways.iter().enumerate().filter(|(i, _)| !self.lies(*i));
-        honest.filter(|(_, f)| f.policy.standing(BAD).is_some_and(|(failing, _)| failing)).count()
+        honest.filter(|(_, f)| f.policy.engine_health(BAD).is_some_and(|health| health.ejected)).count()
     }
 
     /// Liars are of one zone, at the end of the fleet.
@@ -199,7 +200,7 @@
                 }
                 Event::Tick(i) => {
                     self.gateways[i].policy.tick(at);
-                    drop(self.gateways[i].policy.log_lines());
+                    drop(self.gateways[i].policy.take_events());
                     self.push(at + TICK, Event::Tick(i));
                 }
                 Event::Look(i) => {
@@ -227,13 +228,13 @@
         let gateway = &mut self.gateways[i];
         let b = gateway.next;
         gateway.next += 1;
-        gateway.policy.take(now, b, request);
+        gateway.policy.admit(now, b, request);
         self.place(i, b, 0);
     }
 
     fn place(&mut self, i: usize, b: usize, number: u8) {
         let (now, gateway) = (self.now, &mut self.gateways[i]);
-        match gateway.policy.place(now, b) {
+        match gateway.policy.route(now, b) {
             RoutingDecision::Send(AttemptParameters { engine, .. }) => {
                 let good = engine != BAD || self.works;
                 self.seen.met += usize::from(!good);
@@ -254,7 +255,7 @@
         let seen =
             larchfall_policy::interface::AttemptEvidence { last: LastObservation::Ended, same_process: true };
         let answer = AttemptResult { over: good, took: TAKES, ..AttemptResult::bare(outcome, seen) };
-        if gateway.policy.after(now, b, number, &answer) == AfterAttempt::RouteAgain {
+        if gateway.policy.on_attempt_finished(now, b, number, &answer) == AfterAttempt::RouteAgain {
             self.place(i, b, number + 1);
         }
     }
@@ -274,18 +275,18 @@
         let sights = gateway.sights.all().collect();
         let outcomes = gateway.desk.look(sights, &self.living, |_| true, now);
         for (process, bad) in outcomes.into_iter().filter(|_| !lies) {
-            gateway.policy.outcome(now, process.id as usize, bad, "told");
+            gateway.policy.record_engine_outcome(now, process.id as usize, bad, Evidence::Gossip);
         }
         for e in 0..ENGINES {
-            if gateway.policy.standing(e).is_some_and(|(failing, _)| failing) {
+            if gateway.policy.engine_health(e).is_some_and(|health| health.ejected) {
                 let mine = gateway.desk.may_try(&name(i), process(e), &self.living, now);
-                gateway.policy.turn(e, mine);
+                gateway.policy.set_probe_slot(e, mine);
             }
         }
     }
 
     fn leaves_out(&self, i: usize) -> bool {
-        !self.lies(i) && self.gateways[i].policy.standing(BAD).is_some_and(|(failing, _)| failing)
+        !self.lies(i) && self.gateways[i].policy.engine_health(BAD).is_some_and(|health| health.ejected)
     }
 
     fn tell(&mut self, i: usize) {
@@ -303,7 +304,9 @@
             }
             if self.setting.telling == Telling::Verdicts {
                 if says_failing && !self.lies(to) {
-                    (0..2).for_each(|_| self.gateways[to].policy.outcome(self.now, BAD, true, "told"));
+                    (0..2).for_each(|_| {
+                        self.gateways[to].policy.record_engine_outcome(self.now, BAD, true, Evidence::Gossip)
+                    });
                 }
                 continue;
             }
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -5,10 +5,10 @@
 use crate::state::engines::Home;
 use crate::task::{Ended, Task};
 use crate::wire::http::{self, Reply, Start};
+use larchfall_policy::attempt_ledger::proves_end;
 use larchfall_policy::interface::{
     AttemptEvidence, AttemptParameters, LastObservation, LoadReport, Outcome, ProgressUpdate, RoutingDecision,
 };
-use larchfall_policy::policy::account::proves_over;
 use larchfall_policy::time::{Duration, Timestamp};
 use slog::info;
 use std::cell::Cell;
@@ -260,7 +260,7 @@
     /// An end with what was last seen of it. What does not prove that nothing runs leaves a line.
     pub(super) fn end(&self, last: LastObservation, outcome: Outcome) -> Ended {
         let seen = AttemptEvidence { last, same_process: self.same_process.get() };
-        if self.task.in_order && !proves_over(seen) {
+        if self.task.in_order && !proves_end(seen) {
             info!(self.state.log, "end of attempt not observed"; "last" => format!("{last:?}"), "id" => &self.task.id, "attempt" => self.number,
                 "engine" => self.to.engine, "address" => self.home.address.to_string());
         }
--- a/crates/gateway/src/state/facade.rs
+++ b/crates/gateway/src/state/facade.rs
@@ -8,6 +8,7 @@
 use crate::wire::discovery::Event;
 use larchfall_health_gossip::sights::{Saw, Sights};
 use larchfall_health_gossip::{Counts, Process};
+use larchfall_policy::event::{Evidence, PolicyEvent};
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::Policy;
 use larchfall_policy::time::Timestamp;
@@ -97,18 +98,18 @@
         }
         let b = inner.hand.insert(InHand { id, ..InHand::default() });
         inner.came.add(request.class, request.tenant);
-        inner.policy.take(self.clock.now(), b, request);
+        inner.policy.admit(self.clock.now(), b, request);
         Ok(b)
     }
 
     /// Where to send this request, or not yet, or never.
     pub fn pick(&self, b: usize) -> RoutingDecision {
-        lock(&self.inner).policy.place(self.clock.now(), b)
+        lock(&self.inner).policy.route(self.clock.now(), b)
     }
 
     /// The final answer of a request whose time is up, while the end of what is out is still waited for.
     pub fn give_up(&self, b: usize) -> RoutingDecision {
-        lock(&self.inner).policy.give_up(b)
+        lock(&self.inner).policy.finish_unanswered(b)
     }
 
     /// Blocks until it is time to ask again, or something happened to the request.
@@ -117,7 +118,7 @@
         let at = {
             let mut guard = lock(&self.inner);
             let inner = &mut *guard;
-            let at = inner.policy.wait(self.clock.now(), b);
+            let at = inner.policy.next_check(self.clock.now(), b);
             let Some(hand) = inner.hand.get_mut(b).filter(|h| h.left.is_none()) else { return };
             hand.resting = Some(blocker.clone());
             at
@@ -128,7 +129,7 @@
 
     /// What became of a attempt, and what to do after it.
     pub fn report(&self, b: usize, number: u8, answer: &AttemptResult) -> AfterAttempt {
-        lock(&self.inner).policy.after(self.clock.now(), b, number, answer)
+        lock(&self.inner).policy.on_attempt_finished(self.clock.now(), b, number, answer)
     }
 
     /// Others are to be told what this gateway sees, of so many processes at most.
@@ -165,7 +166,7 @@
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         if let Some(e) = inner.engines.of_process(process) {
-            inner.policy.outcome(self.clock.now(), e, bad, "gossip");
+            inner.policy.record_engine_outcome(self.clock.now(), e, bad, Evidence::Gossip);
         }
     }
 
@@ -183,8 +184,8 @@
     pub fn verdicts(&self) -> Vec<Verdict> {
         let inner = lock(&self.inner);
         let verdict = |(e, process, state): (usize, Process, EngineState)| {
-            let (failing, congested) = inner.policy.standing(e).unwrap_or_default();
-            Verdict { process, state, failing, congested, used: inner.uses(process.id) }
+            let EngineHealth { ejected, congested } = inner.policy.engine_health(e).unwrap_or_default();
+            Verdict { process, state, failing: ejected, congested, used: inner.uses(process.id) }
         };
         inner.engines.standing().map(verdict).collect()
     }
@@ -194,27 +195,27 @@
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         if let Some(e) = inner.engines.of_process(process) {
-            inner.policy.turn(e, mine);
+            inner.policy.set_probe_slot(e, mine);
         }
     }
 
     /// The coroutine of this request ended without a word.
     pub fn lost(&self, b: usize) {
-        lock(&self.inner).policy.lost(self.clock.now(), b);
+        lock(&self.inner).policy.abandon(self.clock.now(), b);
     }
 
     /// So many gateways are to be counted.
     pub fn count(&self, gateways: usize) {
-        lock(&self.inner).policy.count(gateways);
+        lock(&self.inner).policy.set_gateway_count(gateways);
     }
 
     /// This gateway ends then.
     pub fn end_by(&self, at: Timestamp) {
-        lock(&self.inner).policy.end_by(at);
+        lock(&self.inner).policy.set_shutdown_deadline(at);
     }
 
     pub fn note(&self, b: usize, number: u8, note: ProgressUpdate) {
-        lock(&self.inner).policy.note(self.clock.now(), b, number, note);
+        lock(&self.inner).policy.on_progress(self.clock.now(), b, number, note);
     }
 
     /// The client left: nothing more is owed.
@@ -222,7 +223,7 @@
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         let Some(hand) = inner.hand.get_mut(b).filter(|h| h.left.is_none()) else { return };
-        hand.left = Some(!inner.policy.client_left(b).is_empty());
+        hand.left = Some(!inner.policy.on_client_disconnected(b).is_empty());
         if let Some(resting) = hand.resting.take() {
             resting.unpark();
         }
@@ -252,22 +253,22 @@
         let now = self.clock.now();
         inner.policy.tick(now);
         for e in inner.engines.gone() {
-            if inner.policy.forget(now, e) {
+            if inner.policy.forget_engine(now, e) {
                 inner.engines.forget(e);
             }
         }
-        inner.policy.probes()
+        inner.policy.health_checks()
     }
 
-    pub fn log_lines(&self) -> Vec<String> {
-        lock(&self.inner).policy.log_lines()
+    pub fn take_events(&self) -> Vec<PolicyEvent> {
+        lock(&self.inner).policy.take_events()
     }
 
     /// The report of the engine that had this index when it was asked.
     pub fn probed(&self, e: usize, home: Home, report: LoadReport) {
         let mut inner = lock(&self.inner);
         if inner.engines.home(e) == Some(home) {
-            inner.policy.probed(self.clock.now(), e, report);
+            inner.policy.on_load_report(self.clock.now(), e, report);
         }
     }
 
@@ -275,7 +276,7 @@
     pub fn told(&self, id: u64, report: LoadReport) {
         let mut inner = lock(&self.inner);
         if let Some(e) = u32::try_from(id).ok().and_then(|id| inner.engines.of_id(id)) {
-            inner.policy.probed(self.clock.now(), e, report);
+            inner.policy.on_load_report(self.clock.now(), e, report);
         }
     }
 
@@ -288,7 +289,7 @@
     pub fn ready(&self, rule: &SlowStartPolicy) -> Vec<(u32, Engine, bool)> {
         let (inner, now) = (lock(&self.inner), self.clock.now());
         let used = inner.engines.ready().into_iter().filter(|(_, id, _)| inner.uses(*id));
-        used.map(|(_, id, x)| (id, x, rule.warm_up_factor(x.started, now) < 1.0)).collect()
+        used.map(|(_, id, x)| (id, x, rule.capacity_factor(x.started, now) < 1.0)).collect()
     }
 
     /// All that are ready, used or not, by id.
@@ -296,10 +297,10 @@
         lock(&self.inner).engines.ready().into_iter().map(|(_, id, x)| (id, x)).collect()
     }
 
-    /// Whether the module judges an engine failing, and whether its last tick read congested.
-    pub fn standing(&self, id: u32) -> Option<(bool, bool)> {
+    /// The verdict on an engine.
+    pub fn engine_health(&self, id: u32) -> Option<EngineHealth> {
         let inner = lock(&self.inner);
-        inner.engines.of_id(id).and_then(|e| inner.policy.standing(e))
+        inner.engines.of_id(id).and_then(|e| inner.policy.engine_health(e))
     }
 
     /// From now on this gateway uses only engines that it is told to; until then those that it knows.
@@ -319,8 +320,8 @@
             return;
         }
         for (e, id, _) in inner.engines.ready() {
-            inner.policy.use_engine(e, used.contains(&id));
-            inner.policy.share(e, inner.careful, parts.get(&id).copied());
+            inner.policy.set_in_subset(e, used.contains(&id));
+            inner.policy.set_engine_quota(e, inner.careful, parts.get(&id).copied());
         }
     }
 
@@ -334,7 +335,7 @@
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         inner.careful = Some(part);
-        inner.engines.ready().iter().for_each(|(e, ..)| inner.policy.share(*e, Some(part), None));
+        inner.engines.ready().iter().for_each(|(e, ..)| inner.policy.set_engine_quota(*e, Some(part), None));
     }
 
     /// This gateway's parts of what engines bear and of tenants' allowances; of all others they are even ones.
@@ -344,10 +345,10 @@
         for (e, id, _) in inner.engines.ready() {
             let part = |what| parts.get(&what).copied();
             let slow_start = part(Capacity::SlowStart(id)).or(inner.careful);
-            inner.policy.share(e, slow_start, part(Capacity::Threads(id)).or(inner.mine(id)));
+            inner.policy.set_engine_quota(e, slow_start, part(Capacity::Threads(id)).or(inner.mine(id)));
         }
         for (c, tenant) in tenants.iter().enumerate() {
-            inner.policy.quota_rate(c, parts.get(tenant).copied());
+            inner.policy.set_tenant_quota(c, parts.get(tenant).copied());
         }
     }
 
@@ -357,7 +358,7 @@
 
     /// The discovery service said something, be it that there is nothing new: the list holds as of then.
     pub fn heard(&self, at: Timestamp) {
-        lock(&self.inner).policy.heard(at);
+        lock(&self.inner).policy.confirm_endpoint_list(at);
     }
 
     /// Takes in an event of the discovery service; the engines whose connections are of no more use.
@@ -367,14 +368,14 @@
         let changes = inner.engines.follow(event);
         let now = self.clock.now();
         for (e, engine) in &changes.told {
-            inner.policy.engine(now, *e, *engine);
+            inner.policy.update_engine(now, *e, *engine);
             if changes.new.contains(e) {
                 // Until they are looked at: no more of a cold one than is kept back, and nothing outside of a subset.
                 let id = inner.engines.id(*e);
                 if inner.careful.is_some() {
-                    inner.policy.share(*e, inner.careful, id.and_then(|id| inner.mine(id)));
+                    inner.policy.set_engine_quota(*e, inner.careful, id.and_then(|id| inner.mine(id)));
                 }
-                inner.policy.use_engine(*e, id.is_none_or(|id| inner.uses(id)));
+                inner.policy.set_in_subset(*e, id.is_none_or(|id| inner.uses(id)));
             }
         }
         let gone = changes.told.iter().filter(|(_, engine)| engine.state == EngineState::Gone);
--- a/crates/gateway/src/subset.rs
+++ b/crates/gateway/src/subset.rs
@@ -4,7 +4,7 @@
 use crate::cluster::Gateways;
 use crate::state::State;
 use larchfall_operator_config::Subsets;
-use larchfall_policy::interface::{Fleet, RequestClass};
+use larchfall_policy::interface::{EngineHealth, Fleet, RequestClass};
 use larchfall_subsetting::aperture::{Aperture, Sight};
 use larchfall_subsetting::plan::Plan;
 use larchfall_subsetting::{Gateway, Listed, needs};
@@ -71,9 +71,10 @@
             let ready: BTreeSet<u32> = made.engines.iter().map(|x| x.id).collect();
             let mut sight = Sight { used: used.len(), ..Sight::default() };
             for id in &used {
-                let (failing, congested) = state.facade.standing(*id).unwrap_or((true, false));
-                sight.bad += usize::from(failing || !ready.contains(id));
-                sight.congested += usize::from(congested);
+                let unknown = EngineHealth { ejected: true, congested: false };
+                let health = state.facade.engine_health(*id).unwrap_or(unknown);
+                sight.bad += usize::from(health.ejected || !ready.contains(id));
+                sight.congested += usize::from(health.congested);
             }
             let planned = made.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
             aperture.look(sight, made.engines.len().saturating_sub(planned), now);
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -68,8 +68,8 @@
         let state = state.clone();
         may::go!(move || attempt::probe(&state, e));
     }
-    for line in state.facade.log_lines() {
-        info!(state.log, "{}", line);
+    for event in state.facade.take_events() {
+        info!(state.log, "{}", event);
     }
     let now = state.clock.now();
     state.pool.drop_stale(now);
--- /dev/null
+++ b/crates/policy/src/class_state.rs
@@ -0,0 +1,96 @@
+//! What is learned of each request class.
+
+use crate::memory_grant::MemoryGrant;
+use crate::request_class::{RankedClass, rank};
+use crate::slow_start::ClassMix;
+use crate::time::Duration;
+use crate::types::RequestClass;
+use crate::work_estimate::WorkEstimate;
+
+/// What is left of the threads that each class wanted, after each further request.
+const WANTED_DECAY: f64 = 0.999;
+
+/// Estimates of one class.
+struct Learned {
+    work: WorkEstimate,
+    memory: MemoryGrant,
+    /// Threads times requests lately: what the first limits of an engine are split by.
+    wanted_threads: f64,
+}
+
+/// All classes, ranked, with what is learned of each.
+pub(crate) struct ClassTable {
+    ranked: Vec<RankedClass>,
+    learned: Vec<Learned>,
+}
+
+impl ClassTable {
+    /// Classes of less than one thread count as one: no part below asks again.
+    pub fn new(mut classes: Vec<RequestClass>) -> ClassTable {
+        for class in &mut classes {
+            class.threads = class.threads.max(1.0);
+        }
+        let learned = |class: &RequestClass| Learned {
+            work: WorkEstimate::new(class),
+            memory: MemoryGrant::new(),
+            wanted_threads: class.threads,
+        };
+        let learned = classes.iter().map(learned).collect();
+        ClassTable { ranked: rank(classes), learned }
+    }
+
+    pub fn ranked(&self) -> &[RankedClass] {
+        &self.ranked
+    }
+
+    pub fn settings(&self, class: usize) -> &RequestClass {
+        &self.ranked[class].settings
+    }
+
+    pub fn threads(&self, class: usize) -> f64 {
+        self.ranked[class].settings.threads
+    }
+
+    pub fn wire_priority(&self, class: usize) -> u8 {
+        self.ranked[class].aimd.wire_priority
+    }
+
+    pub fn work(&self, class: usize) -> &WorkEstimate {
+        &self.learned[class].work
+    }
+
+    pub fn work_mut(&mut self, class: usize) -> &mut WorkEstimate {
+        &mut self.learned[class].work
+    }
+
+    pub fn memory(&self, class: usize) -> &MemoryGrant {
+        &self.learned[class].memory
+    }
+
+    pub fn memory_mut(&mut self, class: usize) -> &mut MemoryGrant {
+        &mut self.learned[class].memory
+    }
+
+    /// A request of the class was admitted.
+    pub fn record_request(&mut self, class: usize, work_hint: Option<Duration>) {
+        for learned in &mut self.learned {
+            learned.wanted_threads *= WANTED_DECAY;
+        }
+        self.learned[class].wanted_threads += self.threads(class);
+        self.learned[class].work.record_hint(work_hint);
+    }
+
+    pub fn wanted_threads(&self) -> Vec<f64> {
+        self.learned.iter().map(|learned| learned.wanted_threads).collect()
+    }
+
+    /// Requests lately and their usual work, by class.
+    pub fn mix(&self) -> Vec<ClassMix> {
+        let classes = self.learned.iter().zip(&self.ranked);
+        let mix = |(learned, class): (&Learned, &RankedClass)| ClassMix {
+            requests: learned.wanted_threads / class.settings.threads,
+            work: learned.work.mean(),
+        };
+        classes.map(mix).collect()
+    }
+}
--- /dev/null
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -0,0 +1,147 @@
+//! The end of an attempt: what it tells of its request, its engine and its class.
+
+use super::Policy;
+use crate::attempt_ledger::proves_end;
+use crate::class_state::ClassTable;
+use crate::engine_record::EngineRecord;
+use crate::event::Evidence;
+use crate::load_report::MeanLoad;
+use crate::request_record::{AttemptInFlight, RequestRecord};
+use crate::time::{Duration, Timestamp};
+use crate::types::{AfterAttempt, AttemptEvidence, AttemptResult, LastObservation, Outcome};
+use crate::work_estimate::ObservedWork;
+
+/// Bounds of the time over the work of one answer, as a sign of its engine's load.
+const MIN_SLOWDOWN: f64 = 0.8;
+const MAX_SLOWDOWN: f64 = 4.0;
+
+impl Policy {
+    /// What to do after an attempt has ended.
+    pub fn on_attempt_finished(
+        &mut self,
+        now: Timestamp,
+        request: usize,
+        number: u8,
+        result: &AttemptResult,
+    ) -> AfterAttempt {
+        let Some(record) = self.requests.get_mut(&request) else { return AfterAttempt::Finished };
+        let Some(attempt) = record.remove_attempt(number) else { return AfterAttempt::Finished };
+        if result.outcome == Outcome::Returned && !record.finished {
+            self.retry_budget.record_returned(record.admitted_time, now);
+        }
+        record.finished |= result.over;
+        record.may_still_run |= self.caps.single_attempt && !proves_end(result.seen);
+        if let Some(key) = record.request.key {
+            let uncertain = matches!(result.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+            self.key_order.on_attempt_finished(key, request, number, result.seen, uncertain, now);
+        }
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return AfterAttempt::Finished };
+        if !never_ran(result) {
+            record.record_possible_run(engine.listed, attempt.sent_time);
+        }
+        release(engine, record, &self.classes, now);
+        let bad = engine.judge(result.outcome, attempt.sent_time);
+        learn(engine, record, &attempt, result, &mut self.classes, &mut self.mean_slowdown, now);
+        engine.record_contact(result.outcome, now);
+        let finished = record.finished;
+        if let Some(bad) = bad {
+            self.record_engine_outcome(now, attempt.engine, bad, Evidence::Outcomes);
+        }
+        self.on_load_report(now, attempt.engine, result.report);
+        self.remove_if_over(request);
+        if finished { AfterAttempt::Finished } else { AfterAttempt::RouteAgain }
+    }
+
+    /// The caller's task for a request ended unexpectedly: nothing is known of what is in flight.
+    pub fn abandon(&mut self, now: Timestamp, request: usize) {
+        self.finish(request);
+        let evidence = AttemptEvidence { last: LastObservation::Lost, same_process: false };
+        let lost = AttemptResult::bare(Outcome::Cancelled, evidence);
+        while let Some(number) = self.first_in_flight(request) {
+            self.on_attempt_finished(now, request, number, &lost);
+        }
+    }
+
+    fn first_in_flight(&self, request: usize) -> Option<u8> {
+        let record = self.requests.get(&request)?;
+        Some(record.in_flight.first()?.number)
+    }
+}
+
+/// Rule 2's first question. What was cut off, then rejected on another connection may still arrive.
+fn never_ran(result: &AttemptResult) -> bool {
+    match result.outcome {
+        Outcome::ConnectFailed | Outcome::Moot => true,
+        Outcome::Full => result.seen.same_process,
+        Outcome::Returned | Outcome::Errored | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
+            false
+        }
+    }
+}
+
+/// Gives back what the attempt used at its engine.
+fn release(engine: &mut EngineRecord, record: &RequestRecord, classes: &ClassTable, now: Timestamp) {
+    let class = record.request.class;
+    engine.limit.finish_attempt(class, classes.threads(class));
+    if classes.settings(class).locks_data_set {
+        engine.locks.release(record.request.data_set);
+    }
+    engine.locks.remove_expired(now);
+}
+
+fn learn(
+    engine: &mut EngineRecord,
+    record: &RequestRecord,
+    attempt: &AttemptInFlight,
+    result: &AttemptResult,
+    classes: &mut ClassTable,
+    mean_slowdown: &mut MeanLoad,
+    now: Timestamp,
+) {
+    let class = record.request.class;
+    let returned = result.outcome == Outcome::Returned;
+    if attempt.memory_mb.is_some() && (attempt.spilled || returned) {
+        classes.memory_mut(class).record(attempt.spilled);
+    }
+    match result.outcome {
+        Outcome::Returned => {
+            let work = result.work.map(Duration::secs).or(record.work);
+            let late = result.took > classes.settings(class).objective_for(work);
+            let excused = attempt.waited_for_lock || attempt.connection_lost;
+            engine.limit.signal.record_answer(late && !excused);
+            let observed = ObservedWork {
+                hint: record.request.work,
+                estimate: record.work,
+                reported: result.work,
+                thread_seconds: result.took.secs() * classes.threads(class),
+            };
+            record_slowdown(engine, attempt, result, &observed, mean_slowdown, now);
+            classes.work_mut(class).record_answer(&observed);
+        }
+        Outcome::Full => engine.limit.signal.record_rejection(),
+        Outcome::TimedOut if !attempt.waited_for_lock => engine.limit.signal.record_rejection(),
+        Outcome::TimedOut
+        | Outcome::Errored
+        | Outcome::ConnectFailed
+        | Outcome::Reset
+        | Outcome::Cancelled
+        | Outcome::Moot => {}
+    }
+}
+
+/// Cores that are all busy look alike, and only the time that reported work took tells them apart.
+fn record_slowdown(
+    engine: &mut EngineRecord,
+    attempt: &AttemptInFlight,
+    result: &AttemptResult,
+    observed: &ObservedWork,
+    mean_slowdown: &mut MeanLoad,
+    now: Timestamp,
+) {
+    let Some(work) = observed.reported else { return };
+    if attempt.waited_for_lock || result.report.in_hand.is_some() {
+        return;
+    }
+    let slowdown = observed.thread_seconds / work.secs().max(0.001);
+    engine.load.record(slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN), mean_slowdown, now);
+}
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A gateway with a few engines, driven call by call.
 
-use larchfall_policy::interface::*;
 use larchfall_policy::policy::Policy;
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::*;
 
 /// The engine itself said the end.
 pub const SAID: AttemptEvidence = AttemptEvidence { last: LastObservation::Ended, same_process: true };
@@ -27,7 +27,7 @@
 }
 
 /// What a gateway of these tests is given, unless its test says something else.
-pub fn usual() -> PolicyConfig {
+pub fn typical_config() -> PolicyConfig {
     PolicyConfig {
         fleet: Fleet {
             gateways: 1,
@@ -71,7 +71,7 @@
         let policy = Policy::new(7 + self.fleet.me as u64, self);
         let mut gateway = Gateway { policy, next: 0 };
         for e in 0..engines {
-            gateway.policy.engine(ms(0), e, engine());
+            gateway.policy.update_engine(ms(0), e, engine());
         }
         gateway
     }
@@ -104,30 +104,30 @@
 
 impl Gateway {
     /// Takes the request and asks once; its index and the answer.
-    pub fn take(&mut self, at: u64, request: Request) -> (usize, RoutingDecision) {
+    pub fn admit(&mut self, time: u64, request: Request) -> (usize, RoutingDecision) {
         let b = self.next;
         self.next += 1;
-        self.policy.take(ms(at), b, request);
-        (b, self.policy.place(ms(at), b))
+        self.policy.admit(ms(time), b, request);
+        (b, self.policy.route(ms(time), b))
     }
 
     /// How many of `n` requests of one class, taken at once, are sent.
     pub fn send_all(&mut self, n: usize, class: usize) -> usize {
-        (0..n).filter(|_| sent_to(self.take(2, request(class)).1).is_some()).count()
+        (0..n).filter(|_| sent_to(self.admit(2, request(class)).1).is_some()).count()
     }
 
-    pub fn end(&mut self, at: u64, b: usize, number: u8, outcome: Outcome, took_ms: u64) -> AfterAttempt {
-        self.finish(at, b, number, outcome, took_ms, LoadReport::default())
+    pub fn end(&mut self, time: u64, b: usize, number: u8, outcome: Outcome, took_ms: u64) -> AfterAttempt {
+        self.finish(time, b, number, outcome, took_ms, LoadReport::default())
     }
 
     /// The first attempt of a request ends with a load report.
-    pub fn end_with(&mut self, at: u64, b: usize, outcome: Outcome, took_ms: u64, report: LoadReport) {
-        self.finish(at, b, 0, outcome, took_ms, report);
+    pub fn end_with(&mut self, time: u64, b: usize, outcome: Outcome, took_ms: u64, report: LoadReport) {
+        self.finish(time, b, 0, outcome, took_ms, report);
     }
 
     fn finish(
         &mut self,
-        at: u64,
+        time: u64,
         b: usize,
         number: u8,
         outcome: Outcome,
@@ -142,7 +142,7 @@
             work: None,
             report,
         };
-        self.policy.after(ms(at), b, number, &answer)
+        self.policy.on_attempt_finished(ms(time), b, number, &answer)
     }
 }
 
--- a/crates/policy/tests/account.rs
+++ b/crates/policy/tests/key_order.rs
@@ -1,9 +1,10 @@
-//! The account of a key against a plain world of engines that run what came to them until it is known not to:
+//! The key_order of a key against a plain world of engines that run what came to them until it is known not to:
 //! every order of two requests by model checking, longer ones by chance.
 
-use larchfall_policy::interface::{AttemptEvidence, LastObservation};
-use larchfall_policy::policy::account::{Account, proves_over};
+use larchfall_policy::attempt_ledger::proves_end;
+use larchfall_policy::key_order::KeyOrder;
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{AttemptEvidence, LastObservation};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
@@ -46,7 +47,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    account: Account,
+    key_order: KeyOrder,
     now: u64,
     requests: Vec<(Is, u8)>,
     flying: Vec<There>,
@@ -81,7 +82,7 @@
     Tick,
 }
 
-/// How the gateway reads what is said: with care, or as it did before the account, when every 204 was an end, or
+/// How the gateway reads what is said: with care, or as it did before the key_order, when every 204 was an end, or
 /// when an engine about to go was held to forget like any other, or to be gone within a fixed time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Reading {
@@ -105,7 +106,7 @@
 impl World {
     fn new(x: &Bounds) -> World {
         World {
-            account: Account::new(
+            key_order: KeyOrder::new(
                 Duration::ZERO,
                 if x.reading == Reading::Forgotten { Duration::from_micros(RECKONED) } else { LETS_GO },
             ),
@@ -137,7 +138,7 @@
                 *is(b) == Is::Waits
                     && self.requests[b].1 < x.tries
                     && self.listens[e].is_some()
-                    && self.account.has_turn(KEY, b, at(self.now))
+                    && self.key_order.is_next(KEY, b, at(self.now))
             }
             Act::Arrive(i) => i < self.flying.len(),
             Act::Finish(i) => i < self.running.len(),
@@ -168,14 +169,14 @@
         match act {
             Act::Take(b) => {
                 self.requests[b].0 = Is::Waits;
-                self.account.take(KEY, b);
+                self.key_order.admit(KEY, b);
             }
             Act::Send(b, e) => {
                 if self.requests[..b].iter().any(|(is, _)| *is != Is::Over) {
                     self.broken = Some("sent while an earlier one is not over");
                 }
                 let process = self.listens[e].unwrap();
-                self.account.sent(KEY, b, self.requests[b].1, process);
+                self.key_order.on_attempt_started(KEY, b, self.requests[b].1, process);
                 self.flying.push(There { request: b, process, since: self.now });
                 let link = Some(Link { process, same_process: true });
                 self.requests[b].0 = Is::Out { engine: e, link };
@@ -220,9 +221,9 @@
                 let drains = &self.drains;
                 self.running.retain(|r| drains.contains(&r.process) || now - r.since <= held(r));
                 if x.reading != Reading::FixedTime {
-                    self.account.hold(at(now + 2), |process| drains.contains(&process));
+                    self.key_order.hold(at(now + 2), |process| drains.contains(&process));
                 }
-                self.account.tidy(at(now));
+                self.key_order.remove_idle_keys(at(now));
             }
         }
     }
@@ -257,13 +258,13 @@
         let same = trusted || link.as_ref().is_some_and(|l| l.same_process);
         let seen = AttemptEvidence { last, same_process: same };
         let number = self.requests[b].1;
-        self.account.ended(KEY, b, number, seen, false, at(self.now));
+        self.key_order.on_attempt_finished(KEY, b, number, seen, false, at(self.now));
         self.requests[b] = (Is::Waits, number + 1);
     }
 
     fn leave(&mut self, b: usize) {
         self.requests[b].0 = Is::Over;
-        self.account.leave(KEY, b);
+        self.key_order.remove(KEY, b);
     }
 }
 
@@ -288,7 +289,7 @@
     fn properties(&self) -> Vec<Property<Bounds>> {
         vec![
             Property::always("rule 5", |_: &Bounds, w: &World| w.broken.is_none()),
-            // Else an account that lets nobody go would pass.
+            // Else an key_order that lets nobody go would pass.
             Property::sometimes("both end", |_: &Bounds, w: &World| {
                 w.requests.iter().all(|(is, _)| *is == Is::Over) && w.ended.len() == 2
             }),
@@ -328,7 +329,7 @@
     ];
     for last in [NotSent, Declined, Ended, Stopped, Unknown, Refused, Silent, Lost] {
         for same in [true, false] {
-            let proof = proves_over(AttemptEvidence { last, same_process: same });
+            let proof = proves_end(AttemptEvidence { last, same_process: same });
             assert_eq!(proof, over.contains(&(last, same)), "{last:?} {same}");
         }
     }
@@ -336,10 +337,10 @@
 
 #[test]
 fn an_index_that_serves_again_is_not_taken_for_the_one_before() {
-    let mut account = Account::new(Duration::ZERO, LETS_GO);
-    account.take(KEY, 0);
-    account.sent(KEY, 0, 0, 0);
-    account.ended(
+    let mut key_order = KeyOrder::new(Duration::ZERO, LETS_GO);
+    key_order.admit(KEY, 0);
+    key_order.on_attempt_started(KEY, 0, 0, 0);
+    key_order.on_attempt_finished(
         KEY,
         0,
         0,
@@ -347,14 +348,14 @@
         false,
         at(0),
     );
-    account.leave(KEY, 0);
-    account.take(KEY, 0);
+    key_order.remove(KEY, 0);
+    key_order.admit(KEY, 0);
     let over = RUNS_ON + 2;
-    assert!(!account.has_turn(KEY, 0, at(over - 1)), "what may run is another batch's");
-    assert!(account.has_turn(KEY, 0, at(over)));
-    account.leave(KEY, 0);
-    account.tidy(at(over));
-    assert_eq!(account, Account::new(Duration::ZERO, LETS_GO), "nothing is left of the key");
+    assert!(!key_order.is_next(KEY, 0, at(over - 1)), "what may run is another batch's");
+    assert!(key_order.is_next(KEY, 0, at(over)));
+    key_order.remove(KEY, 0);
+    key_order.remove_idle_keys(at(over));
+    assert_eq!(key_order, KeyOrder::new(Duration::ZERO, LETS_GO), "nothing is left of the key");
 }
 
 #[test]
@@ -371,14 +372,14 @@
         (Ended, true, true),
     ];
     for (last, unsure, rests) in cases {
-        let mut account = Account::new(Duration::from_micros(QUIET), LETS_GO);
-        account.take(KEY, 0);
-        account.sent(KEY, 0, 0, 0);
-        account.ended(KEY, 0, 0, AttemptEvidence { last, same_process: true }, unsure, at(0));
-        account.leave(KEY, 0);
-        account.take(KEY, 1);
-        assert_eq!(account.has_turn(KEY, 1, at(QUIET - 1)), !rests, "{last:?} {unsure}");
-        assert!(account.has_turn(KEY, 1, at(QUIET)), "{last:?} {unsure}");
+        let mut key_order = KeyOrder::new(Duration::from_micros(QUIET), LETS_GO);
+        key_order.admit(KEY, 0);
+        key_order.on_attempt_started(KEY, 0, 0, 0);
+        key_order.on_attempt_finished(KEY, 0, 0, AttemptEvidence { last, same_process: true }, unsure, at(0));
+        key_order.remove(KEY, 0);
+        key_order.admit(KEY, 1);
+        assert_eq!(key_order.is_next(KEY, 1, at(QUIET - 1)), !rests, "{last:?} {unsure}");
+        assert!(key_order.is_next(KEY, 1, at(QUIET)), "{last:?} {unsure}");
     }
 }
 
--- /dev/null
+++ b/crates/policy/tests/policy/cancellation.rs
@@ -0,0 +1,75 @@
+//! Attempts that are cancelled while in flight.
+
+use crate::common::*;
+use larchfall_policy::time::Duration;
+use larchfall_policy::types::{Outcome, ProgressUpdate, Request, RoutingDecision};
+
+#[test]
+fn attempts_off_their_estimate_or_silent_are_cancelled_where_they_may_run_again() {
+    // (class, share done after 1 s, heard from others since, call it off)
+    for (class, done, off) in [
+        (REPORT, Some(0.01), true),
+        (REPORT, Some(0.99), false),
+        (LOAD, Some(0.01), false),
+        (REPORT, None, true),
+        (LOAD, None, false),
+    ] {
+        let mut gateway = typical_config().start(2);
+        let (b, place) =
+            gateway.admit(0, Request { work: Some(Duration::from_millis(2000)), ..request(class) });
+        assert!(sent_to(place).is_some());
+        if let Some(share) = done {
+            gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::Done(share));
+        } else {
+            for tick in 1..=10 {
+                gateway.policy.tick(ms(tick * 250));
+            }
+        }
+        let place = gateway.policy.route(ms(if done.is_some() { 1001 } else { 2500 }), b);
+        assert_eq!(
+            place == RoutingDecision::CancelAttempt(0),
+            off,
+            "group {class}, done {done:?}: {place:?}"
+        );
+        if off && done.is_some() {
+            // What is as slow elsewhere was estimated wrong: once is enough.
+            gateway.end(1002, b, 0, Outcome::Cancelled, 1002);
+            assert!(sent_to(gateway.policy.route(ms(1002), b)).is_some());
+            gateway.policy.on_progress(ms(2002), b, 1, ProgressUpdate::Done(0.01));
+            assert_eq!(gateway.policy.route(ms(2003), b), RoutingDecision::Wait);
+        }
+    }
+}
+
+#[test]
+fn attempts_that_wait_past_their_objective_are_cancelled_where_engines_swap() {
+    // (engines page, asked at ms, call it off); the goal is 1.4 s
+    for (swaps_when_out_of_memory, at, off) in [(true, 1500, true), (true, 1300, false), (false, 1500, false)]
+    {
+        let mut config = typical_config();
+        config.caps.swaps_when_out_of_memory = swaps_when_out_of_memory;
+        let mut gateway = config.start(1);
+        let (b, _) = gateway.admit(0, request(LOOK_UP));
+        gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::WaitsForHolder);
+        assert_eq!(
+            gateway.policy.route(ms(at), b) == RoutingDecision::CancelAttempt(0),
+            off,
+            "{swaps_when_out_of_memory} at {at}"
+        );
+    }
+}
+
+#[test]
+fn attempts_of_a_disconnected_client_are_cancelled() {
+    // (may call off, outcome known before the client left, what is called off)
+    for (may, ended, off) in [(true, false, vec![0]), (false, false, vec![]), (true, true, vec![])] {
+        let mut config = typical_config();
+        config.caps.can_cancel = may;
+        let mut gateway = config.start(1);
+        let (b, _) = gateway.admit(0, request(LOAD));
+        if ended {
+            gateway.end(10, b, 0, Outcome::Full, 10);
+        }
+        assert_eq!(gateway.policy.on_client_disconnected(b), off, "{may} {ended}");
+    }
+}
--- /dev/null
+++ b/crates/policy/tests/policy/requests.rs
@@ -0,0 +1,124 @@
+//! A request from admission to its final answer.
+
+use crate::common::*;
+use larchfall_policy::time::Duration;
+use larchfall_policy::types::{
+    AfterAttempt, AttemptParameters, Caps, Fleet, Outcome, PolicyConfig, ProgressUpdate, Request,
+    RetryBudgetRule, RoutingDecision, SlowStartPolicy, Tenant,
+};
+
+#[test]
+fn an_abandoned_request_leaves_with_its_key() {
+    let mut config = PolicyConfig {
+        caps: Caps {
+            unobserved_attempt_lifetime: Some(Duration::from_millis(2_150)),
+            ..typical_config().caps
+        },
+        ..typical_config()
+    };
+    config.classes[LOAD].in_order = true;
+    let mut gateway = config.start(2);
+    let keyed = Request { key: Some(9), ..request(LOAD) };
+    let (first, place) = gateway.admit(0, keyed.clone());
+    assert!(sent_to(place).is_some());
+    let (second, _) = gateway.admit(1, keyed);
+    gateway.policy.abandon(ms(10), first);
+    for (at, turn) in [(20, false), (2_159, false), (2_160, true)] {
+        assert_eq!(sent_to(gateway.policy.route(ms(at), second)).is_some(), turn, "at {at}");
+    }
+}
+
+#[test]
+fn a_request_without_time_for_its_work_is_rejected_at_once() {
+    // (class, work ms on one thread, time left ms, sent)
+    for (class, work, left, sent) in [
+        (LOOK_UP, 200, 300, true),
+        (LOOK_UP, 200, 150, false),
+        (REPORT, 4000, 1200, true),
+        (REPORT, 4000, 900, false),
+        (LOAD, 200, 90, false),
+    ] {
+        let one = Request { work: Some(Duration::from_millis(work)), deadline: ms(left), ..request(class) };
+        let (_, place) = typical_config().start(2).admit(0, one);
+        assert_eq!(sent_to(place).is_some(), sent, "group {class}, {work} ms, {left} left: {place:?}");
+        assert!(sent || matches!(place, RoutingDecision::Reject(Some(_))));
+    }
+}
+
+#[test]
+fn memory_grants_follow_reports_of_spilling() {
+    for (spills, more) in [(true, true), (false, false)] {
+        let mut gateway = typical_config().start(4);
+        let grant = |place| match place {
+            RoutingDecision::Send(AttemptParameters { memory_mb: Some(mb), .. }) => mb,
+            other => panic!("{other:?}"),
+        };
+        let (b, place) = gateway.admit(0, request(LOOK_UP));
+        let before = grant(place);
+        if spills {
+            gateway.policy.on_progress(ms(10), b, 0, ProgressUpdate::SpillsMb(50.0));
+        }
+        gateway.end(20, b, 0, Outcome::Returned, 20);
+        assert_eq!(grant(gateway.admit(30, request(LOOK_UP)).1) > before, more);
+    }
+}
+
+#[test]
+fn a_tenant_beyond_its_quota_leaves_room_for_the_others() {
+    let tenants = vec![Tenant { quota_rate: 2.0 }, Tenant { quota_rate: 100.0 }];
+    let mut gateway = PolicyConfig { tenants, ..typical_config() }.start(1);
+    let of = |tenant| Request { tenant: Some(tenant), ..request(LOOK_UP) };
+    let first = (0..40).filter(|_| sent_to(gateway.admit(0, of(0)).1).is_some()).count();
+    let second = (0..40).filter(|_| sent_to(gateway.admit(0, of(1)).1).is_some()).count();
+    assert!(first < 12 && second > 0, "{first} of the one, {second} of the other");
+}
+
+#[test]
+fn legal_but_odd_settings_are_decided_on() {
+    let odd: [fn(&mut PolicyConfig); 6] = [
+        |r| r.fleet = Fleet::default(),
+        |r| r.caps = Caps::default(),
+        |r| r.slow_start = SlowStartPolicy::default(),
+        |r| r.retry_budget = Some(RetryBudgetRule::default()),
+        |r| r.tenants = vec![Tenant::default()],
+        |r| {
+            r.classes.iter_mut().for_each(|g| {
+                (g.threads, g.priority_weight, g.latency_objective) = (0.0, 0.0, Duration::ZERO)
+            })
+        },
+    ];
+    for (i, change) in odd.iter().enumerate() {
+        for engines in [0, 1] {
+            let mut config = typical_config();
+            change(&mut config);
+            let mut gateway = config.start(engines);
+            let (b, place) =
+                gateway.admit(0, Request { work: None, memory_mb: None, tenant: Some(0), ..request(REPORT) });
+            assert_eq!(sent_to(place).is_some(), engines == 1, "case {i}");
+            let more = (0..40).filter(|_| sent_to(gateway.admit(0, request(LOOK_UP)).1).is_some()).count();
+            assert!(more < 40, "case {i}: nothing binds");
+            gateway.policy.tick(ms(250));
+            if engines == 1 {
+                assert_eq!(gateway.end(300, b, 0, Outcome::Returned, 300), AfterAttempt::Finished);
+            }
+        }
+    }
+}
+
+// Guards against work that outlasts a planned restart: it would be lost without an answer.
+#[test]
+fn requests_have_their_answer_before_the_gateway_ends() {
+    // What became of its attempt, and the answer that ends it, with twenty seconds left of its own time.
+    let cases = [(0, Outcome::TimedOut, true), (2, Outcome::TimedOut, false), (2, Outcome::Full, true)];
+    for (class, outcome, harmless) in cases {
+        let mut gateway = typical_config().start(2);
+        let (b, place) = gateway.admit(0, request(class));
+        assert!(sent_to(place).is_some());
+        gateway.policy.set_shutdown_deadline(ms(3000));
+        assert_eq!(gateway.policy.route(ms(2000), b), RoutingDecision::Wait);
+        assert_eq!(gateway.end(2990, b, 0, outcome, 2990), AfterAttempt::RouteAgain);
+        let place = gateway.policy.route(ms(2990), b);
+        assert_eq!(matches!(place, RoutingDecision::Reject(_)), harmless, "{outcome:?}: {place:?}");
+        assert!(harmless || place == RoutingDecision::Fail, "{outcome:?}: {place:?}");
+    }
+}
--- /dev/null
+++ b/crates/policy/tests/policy/rules.rs
@@ -0,0 +1,327 @@
+//! The seven rules, case by case.
+
+use crate::common::*;
+use larchfall_policy::event::PolicyEvent;
+use larchfall_policy::time::Duration;
+use larchfall_policy::types::{
+    AfterAttempt, AttemptEvidence, AttemptResult, DeduplicationScope, Engine, EngineState, Idempotency,
+    LastObservation, Outcome, PolicyConfig, Request, RetryBudgetRule, RoutingDecision,
+};
+
+#[test]
+fn rule_1_every_attempt_ends_before_the_deadline() {
+    // (taken at ms, time limit at ms, sent at all)
+    for (at, limit, sends) in
+        [(0, 1000, true), (0, 20, true), (0, 15, false), (0, 5, false), (100, 50, false)]
+    {
+        let mut gateway = typical_config().start(2);
+        let (_, place) = gateway.admit(at, Request { deadline: ms(limit), work: None, ..request(LOOK_UP) });
+        match place {
+            RoutingDecision::Send(d) => {
+                assert!(sends && ms(at) + d.time_out + Duration::from_millis(5) < ms(limit))
+            }
+            other => assert!(
+                !sends && matches!(other, RoutingDecision::Reject(Some(_))),
+                "{at} {limit}: {other:?}"
+            ),
+        }
+    }
+}
+
+#[test]
+fn rule_1_a_request_waiting_for_its_key_is_checked_in_time() {
+    // (asked at ms, time limit at ms, asked again at ms): its look, or the last safe moment
+    for (at, limit, again) in [(0, 1000, 20), (0, 30, 15), (970, 1000, 985)] {
+        let mut config = typical_config();
+        config.classes[LOAD].in_order = true;
+        let mut gateway = config.start(1);
+        gateway.admit(0, Request { key: Some(1), work: None, ..request(LOAD) });
+        let waiting = Request { key: Some(1), deadline: ms(limit), work: None, ..request(LOAD) };
+        let (b, place) = gateway.admit(at, waiting);
+        assert_eq!((place, gateway.policy.next_check(ms(at), b)), (RoutingDecision::Wait, ms(again)));
+        assert!(matches!(gateway.policy.route(ms(limit - 15), b), RoutingDecision::Reject(_)));
+    }
+}
+
+#[test]
+fn rule_2_what_may_have_run_is_neither_retried_nor_rejected() {
+    let referenced = |scope| Idempotency::IdempotentWithKey { scope, window: Duration::from_millis(3000) };
+    let cases = [
+        // effect, outcome, at ms, sent again, else pushed back
+        (Idempotency::Idempotent, Outcome::Reset, 100, true, true),
+        (Idempotency::Idempotent, Outcome::Full, 100, true, true),
+        (Idempotency::NonIdempotent, Outcome::Full, 100, true, true),
+        (Idempotency::NonIdempotent, Outcome::ConnectFailed, 100, true, true),
+        (Idempotency::NonIdempotent, Outcome::Errored, 100, false, false),
+        (Idempotency::NonIdempotent, Outcome::Reset, 100, false, false),
+        (Idempotency::NonIdempotent, Outcome::TimedOut, 100, false, false),
+        (Idempotency::NonIdempotent, Outcome::Cancelled, 100, false, false),
+        (referenced(DeduplicationScope::All), Outcome::Reset, 100, true, true),
+        (referenced(DeduplicationScope::All), Outcome::Reset, 3000, false, true),
+        (referenced(DeduplicationScope::Zone), Outcome::Reset, 100, false, false),
+        (referenced(DeduplicationScope::Cell), Outcome::Reset, 100, false, false),
+        (referenced(DeduplicationScope::Cell), Outcome::ConnectFailed, 100, true, true),
+    ];
+    for (effect, outcome, at, again, push_back) in cases {
+        let mut config = typical_config();
+        config.classes[LOAD].effect = effect;
+        let mut gateway = config.start(1);
+        let (b, place) = gateway.admit(0, request(LOAD));
+        assert_eq!(sent_to(place), Some(0));
+        gateway.policy.update_engine(ms(1), 0, Engine { state: EngineState::Gone, ..engine() });
+        gateway.policy.update_engine(ms(1), 1, Engine { zone: 1, cell: 1, ..engine() });
+        assert_eq!(gateway.end(at, b, 0, outcome, at), AfterAttempt::RouteAgain);
+        let place = gateway.policy.route(ms(at), b);
+        assert_eq!(sent_to(place).is_some(), again, "{effect:?} {outcome:?} at {at}: {place:?}");
+        if !again {
+            assert_eq!(
+                matches!(place, RoutingDecision::Reject(_)),
+                push_back,
+                "{effect:?} {outcome:?}: {place:?}"
+            );
+        }
+    }
+}
+
+/// Guards against a second copy where none is allowed: an outcome on the gateway's side is no end at the engine.
+#[test]
+fn rule_2_no_retry_beside_what_may_run_where_a_single_attempt_is_allowed() {
+    let seen = |last, same_process| AttemptEvidence { last, same_process };
+    let cases = [
+        // (one at a time, what was seen of the first, sent again)
+        (false, seen(LastObservation::Silent, true), true),
+        (true, seen(LastObservation::Silent, true), false),
+        (true, seen(LastObservation::Refused, true), false),
+        (true, seen(LastObservation::Stopped, false), false),
+        (true, seen(LastObservation::Stopped, true), true),
+        (true, seen(LastObservation::Ended, true), true),
+        (true, seen(LastObservation::NotSent, false), true),
+    ];
+    for (single_attempt, seen, again) in cases {
+        let mut config = typical_config();
+        config.caps.single_attempt = single_attempt;
+        let mut gateway = config.start(3);
+        let (b, place) = gateway.admit(0, request(LOOK_UP));
+        assert!(sent_to(place).is_some());
+        let answer = AttemptResult { over: false, ..AttemptResult::bare(Outcome::Cancelled, seen) };
+        assert_eq!(gateway.policy.on_attempt_finished(ms(100), b, 0, &answer), AfterAttempt::RouteAgain);
+        let place = gateway.policy.route(ms(100), b);
+        assert_eq!(sent_to(place).is_some(), again, "{single_attempt} {seen:?}: {place:?}");
+        assert!(again || matches!(place, RoutingDecision::Reject(_)), "{place:?}");
+    }
+}
+
+#[test]
+fn rules_3_and_6_only_ready_engines_that_the_class_allows_get_anything() {
+    let gone = Engine { state: EngineState::Gone, ..engine() };
+    let draining = Engine { state: EngineState::Draining, ..engine() };
+    let (kind_1, zone_1) = (Engine { kind: 1, ..engine() }, Engine { zone: 1, ..engine() });
+    let cases = [
+        // engines, kinds and zones allowed, where it goes
+        (vec![gone, engine()], None, None, Some(1)),
+        (vec![draining, gone], None, None, None),
+        (vec![], None, None, None),
+        (vec![engine(), kind_1], Some(vec![1]), None, Some(1)),
+        (vec![engine(), Engine { state: EngineState::Draining, ..kind_1 }], Some(vec![1]), None, None),
+        (vec![engine(), zone_1], None, Some(vec![1]), Some(1)),
+        (vec![engine(), zone_1], Some(vec![1]), Some(vec![1]), None),
+    ];
+    for (i, (engines, kinds, zones, to)) in cases.into_iter().enumerate() {
+        let mut config = typical_config();
+        (config.classes[REPORT].kinds, config.classes[REPORT].zones) = (kinds, zones);
+        let mut gateway = config.start(0);
+        for (e, engine) in engines.into_iter().enumerate() {
+            gateway.policy.update_engine(ms(0), e, engine);
+        }
+        assert_eq!(sent_to(gateway.admit(0, request(REPORT)).1), to, "case {i}");
+    }
+}
+
+#[test]
+fn rule_3_an_expired_endpoint_list_opens_no_engine() {
+    let nine = Some(Duration::from_millis(9_000));
+    // (how long a list holds, when it was heard of, taken at, whether it goes out, what the tick says)
+    let cases = [
+        (None, &[][..], 60_000, true, &[][..]),
+        (nine, &[0][..], 8_999, true, &[]),
+        (nine, &[0][..], 9_000, false, &[PolicyEvent::EndpointListExpired][..]),
+        (nine, &[0, 5_000][..], 13_999, true, &[]),
+        (nine, &[5_000, 0][..], 13_999, true, &[]),
+        (nine, &[0, 10_000][..], 10_001, true, &[]),
+    ];
+    for (holds, heard, at, sends, events) in cases {
+        let mut config = typical_config();
+        config.caps.endpoint_list_lifetime = holds;
+        let mut gateway = config.start(2);
+        heard.iter().for_each(|at| gateway.policy.confirm_endpoint_list(ms(*at)));
+        let one = Request { deadline: ms(90_000), ..request(LOOK_UP) };
+        let (_, place) = gateway.admit(at, one.clone());
+        assert_eq!(sent_to(place).is_some(), sends, "{holds:?} {heard:?} {at}: {place:?}");
+        assert!(sends || matches!(place, RoutingDecision::Reject(Some(_))), "{place:?}");
+        gateway.policy.tick(ms(at));
+        assert_eq!(gateway.policy.take_events(), events);
+        gateway.policy.confirm_endpoint_list(ms(at));
+        assert!(sent_to(gateway.admit(at, one).1).is_some(), "heard again");
+    }
+}
+
+#[test]
+fn rule_4_all_gateways_send_an_engine_in_slow_start_no_more_than_its_budget() {
+    // (gateways, age of the engine in ms, work a request in ms, most and least that all of them send at once); what is over
+    // a gateway's share goes by turns, so that only the sum says anything
+    let cases = [
+        (1, 500, 1000, 1, 7),
+        (4, 500, 1000, 1, 4),
+        (8, 500, 4000, 0, 2),
+        (4, 14_000, 1000, 12, 24),
+        (1, 16_000, 1000, 99, 100),
+    ];
+    for (gateways, age, work, least, most) in cases {
+        let mut sent = 0;
+        for me in 0..gateways {
+            let mut config = typical_config();
+            (config.fleet.gateways, config.fleet.me) = (gateways, me);
+            let mut gateway = config.start(0);
+            // It has been there for longer than the engine: one that has not knows nothing of what was sent before it.
+            gateway.policy.update_engine(ms(0), 9, Engine { state: EngineState::Gone, ..engine() });
+            gateway.policy.update_engine(
+                ms(20_000),
+                0,
+                Engine { started: Some(ms(20_000 - age)), ..engine() },
+            );
+            let one =
+                Request { work: Some(Duration::from_millis(work)), deadline: ms(60_000), ..request(LOOK_UP) };
+            for i in 0..100 {
+                // Each returns in time, so that only the cold rule holds anything back.
+                let (b, place) = gateway.admit(20_000 + i, one.clone());
+                if let Some(_e) = sent_to(place) {
+                    sent += 1;
+                    gateway.end(20_000 + i, b, 0, Outcome::Returned, work);
+                }
+            }
+        }
+        assert!((least..=most).contains(&sent), "{gateways} fronts, age {age}: {sent} sent");
+    }
+}
+
+#[test]
+fn rule_4_holds_for_the_first_requests_of_a_gateway() {
+    // (estimate of the first in ms, most that a cold engine gets of them at once); the goal has room for 1 s
+    // each
+    for (work, most) in [(None, 7), (Some(1000), 7)] {
+        let mut gateway = typical_config().start(0);
+        gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
+        let one = Request { work: work.map(Duration::from_millis), ..request(LOOK_UP) };
+        let sent = (0..12).filter(|_| sent_to(gateway.admit(0, one.clone()).1).is_some()).count();
+        assert!((1..=most).contains(&sent), "{work:?}: {sent} sent");
+    }
+}
+
+#[test]
+fn rule_5_requests_of_one_key_go_in_order_after_a_cooldown() {
+    // outcome of the first, whether the client left it, then when the second may go: at the end, or after the
+    // rest
+    for (outcome, left, rests) in [
+        (Outcome::Returned, false, false),
+        (Outcome::TimedOut, true, true),
+        (Outcome::Cancelled, true, true),
+        (Outcome::Reset, true, true),
+        (Outcome::Errored, true, false),
+    ] {
+        let mut config = PolicyConfig { key_cooldown: Duration::from_millis(300), ..typical_config() };
+        config.classes[LOAD].in_order = true;
+        let mut gateway = config.start(3);
+        let keyed = |k| Request { key: Some(k), ..request(LOAD) };
+        let (first, place) = gateway.admit(0, keyed(9));
+        assert!(sent_to(place).is_some());
+        let (second, place) = gateway.admit(1, keyed(9));
+        assert_eq!(place, RoutingDecision::Wait);
+        assert!(sent_to(gateway.admit(1, keyed(8)).1).is_some(), "another key is free");
+        let unordered = Request { key: Some(9), ..request(LOOK_UP) };
+        assert!(sent_to(gateway.admit(1, unordered).1).is_some(), "its group asks for no order");
+        if left {
+            gateway.policy.on_client_disconnected(first);
+            assert_eq!(
+                gateway.policy.route(ms(60), second),
+                RoutingDecision::Wait,
+                "a dispatch of the first is still out"
+            );
+        }
+        gateway.end(100, first, 0, outcome, 100);
+        assert_eq!(sent_to(gateway.policy.route(ms(110), second)).is_none(), rests, "{outcome:?}");
+        assert!(
+            !rests || sent_to(gateway.policy.route(ms(401), second)).is_some(),
+            "{outcome:?} after the rest"
+        );
+    }
+}
+
+#[test]
+fn rule_7_retries_stay_within_the_budget() {
+    // (free, a request, requests returned, how a flood of 200 ends, retries got)
+    for (free, per_request, returned, flood, got) in [
+        (0.0, 0.0, 10, None, 0),
+        (2.0, 0.0, 10, None, 2),
+        (2.0, 0.1, 20, None, 4),
+        (0.0, 0.1, 9, None, 0),
+        (2.0, 0.1, 20, Some(Outcome::Cancelled), 4),
+        (2.0, 0.1, 20, Some(Outcome::Errored), 4),
+        (2.0, 0.1, 20, Some(Outcome::Returned), 4),
+        (2.0, 0.1, 0, Some(Outcome::Cancelled), 2),
+    ] {
+        let rule = RetryBudgetRule { window: Duration::from_millis(10_000), free, per_request };
+        let config = PolicyConfig { retry_budget: Some(rule), ..typical_config() };
+        let mut gateway = config.start(4);
+        for _ in 0..returned {
+            let b = gateway.admit(0, request(LOOK_UP)).0;
+            gateway.end(5, b, 0, Outcome::Returned, 5);
+        }
+        // Taken back, be it before or after an engine has answered: none of it may widen the retry budget.
+        for outcome in (0..200).filter_map(|_| flood) {
+            let b = gateway.admit(6, request(LOOK_UP)).0;
+            gateway.policy.on_client_disconnected(b);
+            gateway.end(7, b, 0, outcome, 1);
+        }
+        let mut further = 0;
+        for _ in 0..10 {
+            let b = gateway.admit(9, request(LOOK_UP)).0;
+            gateway.end(10, b, 0, Outcome::Full, 1);
+            further += usize::from(sent_to(gateway.policy.route(ms(10), b)).is_some());
+        }
+        assert_eq!(further, got, "{free} + {per_request} a batch of {returned}, {flood:?}");
+    }
+}
+
+#[test]
+fn rule_7_a_returned_request_counts_from_its_admission() {
+    let rule = RetryBudgetRule { window: Duration::from_millis(1_000), free: 0.0, per_request: 1.0 };
+    let mut gateway = PolicyConfig { retry_budget: Some(rule), ..typical_config() }.start(4);
+    // A long one ends after a short one that was taken later.
+    let (long, _) = gateway.admit(0, request(LOOK_UP));
+    let (short, _) = gateway.admit(500, request(LOOK_UP));
+    gateway.end(600, short, 0, Outcome::Returned, 100);
+    gateway.end(900, long, 0, Outcome::Returned, 900);
+    let mut further = |at, allowed| {
+        let (b, _) = gateway.admit(at, request(LOOK_UP));
+        gateway.end(at, b, 0, Outcome::Full, 1);
+        assert_eq!(sent_to(gateway.policy.route(ms(at), b)).is_some(), allowed, "at {at}");
+    };
+    further(999, true);
+    further(1_100, false);
+    further(1_600, false);
+}
+
+#[test]
+fn rule_2_what_was_cut_off_and_then_rejected_may_have_run() {
+    for (same_process, place) in
+        [(true, RoutingDecision::Reject(Some(Duration::from_millis(500)))), (false, RoutingDecision::Fail)]
+    {
+        let mut gateway =
+            PolicyConfig { retry_budget: Some(RetryBudgetRule::default()), ..typical_config() }.start(1);
+        let (b, _) = gateway.admit(0, request(LOAD));
+        let seen = AttemptEvidence { last: LastObservation::Declined, same_process };
+        let answer = AttemptResult { over: false, ..AttemptResult::bare(Outcome::Full, seen) };
+        gateway.policy.on_attempt_finished(ms(1), b, 0, &answer);
+        assert_eq!(gateway.policy.route(ms(1), b), place, "{same_process}");
+    }
+}
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::*;
-use larchfall_policy::interface::*;
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::*;
 use nanorand::{Rng, WyRand};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::{iter, thread};
@@ -44,13 +44,13 @@
 }
 
 impl Case {
-    fn rig(&self) -> PolicyConfig {
-        let mut rig = usual();
-        rig.fleet.gateways = self.gateways;
-        rig.fleet.kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
-        rig.classes.truncate(2);
-        rig.classes.iter_mut().for_each(|g| g.threads = 1.0);
-        rig
+    fn config(&self) -> PolicyConfig {
+        let mut config = typical_config();
+        config.fleet.gateways = self.gateways;
+        config.fleet.kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
+        config.classes.truncate(2);
+        config.classes.iter_mut().for_each(|g| g.threads = 1.0);
+        config
     }
 
     fn mean(&self) -> f64 {
@@ -59,10 +59,10 @@
     }
 
     /// The rule's budget and slack in requests of mean work, for a window that begins then.
-    fn most(&self, rig: &PolicyConfig, from: Timestamp) -> f64 {
-        let slow_start = &rig.slow_start;
+    fn most(&self, config: &PolicyConfig, from: Timestamp) -> f64 {
+        let slow_start = &config.slow_start;
         let bears = slow_start.multiple
-            * slow_start.warm_up_factor(Some(ms(STARTS)), from)
+            * slow_start.capacity_factor(Some(ms(STARTS)), from)
             * 16.0
             * slow_start.window.secs();
         let n = bears * 1000.0 / self.mean();
@@ -85,13 +85,17 @@
                 if born > 0 && !anew {
                     continue;
                 }
-                let mut rig = self.rig();
-                rig.fleet.me = me;
-                let mut gateway = rig.start(0);
+                let mut config = self.config();
+                config.fleet.me = me;
+                let mut gateway = config.start(0);
                 // What it hears first is when it starts.
-                gateway.policy.engine(ms(born), 9, Engine { state: EngineState::Gone, ..engine() });
+                gateway.policy.update_engine(ms(born), 9, Engine { state: EngineState::Gone, ..engine() });
                 self.learn(&mut gateway, born);
-                gateway.policy.engine(ms(from), SLOW_START, Engine { started: Some(ms(STARTS)), ..engine() });
+                gateway.policy.update_engine(
+                    ms(from),
+                    SLOW_START,
+                    Engine { started: Some(ms(STARTS)), ..engine() },
+                );
                 for at in (from..until).step_by(STEP as usize) {
                     let comes = match self.traffic {
                         Traffic::Dense => true,
@@ -117,9 +121,9 @@
     /// The gateway knows the usual work of each class, and how often each is asked for.
     fn learn(&self, gateway: &mut Gateway, at: u64) {
         for n in 0..100 {
-            let (b, place) = gateway.take(at, self.request(at, n < self.work.2));
+            let (b, place) = gateway.admit(at, self.request(at, n < self.work.2));
             assert_eq!(sent_to(place), None);
-            gateway.policy.client_left(b);
+            gateway.policy.on_client_disconnected(b);
         }
     }
 
@@ -127,7 +131,7 @@
     fn one(&self, gateway: &mut Gateway, at: u64, heavy: bool) -> Option<f64> {
         let request = self.request(at, heavy);
         let work = request.work.unwrap();
-        let (b, place) = gateway.take(at, request);
+        let (b, place) = gateway.admit(at, request);
         sent_to(place)?;
         gateway.end(at, b, 0, Outcome::Returned, 1);
         Some(work.secs() * 1000.0)
@@ -135,8 +139,8 @@
 
     /// The window that comes nearest to the rule's budget with its slack, as a part of it.
     fn worst(&self, seed: u64) -> f64 {
-        let (rig, sent) = (self.rig(), self.play(seed));
-        let window = rig.slow_start.window.micros() / 1000;
+        let (config, sent) = (self.config(), self.play(seed));
+        let window = config.slow_start.window.micros() / 1000;
         let (mut worst, mut from, mut sum) = (0.0_f64, 0, 0.0);
         for (at, work) in &sent {
             sum += work;
@@ -144,7 +148,7 @@
                 sum -= sent[from].1;
                 from += 1;
             }
-            worst = worst.max(sum / self.most(&rig, ms(sent[from].0)));
+            worst = worst.max(sum / self.most(&config, ms(sent[from].0)));
         }
         worst
     }
--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -87,11 +87,11 @@
             }
             named[e] = true;
             self.engines[e].1 = *engine;
-            self.policy.engine(now, e, *engine);
+            self.policy.update_engine(now, e, *engine);
         }
         // A whole list drops what it does not name.
         for (e, (_, engine)) in self.engines.iter().enumerate().filter(|(e, _)| whole && !named[*e]) {
-            self.policy.engine(now, e, Engine { state: EngineState::Gone, ..*engine });
+            self.policy.update_engine(now, e, Engine { state: EngineState::Gone, ..*engine });
         }
     }
 
@@ -119,7 +119,7 @@
         if self.by_id.insert(id, b).is_some() {
             return Err(format!("front {}: id {id} came twice", self.who));
         }
-        self.policy.take(now, b, request);
+        self.policy.admit(now, b, request);
         self.ask(now, b, reply);
         Ok(())
     }
@@ -136,7 +136,7 @@
         let slot = &mut self.slots[b];
         slot.out = slot.out.saturating_sub(1);
         slot.over |= answer.over;
-        match self.policy.after(now, b, number, answer) {
+        match self.policy.on_attempt_finished(now, b, number, answer) {
             AfterAttempt::RouteAgain => self.ask(now, b, reply),
             AfterAttempt::Finished => self.leave(b),
         }
@@ -145,7 +145,7 @@
     pub fn client_left(&mut self, id: u32, reply: &mut Reply) {
         let Some(&b) = self.by_id.get(&id) else { return };
         if !self.slots[b].over {
-            for number in self.policy.client_left(b) {
+            for number in self.policy.on_client_disconnected(b) {
                 reply.call_off(self.who, id, number);
             }
             self.slots[b].over = true;
@@ -155,20 +155,20 @@
 
     pub fn note(&mut self, now: Timestamp, id: u32, number: u8, note: ProgressUpdate) {
         if let Some(&b) = self.by_id.get(&id) {
-            self.policy.note(now, b, number, note);
+            self.policy.on_progress(now, b, number, note);
         }
     }
 
     pub fn probed(&mut self, now: Timestamp, address: [u8; 6], report: LoadReport) {
         if let Some(&e) = self.engine_ix.get(&address) {
-            self.policy.probed(now, e, report);
+            self.policy.on_load_report(now, e, report);
         }
     }
 
     pub fn timer(&mut self, now: Timestamp, tag: u64, reply: &mut Reply) {
         if tag == TICK_TAG {
             self.policy.tick(now);
-            for e in self.policy.probes() {
+            for e in self.policy.health_checks() {
                 reply.ping(self.who, self.engines[e].0);
             }
             self.next_tick(now, reply);
@@ -192,7 +192,7 @@
             if self.slots[b].over {
                 return self.leave(b);
             }
-            match self.policy.place(now, b) {
+            match self.policy.route(now, b) {
                 RoutingDecision::Send(d) => {
                     self.slots[b].out += 1;
                     reply.resources(who, id, d.memory_mb.unwrap_or(0.0) as f32, d.priority);
@@ -215,7 +215,7 @@
                 RoutingDecision::CancelAttempt(number) => reply.call_off(who, id, number),
             }
         }
-        let at = self.policy.wait(now, b);
+        let at = self.policy.next_check(now, b);
         if let Some(old) = self.slots[b].due.replace(at) {
             self.due.remove(&(old, b));
         }
@@ -242,8 +242,8 @@
             reply.schedule(self.who, at.micros(), DUE_TAG);
             self.timer_at = Some(at);
         }
-        for line in self.policy.log_lines() {
-            reply.trace(self.who, &line);
+        for event in self.policy.take_events() {
+            reply.trace(self.who, &event.to_string());
         }
     }
 }
