--- a/rig/src/bin/larchfall-storm.rs
+++ b/crates/fault-tests/src/bin/larchfall-storm.rs
@@ -1,11 +1,11 @@
 //! The storm by hand: one, many side by side, one again from its script, with fewer faults, and a page of what was seen.
 
-use larchfall_rig::script::Script;
-use larchfall_rig::storm::play::{Played, keep, play};
-use larchfall_rig::storm::search::Search;
-use larchfall_rig::storm::setting::{Piece, Setting};
-use larchfall_rig::storm::shrink::{faults, shrink};
-use larchfall_rig::storm::{report, rows};
+use larchfall_fault_tests::script::Script;
+use larchfall_fault_tests::storm::play::{Played, keep, play};
+use larchfall_fault_tests::storm::search::Search;
+use larchfall_fault_tests::storm::setting::{Piece, Setting};
+use larchfall_fault_tests::storm::shrink::{faults, shrink};
+use larchfall_fault_tests::storm::{report, rows};
 use lexopt::prelude::*;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -119,7 +119,7 @@
     let s = &played.summary;
     println!(
         "seed {}: {} batches, in time {:.3}, pushed back {:.3}, {} further dispatches, plain after {} ms, longest gap {} ms",
-        s.seed, s.batches, s.in_time, s.pushed_back, s.further, s.plain_ms, s.gap_ms
+        s.seed, s.requests, s.in_time, s.pushed_back, s.further, s.plain_ms, s.gap_ms
     );
     played.faults.iter().for_each(|fault| println!("  {fault}"));
     Ok(played)
@@ -129,7 +129,7 @@
     Ok(Script::read(&std::fs::read_to_string(file)?).map_err(|e| format!("{file}: {e}"))?)
 }
 
-fn summaries(folder: &Path) -> Result<(String, Vec<larchfall_rig::storm::play::Summary>), Failed> {
+fn summaries(folder: &Path) -> Result<(String, Vec<larchfall_fault_tests::storm::play::Summary>), Failed> {
     Ok((folder.display().to_string(), rows::read(&folder.join("results.csv"))?))
 }
 
@@ -166,9 +166,9 @@
             let out = asked.out.as_deref().ok_or("--out DIR is missing")?;
             // Said before the first is played.
             setting(asked, file)?;
-            let (storm, front) = (std::env::current_exe()?, program(asked)?);
+            let (storm, gateway) = (std::env::current_exe()?, program(asked)?);
             let (setting, without, beside) = (Path::new(file), &asked.without[..], asked.beside);
-            let search = Search { storm: &storm, front, setting, without, seeds, beside, out };
+            let search = Search { storm: &storm, gateway, setting, without, seeds, beside, out };
             let all = search.run(|s| {
                 if s.faults > 0 {
                     println!("seed {}: {} faults, first: {}", s.seed, s.faults, s.first);
--- a/front/src/run/log.rs
+++ b/crates/gateway/src/run/log.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output, written by a thread of their own: a slow reader stalls no batch, and what it
+//! Log lines on standard output, written by a thread of their own: a slow reader stalls no request, and what it
 //! can't take in time is counted and dropped.
 
 use slog::{Drain, Logger, o};
@@ -14,5 +14,5 @@
         .chan_size(LINES)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    (Logger::root(drain.fuse(), o!("front" => name.to_owned())), guard)
+    (Logger::root(drain.fuse(), o!("gateway" => name.to_owned())), guard)
 }
--- /dev/null
+++ b/crates/gateway/src/subset.rs
@@ -0,0 +1,102 @@
+//! The engines that this gateway uses, where the operator's file has a `[subsets]` table: one coroutine looks at steady times
+//! at who lives and which engines are ready, and tells the module. However many changes there were since, it is one look.
+
+use crate::cluster::Gateways;
+use crate::state::State;
+use larchfall_operator_config::Subsets;
+use larchfall_policy::interface::{EngineHealth, Fleet, RequestClass};
+use larchfall_subsetting::aperture::{Aperture, Sight};
+use larchfall_subsetting::plan::Plan;
+use larchfall_subsetting::{Gateway, Listed, needs};
+use slog::info;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// So many ids stand in a line of the log.
+const NAMED: usize = 64;
+
+/// What the plan is worked out from beside what changes.
+pub struct Subset {
+    site: Subsets,
+    classes: Vec<RequestClass>,
+    /// How many gateways the settings name and which is this one: what counts where gateways do not know each other.
+    fleet: Fleet,
+}
+
+/// A plan and what it was worked out from.
+#[derive(Default)]
+struct Made {
+    gateways: BTreeSet<Gateway>,
+    engines: Vec<Listed>,
+    plan: Plan,
+}
+
+impl Subset {
+    pub fn new(site: Subsets, classes: Vec<RequestClass>, fleet: Fleet) -> Subset {
+        Subset { site, classes, fleet }
+    }
+
+    /// This gateway, and all that live; those that only the settings count are in no zone that is known.
+    fn gateways(&self, state: &State, gateways: Option<&Gateways>) -> (Gateway, BTreeSet<Gateway>) {
+        let Some(gateways) = gateways else {
+            let gateway = |number: usize| Gateway { number: number as u64, zone: None };
+            return (gateway(self.fleet.me), (0..self.fleet.gateways.max(1)).map(gateway).collect());
+        };
+        let zone = |name: &str| state.names.zones.iter().position(|zone| zone == name);
+        let living = gateways.living();
+        let gateway =
+            |name: &str, zone_name: &str| Gateway { number: xxh3_64(name.as_bytes()), zone: zone(zone_name) };
+        let me =
+            living.iter().find(|(name, _)| *name == gateways.name()).map(|(name, zone)| gateway(name, zone));
+        let all = living.iter().map(|(name, zone)| gateway(name, zone)).collect();
+        (me.unwrap_or(Gateway { number: xxh3_64(gateways.name().as_bytes()), zone: None }), all)
+    }
+}
+
+/// Looks until the gateway ends.
+pub fn run(state: &Arc<State>, gateways: Option<&Gateways>, subset: &Subset) {
+    let mut aperture = Aperture::new(subset.site.aperture, state.clock.now());
+    let (mut made, mut used) = (Made::default(), BTreeSet::new());
+    while !state.is_done() {
+        let engines: Vec<Listed> =
+            state.facade.listed_ready().into_iter().map(|(id, told)| Listed { id, told }).collect();
+        let (me, all) = subset.gateways(state, gateways);
+        if all != made.gateways || engines != made.engines {
+            let plan = Plan::make(subset.site.plan, &all, &engines, &needs(&engines, &subset.classes));
+            made = Made { gateways: all, engines, plan };
+        }
+        let now = state.clock.now();
+        if !used.is_empty() {
+            let ready: BTreeSet<u32> = made.engines.iter().map(|x| x.id).collect();
+            let mut sight = Sight { used: used.len(), ..Sight::default() };
+            for id in &used {
+                let unknown = EngineHealth { ejected: true, congested: false };
+                let health = state.facade.engine_health(*id).unwrap_or(unknown);
+                sight.bad += usize::from(health.ejected || !ready.contains(id));
+                sight.congested += usize::from(health.congested);
+            }
+            let planned = made.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
+            aperture.look(sight, made.engines.len().saturating_sub(planned), now);
+        }
+        let now_used = aperture.used(&made.plan, me, &made.engines);
+        if now_used != used {
+            let ids: Vec<String> = now_used.iter().take(NAMED).map(|id| format!("{id:08x}")).collect();
+            info!(state.log, "subset changed"; "added" => now_used.difference(&used).count(),
+                "removed" => used.difference(&now_used).count(), "gateways" => made.gateways.len(),
+                "beyond_assignment" => aperture.beyond(), "ids" => ids.join(" "),
+                "engines" => made.engines.len(), "used" => now_used.len());
+            used = now_used;
+        }
+        let parts = used.iter().filter_map(|id| Some((*id, made.plan.part(*id)?))).collect();
+        state.facade.use_engines(&used, parts);
+        state.sleep(subset.site.look);
+    }
+}
+
+/// Where it is on: what the next look works with.
+pub fn start(state: &Arc<State>, gateways: Option<Arc<Gateways>>, subset: Subset) {
+    let state = state.clone();
+    state.facade.narrow();
+    may::go!(move || run(&state, gateways.as_deref(), &subset));
+}
--- a/front/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -8,7 +8,7 @@
 use crate::state::clock::wait;
 use crate::state::facade::TICK;
 use crate::state::stalls::TIMER_PERIOD;
-use larchfall::time::Span;
+use larchfall_policy::time::Duration;
 use may::os::unix::net::UnixStream;
 use may::sync::Blocker;
 use slog::{info, warn};
@@ -22,15 +22,15 @@
         let next_due = state.alarms.ring(&blocker);
         let now = state.clock.now();
         if state.stalls.beat(now) {
-            warn!(state.log, "this front stood still");
+            warn!(state.log, "process stall detected");
         }
         if now >= next_tick {
             tick(state);
             if let Some(service) = service {
-                service.pages.expire(now).iter().for_each(|left| rest::give_up(state, left.batch));
+                service.pages.expire(now).iter().for_each(|left| rest::give_up(state, left.request));
             }
             // Ticks that a stall left out are not made up for.
-            next_tick = (next_tick + TICK).max(now + Span::from_millis(1));
+            next_tick = (next_tick + TICK).max(now + Duration::from_millis(1));
         }
         let until = next_due.map_or(next_tick, |due| due.min(next_tick)).min(now + TIMER_PERIOD);
         let left = state.clock.left(until);
@@ -68,8 +68,8 @@
         let state = state.clone();
         may::go!(move || attempt::probe(&state, e));
     }
-    for line in state.facade.log_lines() {
-        info!(state.log, "module: {}", line);
+    for event in state.facade.take_events() {
+        info!(state.log, "{}", event);
     }
     let now = state.clock.now();
     state.pool.drop_stale(now);
--- /dev/null
+++ b/crates/policy/src/policy.rs
@@ -0,0 +1,452 @@
+//! The public type: a request's life, as the caller drives it.
+//!
+//! The ordinary path: a request goes to the ready engine with most headroom of its class. Limits of running threads, for
+//! each engine and class, move each tick by asymmetric AIMD on one congestion signal, and bind only while the engine's
+//! last tick found it congested. With no headroom anywhere the request is rejected at once.
+
+mod attempt_end;
+mod tick;
+
+use crate::cancellation;
+use crate::class_state::ClassTable;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::deadline;
+use crate::endpoint_list::EndpointListAge;
+use crate::engine_record::EngineRecord;
+use crate::engine_selection::EngineSelection;
+use crate::event::{Evidence, PolicyEvent};
+use crate::health_check::{CheckCandidate, HealthCheckBudget};
+use crate::idempotency;
+use crate::key_order::KeyOrder;
+use crate::load_report::{MeanLoad, TrafficFraction};
+use crate::outlier_detection::{FailureBaseline, HealthChange};
+use crate::request_record::{AttemptInFlight, RequestRecord};
+use crate::retry_budget::RetryBudget;
+use crate::slow_start::SlowStartGate;
+use crate::tenant_quota::TenantQuota;
+use crate::time::{Duration, Timestamp};
+use crate::types::{
+    AttemptParameters, Caps, DeduplicationScope, Engine, EngineHealth, Fleet, Idempotency, LoadReport,
+    PolicyConfig, ProgressUpdate, Request, RoutingDecision, SlowStartPolicy,
+};
+use nanorand::WyRand;
+use std::collections::BTreeMap;
+
+pub use crate::concurrency_limit::TICK;
+
+/// How often a request that waits for its key is looked at; one with an attempt in flight, each tick.
+const KEY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Retries of one request at most, whatever the caller allows.
+const MAX_RETRIES: usize = 2;
+
+/// All decisions of one gateway.
+pub struct Policy {
+    fleet: Fleet,
+    caps: Caps,
+    slow_start: SlowStartPolicy,
+    classes: ClassTable,
+    tenants: Vec<TenantQuota>,
+    retry_budget: RetryBudget,
+    key_order: KeyOrder,
+    engines: BTreeMap<usize, EngineRecord>,
+    requests: BTreeMap<usize, RequestRecord>,
+    /// When this gateway was first told of an engine.
+    joined_time: Option<Timestamp>,
+    traffic: TrafficFraction,
+    mean_reported_load: MeanLoad,
+    /// Time taken over work, as answers mostly show it.
+    mean_slowdown: MeanLoad,
+    health_checks: HealthCheckBudget,
+    failure_baseline: FailureBaseline,
+    overloaded: bool,
+    endpoint_list: EndpointListAge,
+    events: Vec<PolicyEvent>,
+    random: WyRand,
+}
+
+impl Policy {
+    /// A policy without engines; the seed decides ties and which engines are checked.
+    pub fn new(seed: u64, config: PolicyConfig) -> Policy {
+        let mut fleet = config.fleet;
+        fleet.gateways = fleet.gateways.max(1);
+        let unobserved_lifetime = config.caps.unobserved_attempt_lifetime.unwrap_or_default();
+        Policy {
+            fleet,
+            classes: ClassTable::new(config.classes),
+            tenants: config.tenants.into_iter().map(|tenant| TenantQuota::new(tenant.quota_rate)).collect(),
+            retry_budget: RetryBudget::new(config.retry_budget),
+            key_order: KeyOrder::new(config.key_cooldown, unobserved_lifetime),
+            caps: config.caps,
+            slow_start: config.slow_start,
+            engines: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            joined_time: None,
+            traffic: TrafficFraction::default(),
+            mean_reported_load: MeanLoad::default(),
+            mean_slowdown: MeanLoad::default(),
+            health_checks: HealthCheckBudget::default(),
+            failure_baseline: FailureBaseline::default(),
+            overloaded: false,
+            endpoint_list: EndpointListAge::default(),
+            events: Vec::new(),
+            random: WyRand::new_seed(seed),
+        }
+    }
+
+    /// Discovery was heard, with nothing new or all of it: the list of engines holds as of then.
+    pub fn confirm_endpoint_list(&mut self, time: Timestamp) {
+        self.endpoint_list.confirm(time);
+    }
+
+    /// Rule 3: whether the list of engines is recent enough. A list that nobody stands by any more opens no engine.
+    pub fn is_endpoint_list_current(&self, now: Timestamp) -> bool {
+        self.endpoint_list.is_current(self.caps.endpoint_list_lifetime, now)
+    }
+
+    /// The endpoint list has this entry for an engine.
+    pub fn update_engine(&mut self, now: Timestamp, engine: usize, listed: Engine) {
+        self.joined_time.get_or_insert(now);
+        if let Some(record) = self.engines.get_mut(&engine) {
+            record.relist(listed, now);
+            return;
+        }
+        let wanted_threads = self.classes.wanted_threads();
+        let limit = ConcurrencyLimit::new(self.fleet.cores(&listed), self.fleet.gateways, &wanted_threads);
+        self.engines.insert(engine, EngineRecord::new(listed, limit, now));
+    }
+
+    /// Forgets an engine that is gone, not soon back and has nothing in flight: then its index is free.
+    pub fn forget_engine(&mut self, now: Timestamp, engine: usize) -> bool {
+        let forgettable = self.engines.get(&engine).is_some_and(|record| record.is_forgettable(now));
+        if forgettable {
+            self.engines.remove(&engine);
+        }
+        forgettable
+    }
+
+    /// Admits a request under an index of the caller's.
+    pub fn admit(&mut self, now: Timestamp, index: usize, mut request: Request) {
+        self.health_checks.record_request();
+        let class = request.class;
+        self.classes.record_request(class, request.work);
+        request.key = request.key.filter(|_| self.classes.settings(class).in_order);
+        if let Some(key) = request.key {
+            self.key_order.admit(key, index);
+        }
+        let work = self.classes.work(class).estimate(request.work);
+        let traffic_fraction = self.traffic_fraction();
+        let quota = request.tenant.and_then(|tenant| self.tenants.get_mut(tenant));
+        let within_quota = quota.is_none_or(|quota| quota.try_acquire(traffic_fraction, now));
+        let record =
+            RequestRecord { request, admitted_time: now, work, within_quota, ..RequestRecord::default() };
+        self.requests.insert(index, record);
+    }
+
+    /// What to do with a request now: send it, wait, or end it.
+    pub fn route(&mut self, now: Timestamp, request: usize) -> RoutingDecision {
+        let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
+            return RoutingDecision::Wait;
+        };
+        if !record.in_flight.is_empty() {
+            return self.review_attempts(now, request);
+        }
+        // What cannot be answered in time is better told so at once.
+        let class = record.request.class;
+        let shortest = Duration::from_secs(record.work.unwrap_or(0.0) / self.classes.threads(class));
+        if now + shortest >= self.last_answer_time(record) {
+            return self.finish_unanswered(request);
+        }
+        if record.request.key.is_some_and(|key| !self.key_order.is_next(key, request, now)) {
+            return RoutingDecision::Wait;
+        }
+        if !self.may_attempt(now, request) {
+            return self.finish_unanswered(request);
+        }
+        match self.select_engine(now, request) {
+            Some(engine) => self.start_attempt(now, request, engine),
+            None => self.finish_unanswered(request),
+        }
+    }
+
+    /// Whether an attempt that was routed a while ago may begin now: its client still waits, the list of engines holds,
+    /// and its idempotency key is still known where it may have run.
+    pub fn may_begin(&self, now: Timestamp, request: usize, attempt: u8) -> bool {
+        let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
+            return false;
+        };
+        let live = |other: &&AttemptInFlight| other.number == attempt && !other.cancelled;
+        let Some(attempt) = record.in_flight.iter().find(live) else { return false };
+        let Some(engine) = self.engines.get(&attempt.engine) else { return false };
+        let idempotency = self.classes.settings(record.request.class).effect;
+        let step = self.caps.clock_step;
+        self.is_endpoint_list_current(now)
+            && idempotency::allows_attempt(idempotency, record.first_run, &engine.listed, now, step)
+    }
+
+    /// An engine says something of an attempt in flight.
+    pub fn on_progress(&mut self, now: Timestamp, request: usize, attempt: u8, update: ProgressUpdate) {
+        let Some(record) = self.requests.get_mut(&request) else { return };
+        let data_set = record.request.data_set;
+        let Some(attempt) = record.attempt_mut(attempt) else { return };
+        if update == ProgressUpdate::CutOff {
+            attempt.connection_lost = true;
+            return;
+        }
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
+        attempt.record_progress(update, now);
+        engine.heard_time = now;
+        if update == ProgressUpdate::WaitsForHolder {
+            let until = now + self.caps.progress_interval.unwrap_or_default();
+            engine.locks.record_reported(data_set, until);
+        }
+    }
+
+    /// When to route this request again, if nothing happens before.
+    pub fn next_check(&self, now: Timestamp, request: usize) -> Timestamp {
+        match self.requests.get(&request) {
+            Some(record) if record.in_flight.is_empty() => {
+                (now + KEY_CHECK_INTERVAL).min(self.last_answer_time(record))
+            }
+            Some(_) | None => now + TICK,
+        }
+    }
+
+    /// The client is gone, and may be back at once: what is in flight works for nobody. The attempts to cancel.
+    pub fn on_client_disconnected(&mut self, request: usize) -> Vec<u8> {
+        let record = self.requests.get_mut(&request).filter(|_| self.caps.can_cancel);
+        let cancelled = record.map(RequestRecord::cancel_attempts).unwrap_or_default();
+        self.finish(request);
+        cancelled
+    }
+
+    /// The final answer of a request at once, whatever is in flight: a rejection where trying again is harmless, else a
+    /// failure.
+    pub fn finish_unanswered(&mut self, request: usize) -> RoutingDecision {
+        let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
+            return RoutingDecision::Wait;
+        };
+        let idempotency = self.classes.settings(record.request.class).effect;
+        // Rule 2: a rejection says that trying again is harmless.
+        let never_ran = record.first_run.is_none() && record.in_flight.is_empty();
+        let harmless = never_ran
+            || matches!(
+                idempotency,
+                Idempotency::Idempotent
+                    | Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. }
+            );
+        self.finish(request);
+        if harmless { RoutingDecision::Reject(self.caps.max_retry_after) } else { RoutingDecision::Fail }
+    }
+
+    /// So many gateways count from now on: by them engines are divided evenly.
+    pub fn set_gateway_count(&mut self, gateways: usize) {
+        self.fleet.gateways = gateways.max(1);
+        let fraction = 1.0 / self.fleet.gateways as f64;
+        for engine in self.engines.values_mut() {
+            engine.limit.set_gateway_fraction(fraction);
+        }
+    }
+
+    /// This gateway's part of what an engine bears in slow start, and of its threads, where they are no even ones.
+    pub fn set_engine_quota(&mut self, engine: usize, slow_start: Option<f64>, threads: Option<f64>) {
+        let Some(engine) = self.engines.get_mut(&engine) else { return };
+        engine.slow_start_fraction = slow_start;
+        engine.limit.set_gateway_fraction(threads.unwrap_or(1.0 / self.fleet.gateways as f64));
+    }
+
+    /// Whether an engine is within the subset that this gateway uses.
+    pub fn set_in_subset(&mut self, engine: usize, in_subset: bool) {
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            engine.outside_subset = !in_subset;
+        }
+    }
+
+    /// Whether this gateway may probe an engine while that is ejected, where gateways take turns at it.
+    pub fn set_probe_slot(&mut self, engine: usize, holds_slot: bool) {
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            engine.awaits_probe_slot = !holds_slot;
+        }
+    }
+
+    /// This gateway's part of a tenant's rate; `None` leaves it to its part of the traffic.
+    pub fn set_tenant_quota(&mut self, tenant: usize, fraction: Option<f64>) {
+        if let Some(quota) = self.tenants.get_mut(tenant) {
+            quota.assign(fraction);
+        }
+    }
+
+    /// The gateway ends then: what it has is to have its final answer before.
+    pub fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
+        for record in self.requests.values_mut() {
+            record.request.deadline = record.request.deadline.min(deadline);
+        }
+    }
+
+    /// The verdict on an engine; `None` for one that is not known.
+    pub fn engine_health(&self, engine: usize) -> Option<EngineHealth> {
+        let record = self.engines.get(&engine)?;
+        Some(EngineHealth {
+            ejected: record.outliers.is_ejected(),
+            congested: record.limit.signal.is_congested(),
+        })
+    }
+
+    /// Engines to ask for a load report now.
+    pub fn health_checks(&mut self) -> Vec<usize> {
+        let Some(cost) = self.caps.load_probe_cost else { return Vec::new() };
+        let used = self.engines.iter().filter(|(_, engine)| engine.is_used());
+        let candidate = |(engine, record): (&usize, &EngineRecord)| CheckCandidate {
+            engine: *engine,
+            peer_load_fraction: record.limit.peer_load_fraction(),
+        };
+        let candidates: Vec<CheckCandidate> = used.map(candidate).collect();
+        self.health_checks.draw(cost, &candidates, &mut self.random)
+    }
+
+    /// An engine's load report, with an answer or by a health check.
+    pub fn on_load_report(&mut self, now: Timestamp, engine: usize, report: LoadReport) {
+        let Some(engine) = self.engines.get_mut(&engine) else { return };
+        let own = engine.limit.attempts_in_flight() as f64;
+        if let Some(all) = report.in_hand.filter(|all| *all > 0.0) {
+            self.traffic.record(own, all);
+        }
+        let cores = self.fleet.cores(&engine.listed);
+        let peer_load = report.in_hand.map(|all| (all - own).max(0.0) / cores);
+        if let Some(load) = peer_load.or(report.busy) {
+            engine.load.record(load, &mut self.mean_reported_load, now);
+        }
+    }
+
+    /// An outcome at an engine, of this gateway's own attempts or one that peers reported.
+    pub fn record_engine_outcome(&mut self, now: Timestamp, engine: usize, bad: bool, evidence: Evidence) {
+        let Some(record) = self.engines.get_mut(&engine) else { return };
+        match record.outliers.record(bad, &mut self.failure_baseline, now) {
+            Some(HealthChange::Ejected) => self.events.push(PolicyEvent::EngineEjected { engine, evidence }),
+            Some(HealthChange::Restored) => {
+                self.events.push(PolicyEvent::EngineRestored { engine, evidence });
+            }
+            None => {}
+        }
+    }
+
+    /// Events since the last call, for the log.
+    pub fn take_events(&mut self) -> Vec<PolicyEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// This gateway's part of all traffic.
+    fn traffic_fraction(&self) -> f64 {
+        self.traffic.value(self.fleet.gateways)
+    }
+
+    fn last_answer_time(&self, record: &RequestRecord) -> Timestamp {
+        deadline::last_answer_time(record.request.deadline, self.caps.clock_step)
+    }
+
+    /// Whether one more attempt of a request is allowed; the first always is.
+    fn may_attempt(&mut self, now: Timestamp, request: usize) -> bool {
+        let Some(record) = self.requests.get(&request) else { return false };
+        if record.attempts_made == 0 {
+            return true;
+        }
+        let max_attempts = self.caps.max_attempts.min(1 + MAX_RETRIES);
+        let exhausted = record.may_still_run || record.attempts_made >= max_attempts;
+        !self.overloaded && !exhausted && self.retry_budget.allows_retry(now)
+    }
+
+    fn select_engine(&mut self, now: Timestamp, request: usize) -> Option<usize> {
+        if !self.is_endpoint_list_current(now) {
+            return None;
+        }
+        let record = self.requests.get(&request)?;
+        let mix = self.classes.mix();
+        let slow_start = SlowStartGate {
+            policy: &self.slow_start,
+            fleet: &self.fleet,
+            mix: &mix,
+            class: record.request.class,
+            joined_time: self.joined_time.unwrap_or(now),
+            now,
+        };
+        let selection = EngineSelection {
+            record,
+            class: self.classes.settings(record.request.class),
+            caps: &self.caps,
+            fleet: &self.fleet,
+            slow_start,
+            now,
+        };
+        selection.select(&mut self.engines, &mut self.random)
+    }
+
+    fn start_attempt(&mut self, now: Timestamp, request: usize, engine: usize) -> RoutingDecision {
+        let Some(record) = self.requests.get_mut(&request) else { return RoutingDecision::Wait };
+        let Some(target) = self.engines.get_mut(&engine) else { return RoutingDecision::Wait };
+        let class = record.request.class;
+        let settings = self.classes.settings(class);
+        let data_set = record.request.data_set;
+        let number = record.attempts_made as u8;
+        if record.attempts_made > 0 {
+            self.retry_budget.record_retry(now);
+        }
+        if let Some(key) = record.request.key {
+            self.key_order.on_attempt_started(key, request, number, engine);
+        }
+        target.outliers.on_attempt_sent(now);
+        target.limit.start_attempt(class, settings.threads);
+        if self.slow_start.capacity_factor(target.listed.started, now) < 1.0 {
+            target.slow_start.record(self.classes.work(class).mean(), now);
+        }
+        let memory_estimate = record.request.memory_mb.filter(|_| self.caps.sets_memory_grant);
+        let memory_mb = memory_estimate.map(|estimate| self.classes.memory(class).grant_mb(estimate));
+        record.in_flight.push(AttemptInFlight {
+            number,
+            engine,
+            sent_time: now,
+            heard_time: now,
+            memory_mb,
+            waited_for_lock: settings.waits_for_data_lock && target.locks.is_held(data_set, now),
+            ..AttemptInFlight::default()
+        });
+        record.attempts_made += 1;
+        record.last_engine = Some(engine);
+        target.cached.record(data_set);
+        if settings.locks_data_set {
+            target.locks.acquire(data_set);
+        }
+        RoutingDecision::Send(AttemptParameters {
+            engine,
+            time_out: deadline::attempt_timeout(record.request.deadline, now, self.caps.clock_step),
+            memory_mb,
+            priority: self.classes.wire_priority(class),
+        })
+    }
+
+    fn review_attempts(&mut self, now: Timestamp, request: usize) -> RoutingDecision {
+        let Some(record) = self.requests.get_mut(&request) else { return RoutingDecision::Wait };
+        let class = record.request.class;
+        let work = self.classes.work(class);
+        let off_estimate_after = work.off_estimate_after(record.work, self.classes.threads(class));
+        let settings = self.classes.settings(class);
+        cancellation::cancel_one(record, settings, off_estimate_after, &self.caps, &self.engines, now)
+            .map_or(RoutingDecision::Wait, RoutingDecision::CancelAttempt)
+    }
+
+    fn finish(&mut self, request: usize) {
+        if let Some(record) = self.requests.get_mut(&request) {
+            record.finished = true;
+        }
+        self.remove_if_over(request);
+    }
+
+    /// A request leaves once it has finished and nothing of it is in flight, and its key with it.
+    fn remove_if_over(&mut self, request: usize) {
+        if !self.requests.get(&request).is_some_and(RequestRecord::is_over) {
+            return;
+        }
+        let key = self.requests.remove(&request).and_then(|record| record.request.key);
+        if let Some(key) = key {
+            self.key_order.remove(key, request);
+        }
+    }
+}
