--- a/crates/policy/src/attempt_ledger.rs
+++ b/crates/policy/src/attempt_ledger.rs
@@ -43,22 +43,28 @@
 }
 
 impl AttemptLedger {
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    pub fn open(&mut self, request: usize, attempt: u8, engine: usize) {
+    pub(crate) fn open(&mut self, request: usize, attempt: u8, engine: usize) {
         let request = Some(request);
         self.entries.push(Entry { request, attempt, engine, may_run_until: None, end_unproven: false });
     }
 
     /// Whether nothing of any other request may run.
-    pub fn allows(&self, request: usize, now: Timestamp) -> bool {
+    pub(crate) fn allows(&self, request: usize, now: Timestamp) -> bool {
         self.entries.iter().all(|entry| entry.request == Some(request) || entry.is_over(now))
     }
 
     /// The attempt has its outcome, and may run until then.
-    pub fn close(&mut self, request: usize, attempt: u8, may_run_until: Timestamp, end_unproven: bool) {
+    pub(crate) fn close(
+        &mut self,
+        request: usize,
+        attempt: u8,
+        may_run_until: Timestamp,
+        end_unproven: bool,
+    ) {
         let closed = |entry: &&mut Entry| entry.request == Some(request) && entry.attempt == attempt;
         for entry in self.entries.iter_mut().filter(closed) {
             entry.may_run_until = Some(may_run_until);
@@ -67,20 +73,20 @@
     }
 
     /// Holds what was not seen to end, at engines that meet the condition, until then at least.
-    pub fn hold(&mut self, until: Timestamp, is_draining: impl Fn(usize) -> bool) {
+    pub(crate) fn hold(&mut self, until: Timestamp, is_draining: impl Fn(usize) -> bool) {
         for entry in self.entries.iter_mut().filter(|entry| entry.end_unproven && is_draining(entry.engine)) {
             entry.may_run_until = entry.may_run_until.max(Some(until));
         }
     }
 
     /// The request has finished: what may run of it stays, under no index.
-    pub fn forget_request(&mut self, request: usize) {
+    pub(crate) fn forget_request(&mut self, request: usize) {
         for entry in self.entries.iter_mut().filter(|entry| entry.request == Some(request)) {
             entry.request = None;
         }
     }
 
-    pub fn remove_over(&mut self, now: Timestamp) {
+    pub(crate) fn remove_over(&mut self, now: Timestamp) {
         self.entries.retain(|entry| !entry.is_over(now));
     }
 }
--- a/crates/policy/src/capacity_pool.rs
+++ b/crates/policy/src/capacity_pool.rs
@@ -31,12 +31,12 @@
     }
 
     /// Fraction of what was seen that was late, as if `prior` more answers in time had come.
-    pub fn late_fraction(&self, prior: f64) -> f64 {
+    pub(crate) fn late_fraction(&self, prior: f64) -> f64 {
         self.late / (self.seen + prior)
     }
 
     /// Unused part of the capacity, negative where more is in use.
-    pub fn spare_fraction(&self) -> f64 {
+    pub(crate) fn spare_fraction(&self) -> f64 {
         (1.0 - self.in_use / self.observed_capacity.max(1e-9)).clamp(-1.0, 1.0)
     }
 }
@@ -49,7 +49,7 @@
 }
 
 impl CapacityPools {
-    pub fn add(&mut self, kind: usize, limit: &ConcurrencyLimit, class: usize, capacity_factor: f64) {
+    pub(crate) fn add(&mut self, kind: usize, limit: &ConcurrencyLimit, class: usize, capacity_factor: f64) {
         self.all.add(limit, class, capacity_factor);
         self.by_kind.entry(kind).or_default().add(limit, class, capacity_factor);
     }
--- a/crates/policy/src/class_state.rs
+++ b/crates/policy/src/class_state.rs
@@ -26,7 +26,7 @@
 
 impl ClassTable {
     /// Classes of less than one thread count as one: no part below asks again.
-    pub fn new(mut classes: Vec<RequestClass>) -> ClassTable {
+    pub(crate) fn new(mut classes: Vec<RequestClass>) -> ClassTable {
         for class in &mut classes {
             class.threads = class.threads.max(1.0);
         }
@@ -39,40 +39,40 @@
         ClassTable { ranked: rank(classes), learned }
     }
 
-    pub fn ranked(&self) -> &[RankedClass] {
+    pub(crate) fn ranked(&self) -> &[RankedClass] {
         &self.ranked
     }
 
-    pub fn settings(&self, class: usize) -> &RequestClass {
+    pub(crate) fn settings(&self, class: usize) -> &RequestClass {
         &self.ranked[class].settings
     }
 
-    pub fn threads(&self, class: usize) -> f64 {
+    pub(crate) fn threads(&self, class: usize) -> f64 {
         self.ranked[class].settings.threads
     }
 
-    pub fn wire_priority(&self, class: usize) -> u8 {
+    pub(crate) fn wire_priority(&self, class: usize) -> u8 {
         self.ranked[class].aimd.wire_priority
     }
 
-    pub fn work(&self, class: usize) -> &WorkEstimate {
+    pub(crate) fn work(&self, class: usize) -> &WorkEstimate {
         &self.learned[class].work
     }
 
-    pub fn work_mut(&mut self, class: usize) -> &mut WorkEstimate {
+    pub(crate) fn work_mut(&mut self, class: usize) -> &mut WorkEstimate {
         &mut self.learned[class].work
     }
 
-    pub fn memory(&self, class: usize) -> &MemoryGrant {
+    pub(crate) fn memory(&self, class: usize) -> &MemoryGrant {
         &self.learned[class].memory
     }
 
-    pub fn memory_mut(&mut self, class: usize) -> &mut MemoryGrant {
+    pub(crate) fn memory_mut(&mut self, class: usize) -> &mut MemoryGrant {
         &mut self.learned[class].memory
     }
 
     /// A request of the class was admitted.
-    pub fn record_request(&mut self, class: usize, work_hint: Option<Duration>) {
+    pub(crate) fn record_request(&mut self, class: usize, work_hint: Option<Duration>) {
         for learned in &mut self.learned {
             learned.wanted_threads *= WANTED_DECAY;
         }
@@ -80,12 +80,12 @@
         self.learned[class].work.record_hint(work_hint);
     }
 
-    pub fn wanted_threads(&self) -> Vec<f64> {
+    pub(crate) fn wanted_threads(&self) -> Vec<f64> {
         self.learned.iter().map(|learned| learned.wanted_threads).collect()
     }
 
     /// Requests lately and their usual work, by class.
-    pub fn mix(&self) -> Vec<ClassMix> {
+    pub(crate) fn mix(&self) -> Vec<ClassMix> {
         let classes = self.learned.iter().zip(&self.ranked);
         let mix = |(learned, class): (&Learned, &RankedClass)| ClassMix {
             requests: learned.wanted_threads / class.settings.threads,
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -45,7 +45,7 @@
 
 impl ConcurrencyLimit {
     /// Limits for an engine with so many cores, used by so many gateways, split by the threads that each class wanted lately.
-    pub fn new(cores: f64, gateways: usize, wanted_threads: &[f64]) -> ConcurrencyLimit {
+    pub(crate) fn new(cores: f64, gateways: usize, wanted_threads: &[f64]) -> ConcurrencyLimit {
         let capacity = (cores * THREADS_PER_CORE).max(1.0);
         let all_wanted = wanted_threads.iter().sum::<f64>().max(1e-9);
         let even_capacity = capacity / gateways as f64;
@@ -61,7 +61,7 @@
     }
 
     /// Another part of the engine is this gateway's: what it has learned scales with it.
-    pub fn set_gateway_fraction(&mut self, fraction: f64) {
+    pub(crate) fn set_gateway_fraction(&mut self, fraction: f64) {
         let factor = fraction / self.gateway_fraction;
         self.observed_capacity = (self.observed_capacity * factor).min(self.capacity);
         self.gateway_fraction = fraction;
@@ -70,46 +70,46 @@
         }
     }
 
-    pub fn start_attempt(&mut self, class: usize, threads: f64) {
+    pub(crate) fn start_attempt(&mut self, class: usize, threads: f64) {
         self.classes[class].in_use += threads;
         self.attempts_in_flight += 1;
     }
 
-    pub fn finish_attempt(&mut self, class: usize, threads: f64) {
+    pub(crate) fn finish_attempt(&mut self, class: usize, threads: f64) {
         let class = &mut self.classes[class];
         class.in_use = (class.in_use - threads).max(0.0);
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
     }
 
-    pub fn attempts_in_flight(&self) -> usize {
+    pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts_in_flight
     }
 
-    pub fn capacity(&self) -> f64 {
+    pub(crate) fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    pub fn observed_capacity(&self) -> f64 {
+    pub(crate) fn observed_capacity(&self) -> f64 {
         self.observed_capacity
     }
 
     /// Fraction of the engine's load that other gateways are estimated to cause, in 0..=1.
-    pub fn peer_load_fraction(&self) -> f64 {
+    pub(crate) fn peer_load_fraction(&self) -> f64 {
         1.0 / (1.0 + self.observed_capacity)
     }
 
     /// Threads left within a class's limit; negative beyond it.
-    pub fn headroom(&self, class: usize) -> f64 {
+    pub(crate) fn headroom(&self, class: usize) -> f64 {
         self.classes[class].threads - self.classes[class].in_use
     }
 
     /// Threads in use as a pool counts them: the mean, or a high peak.
-    pub fn sustained_in_use(&self) -> f64 {
+    pub(crate) fn sustained_in_use(&self) -> f64 {
         self.mean_in_use.max(self.in_use() / PEAK_TO_MEAN)
     }
 
     /// Whether an attempt with so many threads may start. The pool is that of the engine's kind.
-    pub fn admits(&self, class: usize, threads: f64, within_quota: bool, pool: &CapacityPool) -> bool {
+    pub(crate) fn admits(&self, class: usize, threads: f64, within_quota: bool, pool: &CapacityPool) -> bool {
         let congested = self.signal.is_congested();
         if !within_quota && (congested || self.is_saturated(threads, pool, BEYOND_QUOTA_CAPACITY)) {
             return false;
@@ -124,7 +124,7 @@
 
     /// Whether more is in use than `fraction` of what the engine has borne in time. An observed capacity below one request
     /// is judged by the pool. Lateness alone would show only after the latency objective, when an engine is overfull.
-    pub fn is_saturated(&self, threads: f64, pool: &CapacityPool, fraction: f64) -> bool {
+    pub(crate) fn is_saturated(&self, threads: f64, pool: &CapacityPool, fraction: f64) -> bool {
         self.in_use() >= self.observed_capacity * fraction
             || self.observed_capacity < threads && pool.in_use >= pool.observed_capacity * fraction
     }
@@ -135,7 +135,7 @@
 
     /// Moves all limits by what was seen since the last tick. The observed capacity stays within `max_fraction` of the
     /// engine's capacity.
-    pub fn tick(
+    pub(crate) fn tick(
         &mut self,
         classes: &[RankedClass],
         all_engines: &CapacityPool,
--- a/crates/policy/src/congestion.rs
+++ b/crates/policy/src/congestion.rs
@@ -28,40 +28,40 @@
 
 impl CongestionSignal {
     /// Whether the last tick found the engine congested.
-    pub fn is_congested(&self) -> bool {
+    pub(crate) fn is_congested(&self) -> bool {
         self.congested
     }
 
     /// Another process runs at the engine's address: what the last one showed says nothing of it.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.congested = false;
     }
 
-    pub fn record_answer(&mut self, late: bool) {
+    pub(crate) fn record_answer(&mut self, late: bool) {
         self.answers += 1.0;
         self.late_answers += f64::from(late);
     }
 
-    pub fn record_rejection(&mut self) {
+    pub(crate) fn record_rejection(&mut self) {
         self.rejected = true;
     }
 
-    pub fn record_overdue_attempt(&mut self) {
+    pub(crate) fn record_overdue_attempt(&mut self) {
         self.overdue_attempts += 1.0;
     }
 
     /// Answers since long enough ago to count, decayed.
-    pub fn answers(&self) -> f64 {
+    pub(crate) fn answers(&self) -> f64 {
         self.answers
     }
 
     /// Late answers and overdue attempts together.
-    pub fn late(&self) -> f64 {
+    pub(crate) fn late(&self) -> f64 {
         self.late_answers + self.overdue_attempts
     }
 
     /// Whether the engine is late by what it showed, with a little of what all engines showed mixed in.
-    pub fn is_late(&self, attempts_in_flight: usize, all_engines: &CapacityPool) -> bool {
+    pub(crate) fn is_late(&self, attempts_in_flight: usize, all_engines: &CapacityPool) -> bool {
         let pooled_late_fraction = all_engines.late_fraction(POOLED_ANSWERS);
         let seen = self.answers + attempts_in_flight as f64 + POOLED_ANSWERS;
         let late = self.late_answers + self.overdue_attempts + POOLED_ANSWERS * pooled_late_fraction;
@@ -69,13 +69,13 @@
     }
 
     /// Ends a tick's reading. A tick without answers while attempts are in flight has read nothing: the last reading stands.
-    pub fn update(&mut self, late: bool, saturated: bool, attempts_in_flight: usize) {
+    pub(crate) fn update(&mut self, late: bool, saturated: bool, attempts_in_flight: usize) {
         let unread = self.answers <= MINIMUM_ANSWERS && attempts_in_flight > 0;
         self.congested = late || saturated || (self.congested && unread);
     }
 
     /// Lets what was seen fade before the next tick.
-    pub fn decay(&mut self) {
+    pub(crate) fn decay(&mut self) {
         self.answers *= DECAY_PER_TICK;
         self.late_answers *= DECAY_PER_TICK;
         self.rejected = false;
--- a/crates/policy/src/data_sets.rs
+++ b/crates/policy/src/data_sets.rs
@@ -27,24 +27,24 @@
 }
 
 impl DataSetLocks {
-    pub fn is_held(&self, data_set: u32, now: Timestamp) -> bool {
+    pub(crate) fn is_held(&self, data_set: u32, now: Timestamp) -> bool {
         self.locks.get(&data_set).is_some_and(|lock| lock.is_held(now))
     }
 
-    pub fn acquire(&mut self, data_set: u32) {
+    pub(crate) fn acquire(&mut self, data_set: u32) {
         self.locks.entry(data_set).or_default().own_attempts += 1;
     }
 
-    pub fn release(&mut self, data_set: u32) {
+    pub(crate) fn release(&mut self, data_set: u32) {
         let lock = self.locks.entry(data_set).or_default();
         lock.own_attempts = lock.own_attempts.saturating_sub(1);
     }
 
-    pub fn record_reported(&mut self, data_set: u32, until: Timestamp) {
+    pub(crate) fn record_reported(&mut self, data_set: u32, until: Timestamp) {
         self.locks.entry(data_set).or_default().reported_until = until;
     }
 
-    pub fn remove_expired(&mut self, now: Timestamp) {
+    pub(crate) fn remove_expired(&mut self, now: Timestamp) {
         self.locks.retain(|_, lock| lock.is_held(now));
     }
 }
@@ -56,17 +56,17 @@
 }
 
 impl CachedDataSets {
-    pub fn contains(&self, data_set: u32) -> bool {
+    pub(crate) fn contains(&self, data_set: u32) -> bool {
         self.latest.contains(&data_set)
     }
 
-    pub fn record(&mut self, data_set: u32) {
+    pub(crate) fn record(&mut self, data_set: u32) {
         self.latest.retain(|cached| *cached != data_set);
         self.latest.push_front(data_set);
         self.latest.truncate(CACHED_DATA_SETS);
     }
 
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.latest.clear();
     }
 }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -11,17 +11,17 @@
 
 impl EndpointListAge {
     /// Discovery was heard, with nothing new or all of it: the list holds as of then.
-    pub fn confirm(&mut self, time: Timestamp) {
+    pub(crate) fn confirm(&mut self, time: Timestamp) {
         self.confirmed_time = self.confirmed_time.max(time);
     }
 
     /// Whether the list still holds; `None` as lifetime is one that always holds.
-    pub fn is_current(&self, lifetime: Option<Duration>, now: Timestamp) -> bool {
+    pub(crate) fn is_current(&self, lifetime: Option<Duration>, now: Timestamp) -> bool {
         lifetime.is_none_or(|lifetime| now.since(self.confirmed_time) < lifetime)
     }
 
     /// Whether the list has expired, where that changed since the last call.
-    pub fn take_change(&mut self, lifetime: Option<Duration>, now: Timestamp) -> Option<bool> {
+    pub(crate) fn take_change(&mut self, lifetime: Option<Duration>, now: Timestamp) -> Option<bool> {
         let expired = !self.is_current(lifetime, now);
         let changed = expired != self.expired;
         self.expired = expired;
--- a/crates/policy/src/engine_record.rs
+++ b/crates/policy/src/engine_record.rs
@@ -37,13 +37,13 @@
 }
 
 impl EngineRecord {
-    pub fn new(listed: Engine, limit: ConcurrencyLimit, now: Timestamp) -> EngineRecord {
+    pub(crate) fn new(listed: Engine, limit: ConcurrencyLimit, now: Timestamp) -> EngineRecord {
         EngineRecord { listed, listed_time: now, limit, heard_time: now, ..EngineRecord::default() }
     }
 
     /// Takes over a newer entry of the list. Whatever was held against the process that ran there before says nothing of a
     /// new one.
-    pub fn relist(&mut self, listed: Engine, now: Timestamp) {
+    pub(crate) fn relist(&mut self, listed: Engine, now: Timestamp) {
         if self.listed.started != listed.started {
             self.outliers = OutlierDetector::default();
             self.connection_idle_since = None;
@@ -55,36 +55,36 @@
         self.listed_time = now;
     }
 
-    pub fn is_ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.listed.state == EngineState::Ready
     }
 
-    pub fn is_used(&self) -> bool {
+    pub(crate) fn is_used(&self) -> bool {
         self.is_ready() && !self.outside_subset
     }
 
     /// Gone, not soon back, and with nothing in flight.
-    pub fn is_forgettable(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_forgettable(&self, now: Timestamp) -> bool {
         self.listed.state == EngineState::Gone
             && now.since(self.listed_time) >= FORGET_AFTER
             && self.limit.attempts_in_flight() == 0
     }
 
     /// Threads that other gateways use there beyond what engines mostly have, while that is fresh.
-    pub fn peer_excess_threads(&self, now: Timestamp) -> f64 {
+    pub(crate) fn peer_excess_threads(&self, now: Timestamp) -> f64 {
         let weight = self.load.freshness(now) * self.limit.peer_load_fraction();
         self.load.excess() * self.limit.capacity() * weight
     }
 
     /// Whether a connection is likely to be idle there, and open.
-    pub fn has_idle_connection(&self, lifetime: Duration, now: Timestamp) -> bool {
+    pub(crate) fn has_idle_connection(&self, lifetime: Duration, now: Timestamp) -> bool {
         let unused = self.limit.attempts_in_flight() == 0;
         unused && self.connection_idle_since.is_some_and(|idle_since| now.since(idle_since) < lifetime)
     }
 
     /// Whether an outcome counts for or against the engine. A time-out at an engine that answered others meanwhile is
     /// load, which the limits answer.
-    pub fn judge(&self, outcome: Outcome, sent_time: Timestamp) -> Option<bool> {
+    pub(crate) fn judge(&self, outcome: Outcome, sent_time: Timestamp) -> Option<bool> {
         match outcome {
             Outcome::Returned => Some(false),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored => Some(true),
@@ -94,7 +94,7 @@
     }
 
     /// Notes when the engine was heard and whether a connection to it is idle.
-    pub fn record_contact(&mut self, outcome: Outcome, now: Timestamp) {
+    pub(crate) fn record_contact(&mut self, outcome: Outcome, now: Timestamp) {
         if matches!(outcome, Outcome::Returned | Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored) {
             self.heard_time = now;
         }
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -41,7 +41,11 @@
 }
 
 impl EngineSelection<'_> {
-    pub fn select(&self, engines: &mut BTreeMap<usize, EngineRecord>, random: &mut WyRand) -> Option<usize> {
+    pub(crate) fn select(
+        &self,
+        engines: &mut BTreeMap<usize, EngineRecord>,
+        random: &mut WyRand,
+    ) -> Option<usize> {
         let reach = self.reach(engines);
         let pools = self.pools(engines, &reach);
         let no_pool = CapacityPool::default();
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -21,12 +21,17 @@
 }
 
 impl HealthCheckBudget {
-    pub fn record_request(&mut self) {
+    pub(crate) fn record_request(&mut self) {
         self.requests += 1.0;
     }
 
     /// Engines to ask now, drawn by chance: the less this gateway's own counts show, the more of them.
-    pub fn draw(&mut self, cost: f64, candidates: &[CheckCandidate], random: &mut WyRand) -> Vec<usize> {
+    pub(crate) fn draw(
+        &mut self,
+        cost: f64,
+        candidates: &[CheckCandidate],
+        random: &mut WyRand,
+    ) -> Vec<usize> {
         let max_rate = CHECKS_PER_REQUEST.min(MAX_COST_PER_REQUEST / cost.max(1e-9));
         let peer_load: f64 = candidates.iter().map(|candidate| candidate.peer_load_fraction).sum();
         let rate = max_rate * peer_load / (candidates.len() as f64).max(1.0);
--- a/crates/policy/src/load_report.rs
+++ b/crates/policy/src/load_report.rs
@@ -31,7 +31,7 @@
 
 impl RelativeLoad {
     /// Takes in a load of the engine. A fresh factor and the new one count half each.
-    pub fn record(&mut self, load: f64, mean: &mut MeanLoad, now: Timestamp) {
+    pub(crate) fn record(&mut self, load: f64, mean: &mut MeanLoad, now: Timestamp) {
         let mean = mean.record(load);
         let weight = if now.since(self.reported_time) < REPORT_LIFETIME { 0.5 } else { 1.0 };
         self.factor += (load / mean - self.factor) * weight;
@@ -39,12 +39,12 @@
     }
 
     /// Load beyond the usual one in -1..=1, fading with the report's age.
-    pub fn excess(&self) -> f64 {
+    pub(crate) fn excess(&self) -> f64 {
         (self.factor - 1.0).clamp(-1.0, 1.0)
     }
 
     /// How much the last report still counts, in 0..=1.
-    pub fn freshness(&self, now: Timestamp) -> f64 {
+    pub(crate) fn freshness(&self, now: Timestamp) -> f64 {
         (1.0 - now.since(self.reported_time) / REPORT_LIFETIME).max(0.0)
     }
 }
@@ -57,18 +57,18 @@
 }
 
 impl TrafficFraction {
-    pub fn record(&mut self, own: f64, all: f64) {
+    pub(crate) fn record(&mut self, own: f64, all: f64) {
         self.own = self.own * TRAFFIC_DECAY + own.min(all);
         self.all = self.all * TRAFFIC_DECAY + all;
     }
 
     /// Whether any engine has reported how much it holds.
-    pub fn is_known(&self) -> bool {
+    pub(crate) fn is_known(&self) -> bool {
         self.all > 0.0
     }
 
     /// An even part at least, more where engines report it.
-    pub fn value(&self, gateways: usize) -> f64 {
+    pub(crate) fn value(&self, gateways: usize) -> f64 {
         (self.own / self.all.max(1e-9)).max(1.0 / gateways as f64)
     }
 }
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -14,15 +14,15 @@
 }
 
 impl MemoryGrant {
-    pub fn new() -> MemoryGrant {
+    pub(crate) fn new() -> MemoryGrant {
         MemoryGrant { factor: FIRST_FACTOR }
     }
 
-    pub fn grant_mb(&self, estimate_mb: f64) -> f64 {
+    pub(crate) fn grant_mb(&self, estimate_mb: f64) -> f64 {
         estimate_mb * self.factor
     }
 
-    pub fn record(&mut self, spilled: bool) {
+    pub(crate) fn record(&mut self, spilled: bool) {
         let step = if spilled { STEP_AFTER_SPILL } else { STEP_AFTER_FIT };
         self.factor = (self.factor * step).clamp(MIN_FACTOR, MAX_FACTOR);
     }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -64,27 +64,27 @@
 }
 
 impl OutlierDetector {
-    pub fn is_ejected(&self) -> bool {
+    pub(crate) fn is_ejected(&self) -> bool {
         self.ejected
     }
 
     /// Whether a probe may go out now, where the engine is ejected.
-    pub fn is_probe_due(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_probe_due(&self, now: Timestamp) -> bool {
         now >= self.next_probe_time
     }
 
     /// For how long a probe has been due.
-    pub fn probe_overdue(&self, now: Timestamp) -> Duration {
+    pub(crate) fn probe_overdue(&self, now: Timestamp) -> Duration {
         now.since(self.next_probe_time)
     }
 
     /// An attempt goes there: until its outcome the next probe waits.
-    pub fn on_attempt_sent(&mut self, now: Timestamp) {
+    pub(crate) fn on_attempt_sent(&mut self, now: Timestamp) {
         self.next_probe_time = now + self.probe_interval;
     }
 
     /// Takes in one outcome, and tells whether the verdict changes by it.
-    pub fn record(
+    pub(crate) fn record(
         &mut self,
         bad: bool,
         baseline: &mut FailureBaseline,
--- a/crates/policy/src/request_record.rs
+++ b/crates/policy/src/request_record.rs
@@ -25,12 +25,12 @@
 
 impl AttemptInFlight {
     /// Whether nothing was heard of it for longer than progress updates take.
-    pub fn is_silent(&self, update_overdue_after: Option<Duration>, now: Timestamp) -> bool {
+    pub(crate) fn is_silent(&self, update_overdue_after: Option<Duration>, now: Timestamp) -> bool {
         update_overdue_after.is_some_and(|overdue| now.since(self.heard_time) > overdue)
     }
 
     /// Takes in what its engine says of it.
-    pub fn record_progress(&mut self, update: ProgressUpdate, now: Timestamp) {
+    pub(crate) fn record_progress(&mut self, update: ProgressUpdate, now: Timestamp) {
         self.heard_time = now;
         match update {
             ProgressUpdate::Done(fraction) if fraction > 0.0 => {
@@ -66,29 +66,29 @@
 }
 
 impl RequestRecord {
-    pub fn attempt_mut(&mut self, number: u8) -> Option<&mut AttemptInFlight> {
+    pub(crate) fn attempt_mut(&mut self, number: u8) -> Option<&mut AttemptInFlight> {
         self.in_flight.iter_mut().find(|attempt| attempt.number == number)
     }
 
-    pub fn remove_attempt(&mut self, number: u8) -> Option<AttemptInFlight> {
+    pub(crate) fn remove_attempt(&mut self, number: u8) -> Option<AttemptInFlight> {
         let position = self.in_flight.iter().position(|attempt| attempt.number == number)?;
         Some(self.in_flight.remove(position))
     }
 
     /// An attempt may have run there: the earliest one counts.
-    pub fn record_possible_run(&mut self, engine: Engine, sent_time: Timestamp) {
+    pub(crate) fn record_possible_run(&mut self, engine: Engine, sent_time: Timestamp) {
         if self.first_run.is_none_or(|first| sent_time < first.sent_time) {
             self.first_run = Some(PossibleRun { engine, sent_time });
         }
     }
 
     /// Whether it has its final answer and nothing of it is in flight.
-    pub fn is_over(&self) -> bool {
+    pub(crate) fn is_over(&self) -> bool {
         self.finished && self.in_flight.is_empty()
     }
 
     /// Marks all attempts in flight as cancelled, and names those that were not.
-    pub fn cancel_attempts(&mut self) -> Vec<u8> {
+    pub(crate) fn cancel_attempts(&mut self) -> Vec<u8> {
         let mut cancelled = Vec::new();
         for attempt in self.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
             attempt.cancelled = true;
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -17,22 +17,22 @@
 }
 
 impl RetryBudget {
-    pub fn new(rule: Option<RetryBudgetRule>) -> RetryBudget {
+    pub(crate) fn new(rule: Option<RetryBudgetRule>) -> RetryBudget {
         RetryBudget { rule, admitted: BinaryHeap::new(), retries: VecDeque::new() }
     }
 
     /// A request that was admitted then has been returned to its client.
-    pub fn record_returned(&mut self, admitted_time: Timestamp, now: Timestamp) {
+    pub(crate) fn record_returned(&mut self, admitted_time: Timestamp, now: Timestamp) {
         self.admitted.push(Reverse(admitted_time));
         self.remove_expired(now);
     }
 
-    pub fn record_retry(&mut self, now: Timestamp) {
+    pub(crate) fn record_retry(&mut self, now: Timestamp) {
         self.retries.push_back(now);
     }
 
     /// Whether one more retry lies within the budget; without a rule any does.
-    pub fn allows_retry(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn allows_retry(&mut self, now: Timestamp) -> bool {
         self.remove_expired(now);
         let Some(rule) = self.rule else { return true };
         (self.retries.len() + 1) as f64 <= rule.free + rule.per_request * self.admitted.len() as f64
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -42,7 +42,7 @@
 }
 
 impl SlowStartLedger {
-    pub fn record(&mut self, work: f64, now: Timestamp) {
+    pub(crate) fn record(&mut self, work: f64, now: Timestamp) {
         self.sent.push_back(SentWork { time: now, work });
     }
 
@@ -67,7 +67,7 @@
 
 impl SlowStartGate<'_> {
     /// Whether the request may go there. `assigned_fraction` is this gateway's part, where an allocator hands parts out.
-    pub fn admits(
+    pub(crate) fn admits(
         &self,
         engine: &Engine,
         ledger: &mut SlowStartLedger,
--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -20,7 +20,7 @@
 }
 
 impl TenantQuota {
-    pub fn new(rate: f64) -> TenantQuota {
+    pub(crate) fn new(rate: f64) -> TenantQuota {
         TenantQuota {
             rate,
             assigned_fraction: None,
@@ -29,13 +29,13 @@
         }
     }
 
-    pub fn assign(&mut self, fraction: Option<f64>) {
+    pub(crate) fn assign(&mut self, fraction: Option<f64>) {
         self.assigned_fraction = fraction;
     }
 
     /// Whether a request lies within the quota; it then takes a token. `traffic_fraction` stands in for a fraction that
     /// nobody has assigned.
-    pub fn try_acquire(&mut self, traffic_fraction: f64, now: Timestamp) -> bool {
+    pub(crate) fn try_acquire(&mut self, traffic_fraction: f64, now: Timestamp) -> bool {
         let rate = self.rate * self.assigned_fraction.unwrap_or(traffic_fraction);
         let limit = rate * BURST.secs() + BURST_REQUESTS;
         let elapsed = now.since(self.refilled_time).secs();
--- a/crates/policy/src/work_estimate.rs
+++ b/crates/policy/src/work_estimate.rs
@@ -41,7 +41,7 @@
 
 impl WorkEstimate {
     /// Until hints come, the work that the latency objective has room for: slow start needs some.
-    pub fn new(class: &RequestClass) -> WorkEstimate {
+    pub(crate) fn new(class: &RequestClass) -> WorkEstimate {
         WorkEstimate {
             mean_hint: class.latency_objective.secs() * class.threads,
             hint_correction: 1.0,
@@ -52,31 +52,31 @@
     }
 
     /// The work of a request with this hint, in seconds; none before anything is known of its class.
-    pub fn estimate(&self, hint: Option<Duration>) -> Option<f64> {
+    pub(crate) fn estimate(&self, hint: Option<Duration>) -> Option<f64> {
         let mean_hint = (self.hints > 0.0).then_some(self.mean_hint * self.hint_correction);
         hint.map(|hint| hint.secs() * self.hint_correction).or(self.mean_reported).or(mean_hint)
     }
 
     /// Usual work of a request in seconds, as slow start counts it.
-    pub fn mean(&self) -> f64 {
+    pub(crate) fn mean(&self) -> f64 {
         self.mean_reported.unwrap_or(self.mean_hint * self.hint_correction.max(1.0)).max(0.001)
     }
 
-    pub fn record_hint(&mut self, hint: Option<Duration>) {
+    pub(crate) fn record_hint(&mut self, hint: Option<Duration>) {
         let Some(hint) = hint else { return };
         self.hints = (self.hints + 1.0).min(MAX_HINTS);
         self.mean_hint += (hint.secs() - self.mean_hint) / (self.hints + PRIOR_HINTS);
     }
 
     /// An attempt whose pace predicts more than this has gone off its estimate; without an estimate none has.
-    pub fn off_estimate_after(&self, estimate: Option<f64>, threads: f64) -> Duration {
+    pub(crate) fn off_estimate_after(&self, estimate: Option<f64>, threads: f64) -> Duration {
         let Some(work) = estimate else { return Duration::from_secs(f64::MAX) };
         Duration::from_secs(work / threads * self.stretch * OFF_ESTIMATE_FACTOR)
     }
 
     /// Learns from an answer. Where answers report the work it is learned as reported. Elsewhere the correction follows a low
     /// quantile of the time over the hint: an answer is never faster than its work, and most wait a little.
-    pub fn record_answer(&mut self, observed: &ObservedWork) {
+    pub(crate) fn record_answer(&mut self, observed: &ObservedWork) {
         if let Some(estimate) = observed.estimate {
             let ratio = (observed.thread_seconds / estimate.max(0.001)).clamp(0.5, 20.0);
             self.stretch *= (ratio / self.stretch).powf(FACTOR_WEIGHT);
