--- a/crates/fault-tests/src/bin/larchfall-faulty.rs
+++ b/crates/fault-tests/src/bin/larchfall-faulty.rs
@@ -4,7 +4,7 @@
 
 use larchfall_gateway::run::command::main_on;
 use larchfall_gateway::run::parts::{Folder, Parts, boot_time, unix_time};
-use larchfall_leases::record::Disk;
+use larchfall_leases::voter_record::Disk;
 use larchfall_policy::time::{Duration, Timestamp};
 use std::io::{self, ErrorKind};
 use std::path::Path;
@@ -52,8 +52,8 @@
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         if self.step()? { self.folder.rename(from, to) } else { Ok(()) }
     }
-    fn sync_folder(&mut self) -> io::Result<()> {
-        if self.step()? { self.folder.sync_folder() } else { Ok(()) }
+    fn sync_directory(&mut self) -> io::Result<()> {
+        if self.step()? { self.folder.sync_directory() } else { Ok(()) }
     }
 }
 
--- a/crates/fault-tests/src/duties.rs
+++ b/crates/fault-tests/src/duties.rs
@@ -2,13 +2,15 @@
 //! cuts, and something that each holder acts on, which remembers the highest token. Time is true time; each gateway only
 //! ever sees its own clock.
 
-use larchfall_leases::bid::Terms;
-use larchfall_leases::duties::{Duties, Out, Settings, What, Why};
-use larchfall_leases::elector::Bounds;
-use larchfall_leases::permit::Fence;
-use larchfall_leases::quorum::Electors;
-use larchfall_leases::record::Record;
-use larchfall_leases::wire::{Matter, Who};
+use larchfall_leases::candidacy::LeaseTerms;
+use larchfall_leases::fencing::TokenFence;
+use larchfall_leases::manager::{
+    EndReason, LeaseEventKind, LeaseManager, LeaseSettings, OutgoingMessage, Output,
+};
+use larchfall_leases::messages::{MemberId, Payload};
+use larchfall_leases::quorum::VoterSet;
+use larchfall_leases::voter::VoterLimits;
+use larchfall_leases::voter_record::VoterRecord;
 use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
@@ -23,15 +25,15 @@
 }
 
 /// Leases of three seconds with a margin of sixty in a thousand; the first so many gateways are electors.
-pub fn settings(electors: usize, duties: usize, keeps: bool) -> Settings {
-    Settings {
+pub fn settings(electors: usize, duties: usize, keeps: bool) -> LeaseSettings {
+    LeaseSettings {
         cluster: "toy".into(),
-        electors: Electors { now: (0..electors).map(name).collect(), before: None },
-        terms: Terms { length: ms(3_000), margin: 60 },
-        bounds: Bounds { longest: ms(6_000), most: 1_000, keeps },
-        duties: (0..duties).map(|d| format!("duty:{d:03}")).collect(),
-        least: ms(5_000),
-        better: 0.1,
+        voters: VoterSet { current: (0..electors).map(name).collect(), previous: None },
+        terms: LeaseTerms { length: ms(3_000), drift_margin_per_mille: 60 },
+        voter_limits: VoterLimits { longest_lease: ms(6_000), max_roles: 1_000, persistent: keeps },
+        roles: (0..duties).map(|d| format!("duty:{d:03}")).collect(),
+        min_hold: ms(5_000),
+        better_margin: 0.1,
     }
 }
 
@@ -45,7 +47,7 @@
 }
 
 pub struct Node {
-    pub duties: Duties,
+    pub duties: LeaseManager,
     pub up: bool,
     /// True time from which on it runs again.
     stopped: Option<Timestamp>,
@@ -53,7 +55,7 @@
     pub rate: f64,
     pub disk: DiskDoes,
     pub disk_takes: Duration,
-    pub record: Option<Record>,
+    pub record: Option<VoterRecord>,
     generation: u64,
     since: Timestamp,
     woken_for: Timestamp,
@@ -77,7 +79,7 @@
 pub struct Fleet {
     pub now: Timestamp,
     pub nodes: Vec<Node>,
-    pub settings: Settings,
+    pub settings: LeaseSettings,
     pub loss: f64,
     pub slowest: Duration,
     pub link: Box<dyn Fn(usize, usize) -> bool>,
@@ -89,21 +91,21 @@
     pub acts: Duration,
     pub acted: u64,
     pub letters: u64,
-    pub given_up: BTreeMap<Why, usize>,
-    fence: Fence,
-    posted: Vec<Matter>,
+    pub given_up: BTreeMap<EndReason, usize>,
+    fence: TokenFence,
+    posted: Vec<Payload>,
     queue: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     events: u64,
     chance: WyRand,
 }
 
 impl Fleet {
-    pub fn start(n: usize, settings: Settings, seed: u64) -> Fleet {
+    pub fn start(n: usize, settings: LeaseSettings, seed: u64) -> Fleet {
         let now = Timestamp::from_micros(1_000_000_000);
         let mut fleet = Fleet {
             now,
             nodes: Vec::new(),
-            free: settings.duties.iter().map(|duty| (duty.clone(), now)).collect(),
+            free: settings.roles.iter().map(|duty| (duty.clone(), now)).collect(),
             settings,
             loss: 0.0,
             slowest: ms(5),
@@ -114,7 +116,7 @@
             acted: 0,
             letters: 0,
             given_up: BTreeMap::new(),
-            fence: Fence::default(),
+            fence: TokenFence::default(),
             posted: Vec::new(),
             queue: BinaryHeap::new(),
             events: 0,
@@ -141,9 +143,15 @@
         fleet
     }
 
-    fn process(&mut self, i: usize, generation: u64, rate: f64, record: Option<&Record>) -> Duties {
-        let (me, seed) = (Who { name: name(i), generation }, self.chance.generate::<u64>());
-        Duties::new(me, self.settings.clone(), record, self.now.micros(), seed, clock(self.now, rate))
+    fn process(
+        &mut self,
+        i: usize,
+        generation: u64,
+        rate: f64,
+        record: Option<&VoterRecord>,
+    ) -> LeaseManager {
+        let (me, seed) = (MemberId { name: name(i), generation }, self.chance.generate::<u64>());
+        LeaseManager::new(me, self.settings.clone(), record, self.now.micros(), seed, clock(self.now, rate))
     }
 
     /// What membership would tell: who is up, since when by each one's own clock.
@@ -151,7 +159,8 @@
         let up: Vec<usize> = (0..self.nodes.len()).filter(|i| self.nodes[*i].up).collect();
         let since: Vec<(usize, Timestamp)> = up.iter().map(|i| (*i, self.nodes[*i].since)).collect();
         for node in &mut self.nodes {
-            node.duties.live(since.iter().map(|(i, at)| (name(*i), clock(*at, node.rate))).collect());
+            node.duties
+                .set_live_members(since.iter().map(|(i, at)| (name(*i), clock(*at, node.rate))).collect());
         }
     }
 
@@ -236,17 +245,17 @@
             let now = self.clock(i);
             let out = match event {
                 Event::Wake(..) if at < self.nodes[i].woken_for => continue,
-                Event::Wake(..) => self.nodes[i].duties.wake(now),
-                Event::Written(_, _, kept) => self.nodes[i].duties.written(kept, now),
+                Event::Wake(..) => self.nodes[i].duties.on_timer(now),
+                Event::Written(_, _, kept) => self.nodes[i].duties.on_record_written(kept, now),
                 Event::Letter(_, from, generation, n) => {
                     let matter = self.posted[n].clone();
-                    self.nodes[i].duties.hear(&Who { name: name(from), generation }, &matter, now)
+                    self.nodes[i].duties.on_message(&MemberId { name: name(from), generation }, &matter, now)
                 }
                 Event::Act => continue,
             };
             self.take(i, out);
             let rate = self.nodes[i].rate;
-            let wait = self.nodes[i].duties.due().since(now).micros() as f64 / rate;
+            let wait = self.nodes[i].duties.next_timer().since(now).micros() as f64 / rate;
             let due = at + Duration::from_micros(wait as u64).max(ms(1)).min(ms(200));
             if due != self.nodes[i].woken_for {
                 self.wake_at(i, due);
@@ -255,18 +264,18 @@
         self.now = until;
     }
 
-    fn take(&mut self, i: usize, out: Out) {
+    fn take(&mut self, i: usize, out: Output) {
         let generation = self.nodes[i].generation;
-        for (to, matter) in out.letters {
+        for OutgoingMessage { to, payload } in out.messages {
             let Ok(to) = to[1..].parse::<usize>() else { continue };
             self.letters += 1;
             if (self.link)(i, to) && self.chance.generate::<f64>() >= self.loss {
                 let delay = Duration::from_micros(self.chance.generate_range(100..=self.slowest.micros()));
-                self.posted.push(matter);
+                self.posted.push(payload);
                 self.push(self.now + delay, Event::Letter(to, i, generation, self.posted.len() - 1));
             }
         }
-        if let Some(record) = out.write {
+        if let Some(record) = out.record_to_write {
             let node = &mut self.nodes[i];
             let (kept, takes) = (node.disk != DiskDoes::Fails, node.disk_takes);
             if node.disk == DiskDoes::Keeps {
@@ -275,26 +284,26 @@
             self.push(self.now + takes, Event::Written(i, generation, kept));
         }
         let mut stopped = Vec::new();
-        for change in out.changes {
-            match change.what {
-                What::Ends { why, .. } => {
-                    *self.given_up.entry(why).or_default() += 1;
-                    stopped.push(change.duty);
+        for event in out.events {
+            match event.kind {
+                LeaseEventKind::Ending { reason, .. } => {
+                    *self.given_up.entry(reason).or_default() += 1;
+                    stopped.push(event.role);
                 }
-                What::Lost { why, .. } => *self.given_up.entry(why).or_default() += 1,
-                What::Holds { .. } | What::GivenBack { .. } => {}
+                LeaseEventKind::Lost { reason, .. } => *self.given_up.entry(reason).or_default() += 1,
+                LeaseEventKind::Acquired { .. } | LeaseEventKind::Released { .. } => {}
             }
         }
         for duty in stopped {
             let now = self.clock(i);
-            let out = self.nodes[i].duties.stopped(&duty, now);
+            let out = self.nodes[i].duties.on_work_stopped(&duty, now);
             self.take(i, out);
         }
     }
 
     /// Every holder that runs acts on each of its duties.
     fn act(&mut self) {
-        for duty in self.settings.duties.clone() {
+        for duty in self.settings.roles.clone() {
             let holders = self.holders(&duty);
             if holders.len() > 1 {
                 self.wrong.push(Wrong { at: self.now, what: format!("{duty} is held by {holders:?}") });
@@ -330,11 +339,11 @@
 
     /// Each duty is held by one that runs.
     pub fn all_held(&self) -> bool {
-        self.settings.duties.iter().all(|duty| matches!(self.holders(duty)[..], [i] if !self.is_stopped(i)))
+        self.settings.roles.iter().all(|duty| matches!(self.holders(duty)[..], [i] if !self.is_stopped(i)))
     }
 
     pub fn electors(&self) -> usize {
-        self.settings.electors.now.len()
+        self.settings.voters.current.len()
     }
 
     pub fn chance(&mut self) -> &mut WyRand {
--- a/crates/fault-tests/src/vault.rs
+++ b/crates/fault-tests/src/vault.rs
@@ -1,7 +1,7 @@
 //! Something that holders of duties act on, and that checks tokens: datagrams of the words duty, token and process, each
 //! taken or refused by the highest token seen, and all of them kept in a ledger.
 
-use larchfall_leases::permit::Fence;
+use larchfall_leases::fencing::TokenFence;
 use std::io;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -32,7 +32,7 @@
         let (ledger, over) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
         let vault = Vault { port, ledger: ledger.clone(), over: over.clone() };
         thread::spawn(move || {
-            let (mut bytes, mut fence) = ([0; 256], Fence::default());
+            let (mut bytes, mut fence) = ([0; 256], TokenFence::default());
             while !over.load(Ordering::Relaxed) {
                 let Ok((n, _)) = socket.recv_from(&mut bytes) else { continue };
                 let text = String::from_utf8_lossy(&bytes[..n]).into_owned();
--- a/crates/fault-tests/tests/duties.rs
+++ b/crates/fault-tests/tests/duties.rs
@@ -196,7 +196,7 @@
                 .fleet
                 .gateway(holder)
                 .log
-                .wait_for(&format!("lease lost, lease: writer0, token: {token}, reason: RanOut"));
+                .wait_for(&format!("lease lost, lease: writer0, token: {token}, reason: Expired"));
         }
         tried.fleet.net.heal();
         if what != "killed" {
--- a/crates/gateway/src/cluster/duties.rs
+++ b/crates/gateway/src/cluster/duties.rs
@@ -5,13 +5,18 @@
 use crate::engines::attempt;
 use crate::run::parts::{self, Parts, boot_time};
 use crate::state::{State, lock};
-use larchfall_leases::duties::{Change, Duties, Out, Settings, View, What};
-use larchfall_leases::elector::Bounds;
-use larchfall_leases::fitness::{Fitness, Lines, Sight};
-use larchfall_leases::permit::{Permit, Stamped};
-use larchfall_leases::probing::{Probe, Reading, duty, duty_of, keeper};
-use larchfall_leases::record::{Record, find};
-use larchfall_leases::wire::{Letter, Matter, Unreadable, Who, pages};
+use larchfall_leases::fencing::{ActionPermit, Fenced};
+use larchfall_leases::fitness::{Fitness, FitnessInputs, FitnessThresholds};
+use larchfall_leases::load_sharing::{
+    HealthCheck, ReportAges, SharedLoadReport, health_check_role, quota_allocator_role, role_index,
+};
+use larchfall_leases::manager::{
+    HeldLease, KnownLease, LastEnd, LeaseEvent, LeaseEventKind, LeaseManager, LeaseSettings, OutgoingMessage,
+    Output, RoleStatus,
+};
+use larchfall_leases::messages::{Datagram, MemberId, Payload, QuotaDemand, QuotaGrant, paginate};
+use larchfall_leases::voter::VoterLimits;
+use larchfall_leases::voter_record::{DamagedFile, Disk, VoterRecord, load};
 use larchfall_membership::members::Member;
 use larchfall_operator_config::{Duties as Site, Keepers, Kinds};
 use larchfall_policy::interface::{LoadReport, RequestClass, SlowStartPolicy};
@@ -77,13 +82,13 @@
 }
 
 pub struct Duty {
-    leases: Mutex<Duties>,
-    me: Who,
+    leases: Mutex<LeaseManager>,
+    me: MemberId,
     cluster: String,
     parts: Parts,
-    lines: Mutex<Lines>,
+    lines: Mutex<FitnessThresholds>,
     fitness: Mutex<Fitness>,
-    records: Option<SyncSender<Record>>,
+    records: Option<SyncSender<VoterRecord>>,
     programs: Programs,
     /// What is handed out by keepers, if anything is.
     shares: Option<Mutex<Shares>>,
@@ -105,18 +110,18 @@
     pub fn open(
         state: &State,
         site: Site,
-        me: Who,
+        me: MemberId,
         seed: u64,
         parts: Parts,
         shared: Shared,
     ) -> io::Result<(Arc<Duty>, Option<Keeper>)> {
         let now = (parts.clock)();
-        let is_elector = site.settings.electors.has(&me.name);
+        let is_elector = site.settings.voters.contains(&me.name);
         // One that is no elector now may become one, when the file is read again.
         let mut disk = site.record.as_ref().map(|folder| (parts.disk)(folder));
-        let found = disk.as_mut().map(|disk| find(disk.as_mut())).unwrap_or_default();
-        for (file, why) in &found.damaged {
-            warn!(state.log, "voter record damaged"; "reason" => why, "file" => file);
+        let found = disk.as_mut().map(|disk| load(disk.as_mut())).unwrap_or_default();
+        for DamagedFile { file, reason } in &found.damaged {
+            warn!(state.log, "voter record damaged"; "reason" => reason, "file" => file);
         }
         if is_elector {
             let version = found.record.as_ref().map_or(0, |r| r.version);
@@ -125,7 +130,7 @@
         let settings = site.settings;
         let shared = Shared { kinds: site.keepers.map_or(Kinds::default(), |k| k.kinds), ..shared };
         let shares = site.keepers.map(|Keepers { keepers, length, .. }| {
-            let (gateways, margin) = (shared.gateways, settings.terms.margin);
+            let (gateways, margin) = (shared.gateways, settings.terms.drift_margin_per_mille);
             let strict = Terms { gateways, length, margin, window: shared.slow_start.window, strict: true };
             let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
             let shares = Shares::new(shares::Settings { strict, soft, keepers, most: MOST_SHARED }, now);
@@ -135,8 +140,14 @@
             Mutex::new(shares)
         });
         let cluster = settings.cluster.clone();
-        let leases =
-            Duties::new(me.clone(), settings, found.record.as_ref(), (parts.wall)().micros(), seed, now);
+        let leases = LeaseManager::new(
+            me.clone(),
+            settings,
+            found.record.as_ref(),
+            (parts.wall)().micros(),
+            seed,
+            now,
+        );
         let (records, keeper) = match disk {
             Some(disk) => {
                 let (records, taken) = sync_channel(1);
@@ -170,10 +181,10 @@
     /// From a file that was read again; refused whole where it can't be made safe.
     pub fn set(&self, state: &State, gateways: &Gateways, site: Site) {
         // The disk was opened at the start, or not.
-        let keeps = self.records.is_some();
-        let bounds = Bounds { keeps, ..site.settings.bounds };
-        let settings = Settings { bounds, ..site.settings };
-        let set = lock(&self.leases).set(settings, (self.parts.wall)().micros(), self.now());
+        let persistent = self.records.is_some();
+        let voter_limits = VoterLimits { persistent, ..site.settings.voter_limits };
+        let settings = LeaseSettings { voter_limits, ..site.settings };
+        let set = lock(&self.leases).update_settings(settings, (self.parts.wall)().micros(), self.now());
         match set {
             Ok(out) => {
                 self.programs.set(site.programs);
@@ -187,7 +198,7 @@
     pub fn due_in(&self) -> Duration {
         let now = self.now();
         let shares = self.shares.as_ref().map_or(IDLE, |shares| lock(shares).due().since(now));
-        let due = lock(&self.leases).due().since(now).min(shares);
+        let due = lock(&self.leases).next_timer().since(now).min(shares);
         // Programs end by themselves, and what was just held is to be acted on: both are looked for in between.
         let looks = (*lock(&self.woke) + SOON).since(now);
         if self.soon.load(Ordering::Relaxed) || self.programs.any_runs() { due.min(looks) } else { due }
@@ -205,7 +216,7 @@
     }
 
     pub fn name_taken(&self, state: &State, gateways: &Gateways) {
-        let out = lock(&self.leases).name_taken(self.now());
+        let out = lock(&self.leases).on_name_taken(self.now());
         self.take(state, gateways, out);
     }
 
@@ -220,14 +231,19 @@
         };
         let (known, ready) = state.facade.listed();
         let silence = state_now.since(Timestamp::from_micros(state.discovery_heard.load(Ordering::Relaxed)));
-        let sight = Sight { listed: known, ready: ready.len(), silence, health };
+        let inputs = FitnessInputs {
+            listed_engines: known,
+            ready_engines: ready.len(),
+            discovery_silence: silence,
+            health_score: health,
+        };
         let lines = *lock(&self.lines);
-        let fit = lock(&self.fitness).is_fit(lines, sight);
+        let fit = lock(&self.fitness).update(lines, inputs);
         let out = {
             let mut leases = lock(&self.leases);
-            leases.live(live);
-            leases.fit(fit);
-            leases.wake(now)
+            leases.set_live_members(live);
+            leases.set_fit(fit);
+            leases.on_timer(now)
         };
         self.take(state, gateways, out);
         self.look_after_programs(state, gateways);
@@ -243,18 +259,20 @@
             let mut shares = lock(shares);
             let (keepers, terms) = (shares.keepers(), shares.terms());
             let wanted = |demand: &Demand| self.shared.wanted(state, demand);
-            let keeper_of = |capacity| duty_of(capacity, keepers);
+            let keeper_of = |capacity| role_index(capacity, keepers);
             (shares.asks(|| state.facade.came(), wanted, keeper_of, now), terms)
         };
         self.use_shares(state, shares, now);
         for Asking { keeper: number, round, wants } in asking {
-            let name = keeper(number);
+            let name = quota_allocator_role(number);
             let holder = lock(&self.leases).holder(&name, now).map(str::to_owned);
             let Some(holder) = holder else { continue };
-            for wants in pages(wants, READINGS) {
+            let demands = wants.into_iter().map(|(capacity, weight)| QuotaDemand { capacity, weight });
+            for demands in paginate(demands, READINGS) {
                 let (gateways_most, length_us) = (most as u32, length.micros());
-                let duty = name.clone();
-                let matter = Matter::AskShares { duty, round, gateways: gateways_most, length_us, wants };
+                let role = name.clone();
+                let matter =
+                    Payload::RequestQuotas { role, round, gateways: gateways_most, length_us, demands };
                 if holder == self.me.name {
                     self.hear_of_shares(state, gateways, &self.me, &matter);
                 } else {
@@ -270,22 +288,24 @@
         state.facade.share(&self.shared.tenants, &parts);
     }
 
-    fn hear_of_shares(&self, state: &State, gateways: &Gateways, from: &Who, matter: &Matter) {
+    fn hear_of_shares(&self, state: &State, gateways: &Gateways, from: &MemberId, matter: &Payload) {
         let (Some(shares), now) = (&self.shares, self.now()) else { return };
         match matter {
-            Matter::AskShares { duty, round, gateways: most, length_us, wants } => {
+            Payload::RequestQuotas { role, round, gateways: most, length_us, demands } => {
                 // Immediately before: nothing is handed out that the next keeper may not know to be over in time.
                 let leases = lock(&self.leases);
-                let Some(permit) = leases.permit(duty, now) else { return };
+                let Some(permit) = leases.permit(role, now) else { return };
                 let parts = {
                     let terms = (*most as usize, Duration::from_micros(*length_us));
-                    lock(shares).answer(permit.token, (&from.name, terms), wants, now)
+                    let wants: Vec<(u64, f32)> = demands.iter().map(|d| (d.capacity, d.weight)).collect();
+                    lock(shares).answer(permit.token, (&from.name, terms), &wants, now)
                 };
-                let stamped = permit.stamp(parts);
+                let parts = parts.into_iter().map(|(capacity, fraction)| QuotaGrant { capacity, fraction });
+                let stamped = permit.fence(parts);
                 drop(leases);
-                for page in pages(stamped.action, READINGS) {
-                    let parts = Stamped { duty: stamped.duty.clone(), token: stamped.token, action: page };
-                    let matter = Matter::Shares { round: *round, parts };
+                for page in paginate(stamped.content, READINGS) {
+                    let grants = Fenced { role: stamped.role.clone(), token: stamped.token, content: page };
+                    let matter = Payload::Quotas { round: *round, grants };
                     if from.name == self.me.name {
                         self.hear_of_shares(state, gateways, from, &matter);
                     } else {
@@ -293,8 +313,10 @@
                     }
                 }
             }
-            Matter::Shares { round, parts } => {
-                let taken = lock(shares).granted(*round, parts.token, &parts.action, now);
+            Payload::Quotas { round, grants } => {
+                let parts: Vec<(u64, f64)> =
+                    grants.content.iter().map(|g| (g.capacity, g.fraction)).collect();
+                let taken = lock(shares).granted(*round, grants.token, &parts, now);
                 self.counters.shares.fetch_add(taken as u64, Ordering::Relaxed);
                 self.use_shares(state, shares, now);
             }
@@ -305,13 +327,14 @@
     fn look_after_programs(&self, state: &State, gateways: &Gateways) {
         for ended in self.programs.take_ended(self.now()) {
             info!(state.log, "supervised program exited"; "status" => ended.how, "token" => ended.token, "lease" => &ended.duty);
-            let out = lock(&self.leases).stopped(&ended.duty, self.now());
+            let out = lock(&self.leases).on_work_stopped(&ended.duty, self.now());
             self.take(state, gateways, out);
         }
         for duty in self.programs.duties() {
             // Looked at immediately before: what is left is what the minder is told.
             let (now, boot) = (self.now(), boot_time());
-            let held = lock(&self.leases).permit(&duty, now).map(|permit| (permit.token, permit.left(now)));
+            let held =
+                lock(&self.leases).permit(&duty, now).map(|permit| (permit.token, permit.remaining(now)));
             if let Some((token, left)) = held {
                 self.programs.may_run(&duty, token, boot + left, now);
             }
@@ -323,25 +346,26 @@
         let Some(probing) = &state.probing else { return };
         let duties = {
             let mut probing = lock(probing);
-            if !probing.begins(state.clock.now()) { 0 } else { probing.duties() }
+            if !probing.start_round(state.clock.now()) { 0 } else { probing.roles() }
         };
         for number in 0..duties {
-            let ours = ready.iter().filter(|(_, id)| duty_of(u64::from(*id), duties) == number);
+            let ours = ready.iter().filter(|(_, id)| role_index(u64::from(*id), duties) == number);
             let ours: Vec<(usize, u32)> = ours.copied().collect();
             let left = Arc::new(AtomicUsize::new(ours.len()));
             for (e, id) in ours {
-                let name = duty(number);
+                let name = health_check_role(number);
                 let leases = lock(&self.leases);
-                let Some(allowed) = leases.permit(&name, self.now()).map(|p| p.allow(Probe { engine: e }))
+                let Some(allowed) =
+                    leases.permit(&name, self.now()).map(|p| p.allow(HealthCheck { engine: e }))
                 else {
                     break;
                 };
                 drop(leases);
                 let (state, gateways, left) = (state.clone(), gateways.clone(), left.clone());
                 may::go!(move || {
-                    let report = attempt::probe(&state, allowed.action().engine);
+                    let report = attempt::probe(&state, allowed.into_action().engine);
                     if let (Some(report), Some(probing)) = (report, &state.probing) {
-                        lock(probing).read(reading(id, report), state.clock.now());
+                        lock(probing).record_own(reading(id, report), state.clock.now());
                     }
                     if left.fetch_sub(1, Ordering::Relaxed) == 1
                         && let Some(duties) = &gateways.duties
@@ -356,10 +380,10 @@
     /// What was read under a duty goes to all that live, with its token, while it still lasts.
     fn tell(&self, state: &State, gateways: &Gateways, number: usize) {
         let Some(probing) = &state.probing else { return };
-        let read = lock(probing).to_tell(number, state.clock.now());
-        let name = duty(number);
-        let stamp = |permit: Permit, page| permit.stamp(page);
-        for page in pages(read, READINGS) {
+        let read = lock(probing).take_unsent(number, state.clock.now());
+        let name = health_check_role(number);
+        let stamp = |permit: ActionPermit, page| permit.fence(page);
+        for page in paginate(read, READINGS) {
             let stamped = lock(&self.leases).permit(&name, self.now()).map(|permit| stamp(permit, page));
             let Some(stamped) = stamped else { return };
             let others: Vec<String> = {
@@ -367,50 +391,50 @@
                 members.live().map(|(name, _)| name.clone()).filter(|name| *name != self.me.name).collect()
             };
             for to in others {
-                self.send(gateways, &to, Matter::Readings(stamped.clone()));
+                self.send(gateways, &to, Payload::LoadReports(stamped.clone()));
             }
         }
     }
 
-    fn send(&self, gateways: &Gateways, to: &str, matter: Matter) {
+    fn send(&self, gateways: &Gateways, to: &str, matter: Payload) {
         let address = lock(&gateways.members).table().get(to).map(|m| m.about.address);
         let Some(address) = address else { return one(&self.counters.unknown) };
-        let bytes = Letter::new(&self.cluster, &self.me, matter).seal();
+        let bytes = Datagram::new(&self.cluster, &self.me, matter).encode();
         if gateways.socket.inner().send_to(&bytes, address).is_ok() {
             one(&self.counters.sent);
         }
     }
 
     /// Sends, logs and carries out what came of a call. No lock is held here.
-    fn take(&self, state: &State, gateways: &Gateways, out: Out) {
-        for (to, matter) in out.letters {
-            self.send(gateways, &to, matter);
+    fn take(&self, state: &State, gateways: &Gateways, out: Output) {
+        for OutgoingMessage { to, payload } in out.messages {
+            self.send(gateways, &to, payload);
         }
-        if let (Some(record), Some(records)) = (out.write, &self.records) {
+        if let (Some(record), Some(records)) = (out.record_to_write, &self.records) {
             // One is under way at a time, so there is room.
             let _ = records.try_send(record);
         }
-        self.soon.fetch_or(!out.changes.is_empty(), Ordering::Relaxed);
-        for Change { duty, what } in out.changes {
-            match what {
-                What::Holds { token } => {
+        self.soon.fetch_or(!out.events.is_empty(), Ordering::Relaxed);
+        for LeaseEvent { role: duty, kind } in out.events {
+            match kind {
+                LeaseEventKind::Acquired { token } => {
                     info!(state.log, "lease acquired"; "token" => token, "lease" => duty)
                 }
-                What::Ends { token, why, to } => {
-                    info!(state.log, "lease ending"; "successor" => to.unwrap_or_default(),
-                        "reason" => format!("{why:?}"), "token" => token, "lease" => &duty);
+                LeaseEventKind::Ending { token, reason, successor } => {
+                    info!(state.log, "lease ending"; "successor" => successor.unwrap_or_default(),
+                        "reason" => format!("{reason:?}"), "token" => token, "lease" => &duty);
                     self.programs.end(&duty);
                     if !self.programs.runs(&duty) {
-                        let out = lock(&self.leases).stopped(&duty, self.now());
+                        let out = lock(&self.leases).on_work_stopped(&duty, self.now());
                         self.take(state, gateways, out);
                     }
                 }
-                What::Lost { token, why } => {
-                    warn!(state.log, "lease lost"; "reason" => format!("{why:?}"), "token" => token, "lease" => &duty);
+                LeaseEventKind::Lost { token, reason } => {
+                    warn!(state.log, "lease lost"; "reason" => format!("{reason:?}"), "token" => token, "lease" => &duty);
                     self.programs.end(&duty);
                 }
-                What::GivenBack { token, to } => {
-                    let to = to.unwrap_or_default();
+                LeaseEventKind::Released { token, successor } => {
+                    let to = successor.unwrap_or_default();
                     info!(state.log, "lease released"; "successor" => to, "token" => token, "lease" => duty);
                 }
             }
@@ -420,45 +444,42 @@
     /// A datagram of duties that came from this address.
     pub fn hear(&self, state: &State, gateways: &Gateways, bytes: &[u8], from: SocketAddrV4) {
         one(&self.counters.heard);
-        let letter = match Letter::open(bytes, &self.cluster) {
-            Ok(letter) => letter,
-            Err(Unreadable::Spoilt | Unreadable::Unsound | Unreadable::OtherCluster) => {
-                return one(&self.counters.spoilt);
-            }
+        let Ok(letter) = Datagram::decode(bytes, &self.cluster) else {
+            return one(&self.counters.spoilt);
         };
         // Who writes is one that membership knows, at the address that it knows it by. A process that was held for dead for
         // a while goes on there under a later generation, and here under that of its start: it is the same one.
         let known = lock(&gateways.members)
             .table()
-            .get(&letter.from.name)
-            .is_some_and(|m| m.about.address == from && m.claim.generation >= letter.from.generation);
+            .get(&letter.sender.name)
+            .is_some_and(|m| m.about.address == from && m.claim.generation >= letter.sender.generation);
         if !known {
             return one(&self.counters.unknown);
         }
-        match &letter.matter {
-            Matter::Readings(told) => return self.take_readings(state, told),
-            matter @ (Matter::AskShares { .. } | Matter::Shares { .. }) => {
-                return self.hear_of_shares(state, gateways, &letter.from, matter);
+        match &letter.payload {
+            Payload::LoadReports(told) => return self.take_readings(state, told),
+            matter @ (Payload::RequestQuotas { .. } | Payload::Quotas { .. }) => {
+                return self.hear_of_shares(state, gateways, &letter.sender, matter);
             }
             _ => {}
         }
-        let out = lock(&self.leases).hear(&letter.from, &letter.matter, self.now());
+        let out = lock(&self.leases).on_message(&letter.sender, &letter.payload, self.now());
         self.take(state, gateways, out);
     }
 
-    fn take_readings(&self, state: &State, told: &Stamped<Vec<Reading>>) {
+    fn take_readings(&self, state: &State, told: &Fenced<Vec<SharedLoadReport>>) {
         let Some(probing) = &state.probing else { return };
-        let taken: Option<Vec<Reading>> = {
+        let taken: Option<Vec<SharedLoadReport>> = {
             let mut probing = lock(probing);
-            let taken = probing.hear(told, state.clock.now());
+            let taken = probing.on_reports(told, state.clock.now());
             taken.map(|readings| readings.into_iter().copied().collect())
         };
         match taken {
-            None => warn!(state.log, "load reports rejected"; "token" => told.token, "lease" => &told.duty),
+            None => warn!(state.log, "load reports rejected"; "token" => told.token, "lease" => &told.role),
             Some(readings) => {
                 for reading in readings {
                     one(&self.counters.readings);
-                    let (in_hand, busy) = (reading.in_hand.map(f64::from), reading.busy.map(f64::from));
+                    let (in_hand, busy) = (reading.in_flight.map(f64::from), reading.busy.map(f64::from));
                     state.facade.told(reading.engine, LoadReport { in_hand, busy });
                 }
             }
@@ -472,7 +493,7 @@
             one(&self.counters.records_failed);
             warn!(state.log, "voter record not written"; "error" => e.to_string());
         }
-        let out = lock(&self.leases).written(kept.is_ok(), self.now());
+        let out = lock(&self.leases).on_record_written(kept.is_ok(), self.now());
         self.take(state, gateways, out);
     }
 
@@ -480,19 +501,21 @@
     pub fn rows(&self) -> Vec<Vec<String>> {
         let now = self.now();
         let leases = lock(&self.leases);
-        let row = |view: View| {
-            let told = |k: &larchfall_leases::duties::Known| (k.holder.name.clone(), k.token, k.until);
-            let here = view.held.map(|(token, until)| (self.me.name.clone(), token, until));
+        let row = |view: RoleStatus| {
+            let told = |k: &KnownLease| (k.holder.name.clone(), k.token, k.expires_at);
+            let held_here = |held: HeldLease| (self.me.name.clone(), held.token, held.expires_at);
+            let here = view.held.map(held_here);
             let held = here.or(view.known.map(told));
             let left = |until: Timestamp| until.since(now).micros() / 1000;
             let (holder, token, left) =
                 held.map_or((String::new(), 0, 0), |(name, token, until)| (name, token, left(until)));
-            let last = view
-                .last
-                .map_or(String::new(), |(why, at)| format!("{why:?} {:.1} s ago", now.since(at).secs()));
-            vec![view.duty.to_owned(), holder, token.to_string(), left.to_string(), last]
+            let last = |LastEnd { reason, at }| {
+                format!("{} {:.1} s ago", reason.status_word(), now.since(at).secs())
+            };
+            let last = view.last_end.map_or(String::new(), last);
+            vec![view.role.to_owned(), holder, token.to_string(), left.to_string(), last]
         };
-        leases.view(now).map(row).collect()
+        leases.statuses(now).map(row).collect()
     }
 
     /// What a capacity is called in the log and by `larchfall shares`.
@@ -539,14 +562,15 @@
         let c = &self.counters;
         let n = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let ids = state.facade.listed().1.into_iter().map(|(_, id)| u64::from(id));
-        let (refused, (age, unread)) = state.probing.as_ref().map_or((0, (Duration::ZERO, 0)), |probing| {
+        let (refused, ages) = state.probing.as_ref().map_or((0, ReportAges::default()), |probing| {
             let probing = lock(probing);
-            (probing.refused(), probing.ages(ids, state.clock.now()))
+            (probing.rejected(), probing.report_ages(ids, state.clock.now()))
         });
         info!(state.log, "lease counters"; "received" => n(&c.heard), "sent" => n(&c.sent), "unknown" => n(&c.unknown),
             "corrupt" => n(&c.spoilt), "records_written" => n(&c.records), "records_failed" => n(&c.records_failed),
             "load_reports" => n(&c.readings), "load_reports_rejected" => refused, "quota_messages" => n(&c.shares),
-            "load_reports_age_ms" => age.micros() / 1000, "engines_without_report" => unread);
+            "load_reports_age_ms" => ages.mean_age.micros() / 1000,
+            "engines_without_report" => ages.engines_without_report);
         if let Some(shares) = &self.shares {
             let (now, shares) = (self.now(), lock(shares));
             let (has, keeps) = (shares.parts(now).filter(|(.., has)| *has).count(), shares.kept(now).count());
@@ -565,15 +589,20 @@
     }
 }
 
-fn reading(id: u32, report: LoadReport) -> Reading {
+fn reading(id: u32, report: LoadReport) -> SharedLoadReport {
     let narrow = |n: Option<f64>| n.map(|n| n as f32);
-    Reading { engine: u64::from(id), age_us: 0, in_hand: narrow(report.in_hand), busy: narrow(report.busy) }
+    SharedLoadReport {
+        engine: u64::from(id),
+        age_us: 0,
+        in_flight: narrow(report.in_hand),
+        busy: narrow(report.busy),
+    }
 }
 
 /// The thread that keeps records, before it runs.
 pub struct Keeper {
-    disk: Box<dyn larchfall_leases::record::Disk>,
-    taken: Receiver<Record>,
+    disk: Box<dyn Disk>,
+    taken: Receiver<VoterRecord>,
 }
 
 impl Keeper {
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -233,7 +233,7 @@
             return signals.hear(state, self, bytes, from);
         }
         match (bytes.first(), &self.duties) {
-            (Some(&larchfall_leases::wire::VERSION), Some(duties)) => {
+            (Some(&larchfall_leases::messages::VERSION), Some(duties)) => {
                 return duties.hear(state, self, bytes, from);
             }
             (Some(&ask::VERSION), _) => return self.answer(state, bytes, from),
--- a/crates/gateway/src/run/parts.rs
+++ b/crates/gateway/src/run/parts.rs
@@ -1,7 +1,7 @@
 //! What of the machine gateways among themselves stand on: a steady clock that also runs in sleep, the Unix clock, and a
 //! folder. A test's program puts others in their place; the shipped one has no way to.
 
-use larchfall_leases::record::{Disk, keep};
+use larchfall_leases::voter_record::{Disk, VoterRecord, store};
 use larchfall_policy::time::{Duration, Timestamp};
 use rustix::time::{ClockId, clock_gettime};
 use std::fs::{self, File};
@@ -56,7 +56,7 @@
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         fs::rename(self.0.join(from), self.0.join(to))
     }
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.0)?.sync_all()
     }
 }
@@ -64,10 +64,10 @@
 /// Keeps records as they come, on a thread of its own: a disk may be slow or hang, and no request waits for it.
 pub fn keeper(
     mut disk: Box<dyn Disk>,
-    records: std::sync::mpsc::Receiver<larchfall_leases::record::Record>,
+    records: std::sync::mpsc::Receiver<VoterRecord>,
     mut kept: impl FnMut(io::Result<()>) + Send + 'static,
 ) -> io::Result<()> {
     std::thread::Builder::new()
-        .spawn(move || records.iter().for_each(|record| kept(keep(disk.as_mut(), &record))))
+        .spawn(move || records.iter().for_each(|record| kept(store(disk.as_mut(), &record))))
         .map(drop)
 }
--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -19,8 +19,8 @@
 use crate::state::stalls::Stalls;
 use crate::subset::{self, Subset};
 use crate::{discovery, timer};
-use larchfall_leases::probing::Probing;
-use larchfall_leases::wire::Who;
+use larchfall_leases::load_sharing::{LoadReportSharing, LoadSharingSettings};
+use larchfall_leases::messages::MemberId;
 use larchfall_membership::claim::About;
 use larchfall_membership::count::Count;
 use larchfall_membership::members::Members;
@@ -188,7 +188,7 @@
     let about = About { address: site.told, zone: site.zone, serves: site.serves };
     let now = state.clock.now();
     let count = site.count.map(|settings| Count::new(settings, shared.gateways, now));
-    let me = Who { name: site.name, generation: now.micros() };
+    let me = MemberId { name: site.name, generation: now.micros() };
     let cluster = site.settings.cluster.clone();
     let members = Members::new(&me.name, me.generation, about, site.settings, seed, now);
     let opened = duties.map(|duties| Duty::open(state, duties, me.clone(), seed, parts, shared));
@@ -212,7 +212,7 @@
     limits: crate::state::limits::Limits,
     seed: u64,
     log: slog::Logger,
-    probing: Option<larchfall_leases::probing::Settings>,
+    probing: Option<LoadSharingSettings>,
     clock: Clock,
 ) -> State {
     let in_order = s.given.classes.iter().map(|g| g.in_order).collect();
@@ -255,7 +255,7 @@
         done: AtomicBool::new(false),
         discovery: AtomicU64::new(0),
         discovery_heard: AtomicU64::new(clock.now().micros()),
-        probing: probing.map(|settings| Mutex::new(Probing::new(settings, clock.now()))),
+        probing: probing.map(|settings| Mutex::new(LoadReportSharing::new(settings, clock.now()))),
     }
 }
 
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -18,7 +18,7 @@
 use counters::Counters;
 use facade::Facade;
 use larchfall_config::Names;
-use larchfall_leases::probing::Probing;
+use larchfall_leases::load_sharing::LoadReportSharing;
 use larchfall_policy::time::{Duration, Timestamp};
 use limits::Limits;
 use peer::Peers;
@@ -65,7 +65,7 @@
     /// When the discovery service last said anything, in microseconds of the clock.
     pub discovery_heard: AtomicU64,
     /// What the holders of probing duties tell, where there are such duties.
-    pub probing: Option<Mutex<Probing>>,
+    pub probing: Option<Mutex<LoadReportSharing>>,
 }
 
 impl State {
@@ -99,7 +99,7 @@
     pub fn is_to_ask(&self, e: usize) -> bool {
         let Some(probing) = &self.probing else { return true };
         let id = self.facade.id(e).map(u64::from);
-        id.is_none_or(|id| !lock(probing).is_fresh(id, self.clock.now()))
+        id.is_none_or(|id| !lock(probing).has_fresh_report(id, self.clock.now()))
     }
 
     /// The number of a new follower; the ones before it end.
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,13 +1,17 @@
-//! Duties of which each is held by one gateway at a time: who may act, under which token, and for how long yet. Without
-//! input or output: clock, chance, datagrams and the disk are the caller's.
+//! Leased roles: work that one gateway of a fleet does at a time.
+//!
+//! A gateway holds a role while a majority of voters has granted it a lease, and acts under a fencing token that grows
+//! with each holder. The crate does no I/O: clock, random seed, datagrams and the disk are the caller's.
 
-pub mod bid;
-pub mod duties;
-pub mod elector;
+#![deny(missing_docs)]
+
+pub mod candidacy;
+pub mod fencing;
 pub mod fitness;
-pub mod permit;
-pub mod probing;
+pub mod load_sharing;
+pub mod manager;
+pub mod messages;
 pub mod quorum;
-pub mod record;
 pub mod spread;
-pub mod wire;
+pub mod voter;
+pub mod voter_record;
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,26 +1,26 @@
-//! Whole fleets of duties in one process, by seed: what is held, by whom, and how long nobody holds it.
+//! Whole fleets with leased roles in one process, by seed: what is held, by whom, and how long nobody holds it.
 
 use larchfall_fault_tests::duties::{DiskDoes, Fleet, ms, name, settings};
-use larchfall_leases::duties::Why;
+use larchfall_leases::manager::EndReason;
 use larchfall_policy::time::Duration;
 use nanorand::Rng;
 
 const BOUND: Duration = Duration::from_millis(12_000);
 
-fn held(n: usize, electors: usize, duties: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::start(n, settings(electors, duties, true), seed);
+fn held(n: usize, voters: usize, roles: usize, seed: u64) -> Fleet {
+    let mut fleet = Fleet::start(n, settings(voters, roles, true), seed);
     assert!(fleet.until(BOUND, Fleet::all_held).is_some(), "seed {seed}: nobody held them at first");
     fleet
 }
 
-fn sound(fleet: &Fleet, seed: u64) {
+fn assert_nothing_wrong(fleet: &Fleet, seed: u64) {
     assert_eq!(fleet.wrong, [], "seed {seed}");
 }
 
-/// The holder dies, stands still, is cut off (both ways, or from the electors only), or goes: another has it within a
-/// lease, the wait for its turn and some rounds, and goes on alone.
+/// The holder dies, stalls, is cut off (both ways, or from the voters only), or leaves: another has it within a lease,
+/// the wait for its turn and some rounds, and goes on alone.
 #[test]
-fn a_holder_that_falls_out_in_any_way_is_followed_by_one_other() {
+fn a_holder_that_fails_in_any_way_is_followed_by_one_other() {
     type Fault = (&'static str, fn(&mut Fleet, usize), Duration);
     let faults: [Fault; 6] = [
         ("killed", |f, i| f.kill(i), ms(5_500)),
@@ -42,33 +42,33 @@
             // All is well again, and the first is no second holder when it is back.
             fleet.link = Box::new(|_, _| true);
             fleet.run(ms(30_000));
-            sound(&fleet, seed);
+            assert_nothing_wrong(&fleet, seed);
             assert!(fleet.all_held(), "seed {seed}: {what}");
         }
     }
 }
 
-/// (electors, of them out of reach, whether somebody may hold it)
+/// (voters, of them out of reach, whether somebody may hold it)
 #[test]
-fn a_majority_of_electors_is_needed_and_is_enough() {
-    for (electors, out, may) in [(3, 1, true), (3, 2, false), (5, 2, true), (5, 3, false), (7, 3, true)] {
-        let mut fleet = held(electors + 3, electors, 2, 3);
+fn a_majority_of_voters_is_needed_and_is_enough() {
+    for (voters, out, may) in [(3, 1, true), (3, 2, false), (5, 2, true), (5, 3, false), (7, 3, true)] {
+        let mut fleet = held(voters + 3, voters, 2, 3);
         fleet.link = Box::new(move |a, b| (a < out) == (b < out));
         fleet.run(ms(12_000));
-        let there = |f: &Fleet| f.settings.duties.iter().all(|d| f.holders(d).iter().any(|i| *i >= out));
-        assert_eq!(there(&fleet), may, "{out} of {electors} away");
-        let minority = fleet.settings.duties.iter().any(|d| fleet.holders(d).iter().any(|i| *i < out));
-        assert_eq!(minority, out * 2 > electors, "{out} of {electors} away");
+        let there = |f: &Fleet| f.settings.roles.iter().all(|d| f.holders(d).iter().any(|i| *i >= out));
+        assert_eq!(there(&fleet), may, "{out} of {voters} away");
+        let minority = fleet.settings.roles.iter().any(|d| fleet.holders(d).iter().any(|i| *i < out));
+        assert_eq!(minority, out * 2 > voters, "{out} of {voters} away");
         fleet.link = Box::new(|_, _| true);
-        assert!(fleet.until(BOUND, Fleet::all_held).is_some(), "{out} of {electors}: not healed");
-        sound(&fleet, 3);
+        assert!(fleet.until(BOUND, Fleet::all_held).is_some(), "{out} of {voters}: not healed");
+        assert_nothing_wrong(&fleet, 3);
     }
 }
 
-/// All electors killed at once and started in turn; one that starts anew each second and is never heard; one whose clock
-/// runs five in a hundred fast, or slow.
+/// All voters killed at once and started in turn; one that restarts each second and is never heard; one whose clock runs
+/// five in a hundred fast, or slow.
 #[test]
-fn electors_that_start_anew_or_whose_clock_is_off_make_no_second_holder() {
+fn voters_that_restart_or_whose_clock_is_off_make_no_second_holder() {
     for seed in 0..6 {
         let mut fleet = held(6, 3, 3, seed);
         (0..3).for_each(|i| fleet.kill(i));
@@ -82,8 +82,8 @@
             fleet.restart(1);
         }
         assert!(fleet.all_held(), "seed {seed}: the others are a majority");
-        assert!(fleet.settings.duties.iter().all(|d| fleet.holders(d) != [1]), "seed {seed}: it never waits");
-        sound(&fleet, seed);
+        assert!(fleet.settings.roles.iter().all(|d| fleet.holders(d) != [1]), "seed {seed}: it never waits");
+        assert_nothing_wrong(&fleet, seed);
     }
     for (rate, seed) in [(1.05, 1), (0.95, 2)] {
         let mut fleet = Fleet::start(5, settings(3, 2, false), seed);
@@ -93,7 +93,7 @@
             fleet.run(ms(4_000));
             fleet.stop(turn % 5, ms(3_500));
         }
-        sound(&fleet, seed);
+        assert_nothing_wrong(&fleet, seed);
     }
 }
 
@@ -125,17 +125,17 @@
             fleet.nodes[i].disk = DiskDoes::Keeps;
         }
         assert!(fleet.until(ms(20_000), Fleet::all_held).is_some(), "{does:?}");
-        sound(&fleet, 5);
+        assert_nothing_wrong(&fleet, 5);
     }
 }
 
-/// A hundred duties over 24 gateways of which a third dies and comes back; few move beside those that had to.
+/// A hundred roles over 24 gateways of which a third dies and comes back; few move beside those that had to.
 #[test]
-fn a_hundred_duties_are_spread_and_few_move_when_gateways_come_and_go() {
+fn a_hundred_roles_are_spread_and_few_move_when_gateways_come_and_go() {
     let mut fleet = Fleet::start(24, settings(5, 100, true), 9);
     fleet.acts = ms(200);
     fleet.run(ms(40_000));
-    let by = |f: &Fleet| f.settings.duties.iter().map(|d| f.holders(d)[0]).collect::<Vec<_>>();
+    let by = |f: &Fleet| f.settings.roles.iter().map(|d| f.holders(d)[0]).collect::<Vec<_>>();
     let before = by(&fleet);
     let most = (0..24).map(|i| before.iter().filter(|h| **h == i).count()).max().unwrap_or_default();
     assert!(most <= 14, "one front holds {most} of a hundred");
@@ -150,14 +150,14 @@
     assert_eq!(moved, 0, "moved without need");
     gone.iter().for_each(|i| fleet.restart(*i));
     fleet.run(ms(30_000));
-    sound(&fleet, 9);
+    assert_nothing_wrong(&fleet, 9);
     assert!(fleet.all_held());
-    assert!(!fleet.given_up.contains_key(&Why::RanOut), "{:?}", fleet.given_up);
+    assert!(!fleet.given_up.contains_key(&EndReason::Expired), "{:?}", fleet.given_up);
 }
 
 /// Everything at once, drawn by seed.
 #[test]
-fn whatever_comes_no_two_hold_one_duty_and_no_action_is_taken_out_of_order() {
+fn whatever_comes_no_two_hold_one_role_and_no_action_is_taken_out_of_order() {
     for seed in 100..124 {
         let n = 5 + seed as usize % 6;
         let mut fleet = Fleet::start(n, settings(if n > 7 { 5 } else { 3 }, 3, seed % 2 == 0), seed);
@@ -184,7 +184,7 @@
                 }
             }
         }
-        sound(&fleet, seed);
+        assert_nothing_wrong(&fleet, seed);
         fleet.link = Box::new(|_, _| true);
         (fleet.loss, fleet.slowest) = (0.0, ms(5));
         for i in 0..n {
@@ -192,6 +192,6 @@
             fleet.restart(i);
         }
         assert!(fleet.until(ms(20_000), Fleet::all_held).is_some(), "seed {seed}: not healed: {}", name(0));
-        sound(&fleet, seed);
+        assert_nothing_wrong(&fleet, seed);
     }
 }
--- /dev/null
+++ b/crates/leases/tests/messages.rs
@@ -0,0 +1,157 @@
+//! Datagrams: what is read back, what is told apart, and the bytes on the wire.
+
+use larchfall_leases::fencing::Fenced;
+use larchfall_leases::load_sharing::SharedLoadReport;
+use larchfall_leases::messages::{
+    Datagram, DatagramError, LeaseInfo, LeaseRequest, MemberId, Payload, QuotaDemand, QuotaGrant, RoleToken,
+    Vote, paginate,
+};
+use larchfall_leases::voter_record::VoterRecord;
+use std::collections::BTreeMap;
+
+#[test]
+fn datagrams_are_read_whole_or_ignored_with_a_reason() {
+    let me = MemberId { name: "n0".into(), generation: 7 };
+    let datagram = Datagram::new("c", &me, Payload::HandOver { role: "x".into(), token: 3 });
+    let bytes = datagram.encode();
+    assert_eq!(Datagram::decode(&bytes, "c"), Ok(datagram));
+    assert_eq!(Datagram::decode(&bytes, "d"), Err(DatagramError::OtherCluster));
+    for i in 0..bytes.len() {
+        let mut flipped = bytes.clone();
+        flipped[i] ^= 1;
+        assert!(Datagram::decode(&flipped, "c").is_err(), "byte {i}");
+        assert!(Datagram::decode(&bytes[..i], "c").is_err(), "cut at {i}");
+    }
+    let malformed = Datagram::new("c", &me, Payload::HandOver { role: "x".repeat(49), token: 3 });
+    assert_eq!(Datagram::decode(&malformed.encode(), "c"), Err(DatagramError::Malformed));
+    let entries: Vec<u64> = (0..1000).map(|n| n << 20).collect();
+    let pages = paginate(entries.iter().copied(), 600);
+    assert_eq!(pages.concat(), entries);
+    let request = |token: &u64| LeaseRequest { role: "d".into(), token: *token, length_us: 1 };
+    for page in paginate(entries.iter().copied(), 300) {
+        let requests = page.iter().map(request).collect();
+        let datagram = Datagram::new("c", &me, Payload::RequestLeases { round: 1, requests });
+        assert!(datagram.encode().len() <= 1200);
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|i| u8::from_str_radix(&hex[i..i + 2], 16).unwrap()).collect()
+}
+
+/// Payloads about who holds what, and the bytes of their datagrams as gateways of earlier versions write them.
+fn payloads_about_leases() -> Vec<(Payload, &'static str)> {
+    let other = MemberId { name: "n1".into(), generation: 3 };
+    let vote = |role: &str, token, granted, highest_token| Vote {
+        role: role.into(),
+        token,
+        granted,
+        highest_token,
+        held_by_other: !granted,
+    };
+    let released = |role: &str, token| RoleToken { role: role.into(), token };
+    vec![
+        (
+            Payload::RequestLeases {
+                round: 300,
+                requests: vec![LeaseRequest {
+                    role: "probing:0".into(),
+                    token: 1_700_000_000_000_001,
+                    length_us: 3_000_000,
+                }],
+            },
+            "0203746f79026e30bc0500ac02010970726f62696e673a308180f9c0c1c48203c08db7010798a4f0",
+        ),
+        (
+            Payload::Votes { round: 300, votes: vec![vote("x", 5, true, 6), vote("y", 7, false, 8)] },
+            "0203746f79026e30bc0501ac0202017805010600017907000801465b1966",
+        ),
+        (
+            Payload::Release { tokens: vec![released("x", 5), released("y", 128)] },
+            "0203746f79026e30bc0502020178050179800150dc4321",
+        ),
+        (Payload::HandOver { role: "x".into(), token: 9 }, "0203746f79026e30bc050301780915ad6ccc"),
+        (Payload::ListLeases { after: Some("w".into()) }, "0203746f79026e30bc0504010177bd716339"),
+        (
+            Payload::Leases {
+                after: None,
+                leases: vec![LeaseInfo {
+                    role: "x".into(),
+                    token: 5,
+                    holder: other,
+                    remaining_us: 1_234_567,
+                }],
+                complete: true,
+            },
+            "0203746f79026e30bc05050001017805026e310387ad4b01da557191",
+        ),
+    ]
+}
+
+/// Payloads about work under roles, likewise.
+fn payloads_about_work() -> Vec<(Payload, &'static str)> {
+    let load_report = |engine, age_us, in_flight, busy| SharedLoadReport { engine, age_us, in_flight, busy };
+    vec![
+        (
+            Payload::LoadReports(Fenced {
+                role: "probing:1".into(),
+                token: 11,
+                content: vec![
+                    load_report(77, 50_000, Some(2.5), None),
+                    load_report(300, 0, None, Some(0.25)),
+                ],
+            }),
+            "0203746f79026e30bc05060970726f62696e673a310b024dd08603010000204000ac020000010000803e001d3a15",
+        ),
+        (
+            Payload::RequestQuotas {
+                role: "keeper:0".into(),
+                round: 2,
+                gateways: 24,
+                length_us: 2_000_000,
+                demands: vec![
+                    QuotaDemand { capacity: 1 << 32 | 7, weight: 1.5 },
+                    QuotaDemand { capacity: 9, weight: 0.05 },
+                ],
+            },
+            "0203746f79026e30bc0507086b65657065723a30021880897a0287808080100000c03f09cdcc4c3d46a8db0d",
+        ),
+        (
+            Payload::Quotas {
+                round: 2,
+                grants: Fenced {
+                    role: "keeper:0".into(),
+                    token: 12,
+                    content: vec![
+                        QuotaGrant { capacity: 1 << 32 | 7, fraction: 0.125 },
+                        QuotaGrant { capacity: 9, fraction: 1.0 },
+                    ],
+                },
+            },
+            "0203746f79026e30bc050802086b65657065723a300c028780808010000000000000c03f09000000000000f03ffa2a3cac",
+        ),
+    ]
+}
+
+#[test]
+fn datagrams_of_each_kind_have_the_bytes_of_earlier_versions() {
+    let me = MemberId { name: "n0".into(), generation: 700 };
+    for (payload, expected) in payloads_about_leases().into_iter().chain(payloads_about_work()) {
+        let datagram = Datagram::new("toy", &me, payload);
+        assert_eq!(hex(&datagram.encode()), expected, "{datagram:?}");
+        assert_eq!(Datagram::decode(&bytes_of(expected), "toy"), Ok(datagram));
+    }
+}
+
+#[test]
+fn a_voter_record_has_the_bytes_of_earlier_versions() {
+    let highest_tokens = BTreeMap::from([("probing:0".into(), 1_700_000_000_000_001), ("x".into(), 40)]);
+    let record = VoterRecord { version: 4, longest_lease_us: 6_000_000, highest_tokens };
+    let expected = "011f00000004809bee02020970726f62696e673a308180f9c0c1c48203017828109be86d";
+    assert_eq!(hex(&record.encode()), expected);
+    assert_eq!(VoterRecord::decode(&bytes_of(expected)), Ok(record));
+}
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,11 +1,11 @@
-//! Electors and two askers of one duty under everything that may come between them: letters lost, doubled, late and out
-//! of order, an elector whose clock runs twice as fast, electors that start anew with and without what they knew.
+//! Model check of voters and two candidates for one role: messages lost, doubled, late and out of order, a voter whose
+//! clock runs twice as fast, voters that restart with and without their memory.
 
-use larchfall_leases::bid::{Bid, Terms};
-use larchfall_leases::elector::{Bounds, Elector};
-use larchfall_leases::quorum::Electors;
-use larchfall_leases::record::Record;
-use larchfall_leases::wire::{Vote, Want, Who};
+use larchfall_leases::candidacy::{Candidacy, LeaseTerms};
+use larchfall_leases::messages::{LeaseRequest, MemberId, Vote};
+use larchfall_leases::quorum::VoterSet;
+use larchfall_leases::voter::{Voter, VoterLimits};
+use larchfall_leases::voter_record::VoterRecord;
 use larchfall_policy::time::{Duration, Timestamp};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,91 +15,144 @@
 
 #[derive(Clone)]
 struct Leases {
-    electors: usize,
+    voters: usize,
     /// The broken variants: no wait at a start, no margin, tokens in memory alone.
     waits: bool,
-    margin: u32,
+    drift_margin: u32,
     remembers: bool,
     /// Tokens grow by clock as well.
     clock: bool,
-    asks: u8,
+    requests: u8,
     restarts: u8,
     ticks: u64,
-    /// Letters that come twice, and whether duties are given back.
+    /// Messages that come twice.
     doubles: u8,
-    gives_back: bool,
+    /// Whether leases are released.
+    releases: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Mail {
-    Ask { asker: usize, elector: usize, token: u64, asked: Timestamp },
-    Vote { asker: usize, elector: usize, vote: Vote, asked: Timestamp },
-    Gone { asker: usize, elector: usize, token: u64 },
+    Request { candidate: usize, voter: usize, token: u64, requested_at: Timestamp },
+    Vote { candidate: usize, voter: usize, vote: Vote, requested_at: Timestamp },
+    Release { candidate: usize, voter: usize, token: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Asker {
-    bid: Option<Bid>,
-    highest: u64,
-    asks: u8,
+struct Candidate {
+    candidacy: Option<Candidacy>,
+    highest_token: u64,
+    requests: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     ticks: u64,
-    electors: Vec<Elector>,
-    askers: Vec<Asker>,
+    voters: Vec<Voter>,
+    candidates: Vec<Candidate>,
     mail: BTreeSet<Mail>,
     restarts: u8,
     doubles: u8,
-    /// Who held it last, under which token; and whether a later holder had none that is higher.
-    last: Option<(usize, u64)>,
-    fell_back: bool,
+    last_holding: Option<Holding>,
+    /// A later holder had no higher token.
+    token_fell: bool,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Holding {
+    candidate: usize,
+    token: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Tick,
-    Bid(usize),
+    Campaign(usize),
     Renew(usize),
-    GiveBack(usize),
-    /// Whether the letter may come again.
-    Deliver(Mail, bool),
-    /// With or without a disk that kept the tokens, where the clock has moved on all the same.
-    Restart(usize, bool),
+    Release(usize),
+    Deliver {
+        mail: Mail,
+        may_come_again: bool,
+    },
+    /// With or without a disk that kept the tokens; the clock has moved on all the same.
+    Restart {
+        voter: usize,
+        with_record: bool,
+    },
 }
 
-fn who(asker: usize) -> Who {
-    Who { name: format!("f{asker}"), generation: 1 }
+fn member(candidate: usize) -> MemberId {
+    MemberId { name: format!("f{candidate}"), generation: 1 }
 }
 
 impl Leases {
-    fn names(&self) -> Electors {
+    fn voter_set(&self) -> VoterSet {
         let name = |i| format!("e{i}");
-        Electors { now: (0..self.electors).map(name).collect(), before: None }
+        VoterSet { current: (0..self.voters).map(name).collect(), previous: None }
     }
-    fn terms(&self) -> Terms {
-        Terms { length: LENGTH, margin: self.margin }
+    fn terms(&self) -> LeaseTerms {
+        LeaseTerms { length: LENGTH, drift_margin_per_mille: self.drift_margin }
     }
-    fn bounds(&self) -> Bounds {
-        Bounds { longest: LENGTH, most: 2, keeps: false }
+    fn limits(&self) -> VoterLimits {
+        VoterLimits { longest_lease: LENGTH, max_roles: 2, persistent: false }
     }
     fn true_time(&self, w: &World) -> Timestamp {
         Timestamp::from_micros(100_000 + w.ticks * TICK)
     }
-    /// The first elector's clock runs twice as fast as all others.
-    fn clock(&self, elector: usize, w: &World) -> Timestamp {
-        Timestamp::from_micros(100_000 + w.ticks * TICK * if elector == 0 { 2 } else { 1 })
+    /// The first voter's clock runs twice as fast as all others.
+    fn clock(&self, voter: usize, w: &World) -> Timestamp {
+        Timestamp::from_micros(100_000 + w.ticks * TICK * if voter == 0 { 2 } else { 1 })
+    }
+    fn held_token(&self, candidate: usize, w: &World) -> Option<u64> {
+        let candidacy = w.candidates[candidate].candidacy.as_ref()?;
+        candidacy.is_held(&self.voter_set(), self.true_time(w)).then_some(candidacy.token)
+    }
+    fn request(&self, candidate: usize, w: &mut World) {
+        let Some(token) = w.candidates[candidate].candidacy.as_ref().map(|c| c.token) else { return };
+        let requested_at = self.true_time(w);
+        w.candidates[candidate].requests += 1;
+        let request = |voter| Mail::Request { candidate, voter, token, requested_at };
+        w.mail.extend((0..self.voters).map(request));
     }
-    fn holds(&self, asker: usize, w: &World) -> Option<u64> {
-        let bid = w.askers[asker].bid.as_ref()?;
-        bid.is_held(&self.names(), self.true_time(w)).then_some(bid.token)
+    fn deliver(&self, mail: Mail, w: &mut World) -> Option<()> {
+        match mail {
+            Mail::Request { candidate, voter, token, requested_at } => {
+                let request = LeaseRequest { role: "d".into(), token, length_us: LENGTH.micros() };
+                let now = self.clock(voter, w);
+                let vote = w.voters[voter].on_request(&member(candidate), &request, 0, now)?;
+                w.mail.insert(Mail::Vote { candidate, voter, vote, requested_at });
+            }
+            Mail::Release { candidate, voter, token } => {
+                w.voters[voter].on_release(&member(candidate), "d", token);
+            }
+            Mail::Vote { candidate, voter, vote, requested_at } => {
+                let asker = &mut w.candidates[candidate];
+                asker.highest_token = asker.highest_token.max(vote.highest_token);
+                let candidacy = asker.candidacy.as_mut().filter(|c| c.token == vote.token && vote.granted);
+                if let Some(candidacy) = candidacy {
+                    candidacy.record_grant(&format!("e{voter}"), requested_at, self.terms());
+                }
+                if let Some(token) = self.held_token(candidate, w) {
+                    let fell = |last: Holding| last.candidate != candidate && last.token >= token;
+                    w.token_fell |= w.last_holding.is_some_and(fell);
+                    w.last_holding = Some(Holding { candidate, token });
+                }
+            }
+        }
+        Some(())
     }
-    fn ask(&self, asker: usize, w: &mut World) {
-        let Some(token) = w.askers[asker].bid.as_ref().map(|b| b.token) else { return };
-        let asked = self.true_time(w);
-        w.askers[asker].asks += 1;
-        w.mail.extend((0..self.electors).map(|elector| Mail::Ask { asker, elector, token, asked }));
+    fn restart(&self, voter: usize, with_record: bool, w: &mut World) {
+        w.restarts += 1;
+        let now = self.clock(voter, w);
+        // Highest of all that it may have granted: what a record kept before each answer holds.
+        let requested = w.candidates.iter().filter_map(|c| c.candidacy.as_ref()).map(|c| c.token).max();
+        let highest = requested.max(w.last_holding.map(|last| last.token)).unwrap_or_default();
+        let highest_tokens = BTreeMap::from([("d".into(), highest)]);
+        let record = VoterRecord { version: 1, longest_lease_us: 0, highest_tokens };
+        let record = (with_record && self.remembers).then_some(&record);
+        let wall_clock_us = if self.clock { now.micros() } else { 0 };
+        let started_at = if self.waits { now } else { now - LENGTH };
+        w.voters[voter] = Voter::new(self.limits(), record, wall_clock_us, started_at);
     }
 }
 
@@ -109,17 +162,19 @@
 
     fn init_states(&self) -> Vec<World> {
         // They started long ago.
-        let elector = |_| Elector::new(self.bounds(), None, 0, Timestamp::from_micros(1000));
+        let voter = |_| Voter::new(self.limits(), None, 0, Timestamp::from_micros(1000));
         vec![World {
             ticks: 0,
-            electors: (0..self.electors).map(elector).collect(),
+            voters: (0..self.voters).map(voter).collect(),
             // Either may know more than the other when they begin.
-            askers: [0, 1].map(|highest| Asker { bid: None, highest, asks: 0 }).into(),
+            candidates: [0, 1]
+                .map(|highest_token| Candidate { candidacy: None, highest_token, requests: 0 })
+                .into(),
             mail: BTreeSet::new(),
             restarts: 0,
             doubles: 0,
-            last: None,
-            fell_back: false,
+            last_holding: None,
+            token_fell: false,
         }]
     }
 
@@ -127,14 +182,14 @@
         if w.ticks < self.ticks {
             actions.push(Step::Tick);
         }
-        for (i, asker) in w.askers.iter().enumerate() {
-            match &asker.bid {
-                None if asker.asks < self.asks => actions.push(Step::Bid(i)),
+        for (i, candidate) in w.candidates.iter().enumerate() {
+            match &candidate.candidacy {
+                None if candidate.requests < self.requests => actions.push(Step::Campaign(i)),
                 Some(_) => {
-                    if self.gives_back {
-                        actions.push(Step::GiveBack(i));
+                    if self.releases {
+                        actions.push(Step::Release(i));
                     }
-                    if asker.asks < self.asks {
+                    if candidate.requests < self.requests {
                         actions.push(Step::Renew(i));
                     }
                 }
@@ -142,14 +197,14 @@
             }
         }
         for mail in &w.mail {
-            actions.push(Step::Deliver(mail.clone(), false));
+            actions.push(Step::Deliver { mail: mail.clone(), may_come_again: false });
             if w.doubles < self.doubles && !matches!(mail, Mail::Vote { .. }) {
-                actions.push(Step::Deliver(mail.clone(), true));
+                actions.push(Step::Deliver { mail: mail.clone(), may_come_again: true });
             }
         }
         if w.restarts < self.restarts {
-            actions
-                .extend((0..self.electors).flat_map(|e| [Step::Restart(e, true), Step::Restart(e, false)]));
+            let restart = |voter| [true, false].map(|with_record| Step::Restart { voter, with_record });
+            actions.extend((0..self.voters).flat_map(restart));
         }
     }
 
@@ -157,56 +212,26 @@
         let mut w = last.clone();
         match step {
             Step::Tick => w.ticks += 1,
-            Step::Bid(i) => {
-                w.askers[i].bid = Some(Bid::new(w.askers[i].highest + 1));
-                self.ask(i, &mut w);
+            Step::Campaign(i) => {
+                w.candidates[i].candidacy = Some(Candidacy::new(w.candidates[i].highest_token + 1));
+                self.request(i, &mut w);
             }
-            Step::Renew(i) => self.ask(i, &mut w),
-            Step::GiveBack(i) => {
-                let token = w.askers[i].bid.take()?.token;
-                w.askers[i].highest = w.askers[i].highest.max(token);
-                w.mail.extend((0..self.electors).map(|elector| Mail::Gone { asker: i, elector, token }));
+            Step::Renew(i) => self.request(i, &mut w),
+            Step::Release(i) => {
+                let token = w.candidates[i].candidacy.take()?.token;
+                w.candidates[i].highest_token = w.candidates[i].highest_token.max(token);
+                let release = |voter| Mail::Release { candidate: i, voter, token };
+                w.mail.extend((0..self.voters).map(release));
             }
-            Step::Deliver(mail, again) => {
-                if again {
+            Step::Deliver { mail, may_come_again } => {
+                if may_come_again {
                     w.doubles += 1;
                 } else {
                     w.mail.remove(&mail);
                 }
-                match mail {
-                    Mail::Ask { asker, elector, token, asked } => {
-                        let want = Want { duty: "d".into(), token, length_us: LENGTH.micros() };
-                        let now = self.clock(elector, &w);
-                        let vote = w.electors[elector].ask(&who(asker), &want, 0, now)?;
-                        w.mail.insert(Mail::Vote { asker, elector, vote, asked });
-                    }
-                    Mail::Gone { asker, elector, token } => w.electors[elector].gone(&who(asker), "d", token),
-                    Mail::Vote { asker, elector, vote, asked } => {
-                        let a = &mut w.askers[asker];
-                        a.highest = a.highest.max(vote.highest);
-                        if let Some(bid) = a.bid.as_mut().filter(|b| b.token == vote.token && vote.granted) {
-                            bid.granted(&format!("e{elector}"), asked, self.terms());
-                        }
-                        if let Some(token) = self.holds(asker, &w) {
-                            w.fell_back |= w.last.is_some_and(|(by, t)| by != asker && t >= token);
-                            w.last = Some((asker, token));
-                        }
-                    }
-                }
-            }
-            Step::Restart(e, kept) => {
-                w.restarts += 1;
-                let now = self.clock(e, &w);
-                // Highest of all that it may have granted: what a record kept before each answer holds.
-                let highest = w.askers.iter().filter_map(|a| a.bid.as_ref()).map(|b| b.token).max();
-                let highest = highest.max(w.last.map(|(_, t)| t)).unwrap_or_default();
-                let record =
-                    Record { version: 1, longest_us: 0, highest: BTreeMap::from([("d".into(), highest)]) };
-                let record = (kept && self.remembers).then_some(&record);
-                let wall = if self.clock { now.micros() } else { 0 };
-                let from = if self.waits { now } else { now - LENGTH };
-                w.electors[e] = Elector::new(self.bounds(), record, wall, from);
+                self.deliver(mail, &mut w)?;
             }
+            Step::Restart { voter, with_record } => self.restart(voter, with_record, &mut w),
         }
         Some(w)
     }
@@ -214,40 +239,40 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one holder", |m: &Leases, w: &World| {
-                !(m.holds(0, w).is_some() && m.holds(1, w).is_some())
+                !(m.held_token(0, w).is_some() && m.held_token(1, w).is_some())
             }),
-            Property::always("tokens grow", |_: &Leases, w: &World| !w.fell_back),
+            Property::always("tokens grow", |_: &Leases, w: &World| !w.token_fell),
             Property::sometimes("both have held it", |_: &Leases, w: &World| {
-                w.last.is_some_and(|(by, token)| by == 1 && token > 1)
+                w.last_holding.is_some_and(|last| last.candidate == 1 && last.token > 1)
             }),
         ]
     }
 }
 
-fn sound() -> Leases {
+fn correct() -> Leases {
     Leases {
-        electors: 3,
+        voters: 3,
         waits: true,
-        margin: 500,
+        drift_margin: 500,
         remembers: true,
         clock: true,
-        asks: 1,
+        requests: 1,
         restarts: 1,
         ticks: 4,
         doubles: 0,
-        gives_back: false,
+        releases: false,
     }
 }
 
 #[test]
-fn no_two_hold_one_duty_and_tokens_grow_whatever_is_lost_doubled_late_or_restarted() {
+fn no_two_hold_one_role_and_tokens_grow_whatever_is_lost_doubled_late_or_restarted() {
     let worlds = [
-        ("no restarts", Leases { restarts: 0, ticks: 3, ..sound() }),
-        ("restarts", Leases { ticks: 3, ..sound() }),
-        ("renewals", Leases { asks: 2, restarts: 0, ticks: 3, ..sound() }),
+        ("no restarts", Leases { restarts: 0, ticks: 3, ..correct() }),
+        ("restarts", Leases { ticks: 3, ..correct() }),
+        ("renewals", Leases { requests: 2, restarts: 0, ticks: 3, ..correct() }),
         (
-            "given back, doubled",
-            Leases { gives_back: true, doubles: 1, asks: 2, restarts: 0, ticks: 1, ..sound() },
+            "released, doubled",
+            Leases { releases: true, doubles: 1, requests: 2, restarts: 0, ticks: 1, ..correct() },
         ),
     ];
     for (name, model) in worlds {
@@ -263,9 +288,9 @@
 #[test]
 fn without_the_wait_the_margin_or_memory_of_tokens_it_breaks() {
     let broken = [
-        ("one holder", Leases { waits: false, clock: false, ticks: 0, ..sound() }),
-        ("one holder", Leases { margin: 0, restarts: 0, ticks: 2, ..sound() }),
-        ("tokens grow", Leases { remembers: false, clock: false, waits: false, ticks: 0, ..sound() }),
+        ("one holder", Leases { waits: false, clock: false, ticks: 0, ..correct() }),
+        ("one holder", Leases { drift_margin: 0, restarts: 0, ticks: 2, ..correct() }),
+        ("tokens grow", Leases { remembers: false, clock: false, waits: false, ticks: 0, ..correct() }),
     ];
     for (property, model) in broken {
         let checker = model.checker().threads(4).target_state_count(3_000_000).spawn_bfs().join();
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -3,12 +3,12 @@
 
 use larchfall_config::Names;
 use larchfall_health_gossip::weigh;
-use larchfall_leases::bid::Terms;
-use larchfall_leases::duties::Settings as DutySettings;
-use larchfall_leases::elector::Bounds;
-use larchfall_leases::fitness::Lines;
-use larchfall_leases::probing;
-use larchfall_leases::quorum::Electors;
+use larchfall_leases::candidacy::LeaseTerms;
+use larchfall_leases::fitness::FitnessThresholds;
+use larchfall_leases::load_sharing::{LoadSharingSettings, health_check_role, quota_allocator_role};
+use larchfall_leases::manager::LeaseSettings as DutySettings;
+use larchfall_leases::quorum::VoterSet;
+use larchfall_leases::voter::VoterLimits;
 use larchfall_membership::claim::LONGEST;
 use larchfall_membership::count::Settings as Count;
 use larchfall_membership::members::Settings as Members;
@@ -64,8 +64,8 @@
     /// A folder for what an elector remembers; none: it remembers nothing over a restart.
     pub record: Option<PathBuf>,
     /// Below which a gateway holds no duty.
-    pub lines: Lines,
-    pub probing: Option<probing::Settings>,
+    pub lines: FitnessThresholds,
+    pub probing: Option<LoadSharingSettings>,
     pub keepers: Option<Keepers>,
     pub programs: Vec<Program>,
 }
@@ -549,7 +549,7 @@
             .ok_or_else(|| table.fault(list.span().start, field, "wanted the names of 3, 5 or 7 fronts"))
     };
     let before = raw.electors_before.as_ref().map(|l| list(l, "electors-before")).transpose()?;
-    let electors = Electors { now: list(&raw.electors, "electors")?, before };
+    let electors = VoterSet { current: list(&raw.electors, "electors")?, previous: before };
     let length = table.time(&raw.lease_ms, "lease-ms", 200, 60_000)?;
     let longest = table.time(&raw.longest_ms, "longest-ms", 200, 600_000)?;
     if longest < length {
@@ -563,9 +563,8 @@
         let why = "what is read each probe-ms would be old before it is read again";
         return Err(table.fault(raw.fresh_ms.span().start, "fresh-ms", why));
     }
-    let probing = probe.map(|duties| probing::Settings { duties, every, fresh });
-    let mut names: BTreeSet<String> =
-        (0..probe.unwrap_or_default()).map(larchfall_leases::probing::duty).collect();
+    let probing = probe.map(|roles| LoadSharingSettings { roles, interval: every, max_age: fresh });
+    let mut names: BTreeSet<String> = (0..probe.unwrap_or_default()).map(health_check_role).collect();
     let keepers = raw.keepers.as_ref().map(|n| table.number(n, "keepers", 1, 64)).transpose()?;
     let lasts = table.time(&raw.share_ms, "share-ms", 100, 60_000)?;
     let out = |kind| raw.hand_out.contains(&kind);
@@ -575,7 +574,7 @@
         tenants: out(RawKind::Tenants),
     };
     let keepers = keepers.map(|keepers| Keepers { keepers, length: lasts, kinds });
-    names.extend((0..keepers.map_or(0, |k| k.keepers)).map(larchfall_leases::probing::keeper));
+    names.extend((0..keepers.map_or(0, |k| k.keepers)).map(quota_allocator_role));
     let of_program = Table { text, name: "duty" };
     let mut taken = Vec::new();
     for program in programs {
@@ -595,16 +594,21 @@
     let margin = table.number(&raw.margin, "margin", 1, 500)? as u32;
     let settings = DutySettings {
         cluster: gateways.settings.cluster.clone(),
-        electors,
-        terms: Terms { length, margin },
-        bounds: Bounds { longest, most: MOST_DUTIES, keeps: raw.record.is_some() },
-        duties: names,
-        least: table.time(&raw.least_ms, "least-ms", 0, 3_600_000)?,
-        better: BETTER,
+        voters: electors,
+        terms: LeaseTerms { length, drift_margin_per_mille: margin },
+        voter_limits: VoterLimits {
+            longest_lease: longest,
+            max_roles: MOST_DUTIES,
+            persistent: raw.record.is_some(),
+        },
+        roles: names,
+        min_hold: table.time(&raw.least_ms, "least-ms", 0, 3_600_000)?,
+        better_margin: BETTER,
     };
     let stale = raw.stale_ms.as_ref().map(|n| table.time(n, "stale-ms", 100, 3_600_000)).transpose()?;
     let ill = raw.ill.as_ref().map(|n| table.number(n, "ill", 1, 8)).transpose()?;
-    let lines = Lines { stale, ill: ill.map(|ill| ill as u32) };
+    let lines =
+        FitnessThresholds { max_discovery_silence: stale, unhealthy_score: ill.map(|ill| ill as u32) };
     Ok(Duties { settings, record: raw.record, lines, probing, keepers, programs: taken })
 }
 
--- a/crates/operator-config/tests/site.rs
+++ b/crates/operator-config/tests/site.rs
@@ -26,8 +26,8 @@
     assert_eq!((rest.headers, rest.request.class.len()), (Family::Both, 2));
     assert_eq!((gateways.told, gateways.settings.networks[0].1), (gateways.address, 8));
     let duties = example.duties.unwrap();
-    assert_eq!((duties.settings.duties.len(), duties.programs.len(), duties.keepers), (5, 1, None));
-    assert_eq!(duties.probing.map(|p| p.fresh), Some(Duration::from_millis(1500)));
+    assert_eq!((duties.settings.roles.len(), duties.programs.len(), duties.keepers), (5, 1, None));
+    assert_eq!(duties.probing.map(|p| p.max_age), Some(Duration::from_millis(1500)));
     assert!(parse(LEAST, &names()).unwrap().gateways.is_none());
     assert!(parse(GATEWAYS, &names()).unwrap().duties.is_none());
     let least = parse(GATEWAYS, &names()).unwrap().gateways.unwrap();
