--- a/crates/leases/src/voter_record.rs
+++ b/crates/leases/src/voter_record.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// A directory for the record. What it answers may be wrong; docs/duties.md lists the faults that are survived.
+/// A directory for the record. What it answers may be wrong; docs/leases.md lists the faults that are survived.
 pub trait Disk: Send {
     /// Contents of a file; `None` where there is none.
     fn read(&mut self, file: &str) -> io::Result<Option<Vec<u8>>>;
