--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -3,12 +3,12 @@
 use crate::error::{ConfigError, Problem};
 use crate::membership::Gateways;
 use crate::table::{Table, default_count, default_ms, line};
-use larchfall_leases::bid::Terms;
-use larchfall_leases::duties::Settings as DutySettings;
-use larchfall_leases::elector::Bounds;
-use larchfall_leases::fitness::Lines;
-use larchfall_leases::probing;
-use larchfall_leases::quorum::Electors;
+use larchfall_leases::candidacy::LeaseTerms;
+use larchfall_leases::fitness::FitnessThresholds;
+use larchfall_leases::load_sharing::{LoadSharingSettings, health_check_role, quota_allocator_role};
+use larchfall_leases::manager::LeaseSettings;
+use larchfall_leases::quorum::VoterSet;
+use larchfall_leases::voter::VoterLimits;
 use larchfall_membership::claim::LONGEST;
 use larchfall_policy::time::Duration;
 use serde::Deserialize;
@@ -24,12 +24,12 @@
 /// What one gateway at a time does.
 #[derive(Clone, Debug)]
 pub struct Duties {
-    pub settings: DutySettings,
+    pub settings: LeaseSettings,
     /// The folder for what a voter remembers; `None`: it remembers nothing over a restart.
     pub record: Option<PathBuf>,
     /// Below which a gateway holds no role.
-    pub lines: Lines,
-    pub probing: Option<probing::Settings>,
+    pub lines: FitnessThresholds,
+    pub probing: Option<LoadSharingSettings>,
     pub keepers: Option<Keepers>,
     pub programs: Vec<Program>,
 }
@@ -138,24 +138,24 @@
     let Some(gateways) = gateways else {
         return Err(table.refuse(&raw.electors, "electors", Problem::NeedsMembership));
     };
-    let before = raw.electors_before.as_ref();
-    let before = before.map(|names| voters(&table, names, "electors-before")).transpose()?;
-    let electors = Electors { now: voters(&table, &raw.electors, "electors")?, before };
+    let previous = raw.electors_before.as_ref();
+    let previous = previous.map(|names| voters(&table, names, "electors-before")).transpose()?;
+    let current = voters(&table, &raw.electors, "electors")?;
     let length = table.duration(&raw.lease_ms, "lease-ms", 200, 60_000)?;
-    let longest = longest_lease(&table, &raw, length)?;
+    let longest_lease = longest_lease(&table, &raw, length)?;
     let probing = probing(&table, &raw)?;
     let keepers = keepers(&table, &raw)?;
     let mut roles = built_in_roles(probing, keepers);
     let programs = programs(text, raw_programs, &mut roles, length)?;
-    let margin = table.count(&raw.margin, "margin", 1, 500)? as u32;
-    let settings = DutySettings {
+    let drift_margin_per_mille = table.count(&raw.margin, "margin", 1, 500)? as u32;
+    let settings = LeaseSettings {
         cluster: gateways.settings.cluster.clone(),
-        electors,
-        terms: Terms { length, margin },
-        bounds: Bounds { longest, most: MAX_ROLES, keeps: raw.record.is_some() },
-        duties: roles,
-        least: table.duration(&raw.least_ms, "least-ms", 0, 3_600_000)?,
-        better: MIN_IMPROVEMENT,
+        voters: VoterSet { current, previous },
+        terms: LeaseTerms { length, drift_margin_per_mille },
+        voter_limits: VoterLimits { longest_lease, max_roles: MAX_ROLES, persistent: raw.record.is_some() },
+        roles,
+        min_hold: table.duration(&raw.least_ms, "least-ms", 0, 3_600_000)?,
+        better_margin: MIN_IMPROVEMENT,
     };
     let lines = fitness(&table, &raw)?;
     Ok(Duties { settings, record: raw.record, lines, probing, keepers, programs })
@@ -190,18 +190,18 @@
     Ok(longest)
 }
 
-fn probing(table: &Table, raw: &RawDuties) -> Result<Option<probing::Settings>, ConfigError> {
-    let duties = raw.probing.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
-    let every = table.duration(&raw.probe_ms, "probe-ms", 20, 60_000)?;
-    let fresh = table.duration(&raw.fresh_ms, "fresh-ms", 20, 600_000)?;
-    if fresh < every {
+fn probing(table: &Table, raw: &RawDuties) -> Result<Option<LoadSharingSettings>, ConfigError> {
+    let roles = raw.probing.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
+    let interval = table.duration(&raw.probe_ms, "probe-ms", 20, 60_000)?;
+    let max_age = table.duration(&raw.fresh_ms, "fresh-ms", 20, 600_000)?;
+    if max_age < interval {
         let problem = Problem::StaleBeforeNextProbe {
             fresh_ms: *raw.fresh_ms.get_ref(),
             probe_ms: *raw.probe_ms.get_ref(),
         };
         return Err(table.refuse(&raw.fresh_ms, "fresh-ms", problem));
     }
-    Ok(duties.map(|duties| probing::Settings { duties, every, fresh }))
+    Ok(roles.map(|roles| LoadSharingSettings { roles, interval, max_age }))
 }
 
 fn keepers(table: &Table, raw: &RawDuties) -> Result<Option<Keepers>, ConfigError> {
@@ -217,9 +217,9 @@
 }
 
 /// The names of the roles that are not the operator's programs.
-fn built_in_roles(probing: Option<probing::Settings>, keepers: Option<Keepers>) -> BTreeSet<String> {
-    let probing = (0..probing.map_or(0, |settings| settings.duties)).map(probing::duty);
-    let keepers = (0..keepers.map_or(0, |settings| settings.keepers)).map(probing::keeper);
+fn built_in_roles(probing: Option<LoadSharingSettings>, keepers: Option<Keepers>) -> BTreeSet<String> {
+    let probing = (0..probing.map_or(0, |settings| settings.roles)).map(health_check_role);
+    let keepers = (0..keepers.map_or(0, |settings| settings.keepers)).map(quota_allocator_role);
     probing.chain(keepers).collect()
 }
 
@@ -250,9 +250,13 @@
     Ok(programs)
 }
 
-fn fitness(table: &Table, raw: &RawDuties) -> Result<Lines, ConfigError> {
-    let stale = raw.stale_ms.as_ref();
-    let stale = stale.map(|limit| table.duration(limit, "stale-ms", 100, 3_600_000)).transpose()?;
-    let ill = raw.ill.as_ref().map(|score| table.count(score, "ill", 1, 8)).transpose()?;
-    Ok(Lines { stale, ill: ill.map(|score| score as u32) })
+fn fitness(table: &Table, raw: &RawDuties) -> Result<FitnessThresholds, ConfigError> {
+    let silence = raw.stale_ms.as_ref();
+    let max_discovery_silence =
+        silence.map(|limit| table.duration(limit, "stale-ms", 100, 3_600_000)).transpose()?;
+    let unhealthy_score = raw.ill.as_ref().map(|score| table.count(score, "ill", 1, 8)).transpose()?;
+    Ok(FitnessThresholds {
+        max_discovery_silence,
+        unhealthy_score: unhealthy_score.map(|score| score as u32),
+    })
 }
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -94,17 +94,20 @@
     let duties = duties.unwrap();
     let settings = duties.settings;
     let list = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
-    assert_eq!(settings.electors.now, list(&["n0", "n1", "n2"]));
-    assert_eq!(settings.electors.before, Some(list(&["n0", "n1", "n3"])));
-    assert_eq!((settings.terms.length, settings.terms.margin), (ms(2_500), 50));
-    assert_eq!((settings.bounds.longest, settings.bounds.keeps), (ms(9_000), true));
-    assert_eq!((settings.least, &settings.cluster[..]), (ms(20_000), "harbor"));
+    assert_eq!(settings.voters.current, list(&["n0", "n1", "n2"]));
+    assert_eq!(settings.voters.previous, Some(list(&["n0", "n1", "n3"])));
+    assert_eq!((settings.terms.length, settings.terms.drift_margin_per_mille), (ms(2_500), 50));
+    assert_eq!((settings.voter_limits.longest_lease, settings.voter_limits.persistent), (ms(9_000), true));
+    assert_eq!((settings.min_hold, &settings.cluster[..]), (ms(20_000), "harbor"));
     let roles = ["keeper:0", "keeper:1", "nightly", "probing:0", "probing:1", "probing:2"];
-    assert_eq!(settings.duties, list(&roles));
+    assert_eq!(settings.roles, list(&roles));
     assert_eq!(duties.record, Some("/var/lib/larchfall".into()));
-    assert_eq!((duties.lines.stale, duties.lines.ill), (Some(ms(8_000)), Some(4)));
+    assert_eq!(
+        (duties.lines.max_discovery_silence, duties.lines.unhealthy_score),
+        (Some(ms(8_000)), Some(4))
+    );
     let probing = duties.probing.unwrap();
-    assert_eq!((probing.duties, probing.every, probing.fresh), (3, ms(400), ms(1_600)));
+    assert_eq!((probing.roles, probing.interval, probing.max_age), (3, ms(400), ms(1_600)));
     let keepers = duties.keepers.unwrap();
     assert_eq!((keepers.keepers, keepers.length), (2, ms(1_200)));
     assert!(keepers.kinds.slow_start && keepers.kinds.threads && keepers.kinds.tenants);
