--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -1,249 +1,229 @@
-//! One gateway: its decisions, the requests in hand, its timers, and the door where ids become small indices.
-
-use crate::wire::Reply;
-use larchfall_config as settings;
-use larchfall_policy::interface::*;
+//! One gateway of the simulated fleet: its decisions, and what the simulator's ids and timers are to them.
+
+use crate::engines::EngineTable;
+use crate::error::EventError;
+use crate::requests::RequestTable;
+use crate::wire::event::{EngineLoad, FinishedAttempt, ListedEngine, NewRequest, Progress};
+use crate::wire::reply::Reply;
+use larchfall_policy::interface::{
+    AfterAttempt, AttemptEvidence, AttemptParameters, AttemptResult, Engine, EngineState, LastObservation,
+    LoadReport, Outcome, RoutingDecision,
+};
 use larchfall_policy::policy::{Policy, TICK};
 use larchfall_policy::time::{Duration, Timestamp};
-use std::collections::{BTreeSet, HashMap};
 
+/// Tags of the two timers.
 const TICK_TAG: u64 = 0;
-const DUE_TAG: u64 = 1;
-
-struct Slot {
-    id: u32,
-    out: usize,
-    over: bool,
-    due: Option<Timestamp>,
-}
+const CHECK_TAG: u64 = 1;
 
-pub struct Gateway {
-    who: u32,
+pub(crate) struct Gateway {
+    instance: u32,
     policy: Policy,
     classes: usize,
-    pub tenants: usize,
-    pub tells_work: bool,
-    report_fields: Vec<String>,
-    slots: Vec<Slot>,
-    spare: Vec<usize>,
-    by_id: HashMap<u32, usize>,
-    engines: Vec<([u8; 6], Engine)>,
-    engine_ix: HashMap<[u8; 6], usize>,
-    due: BTreeSet<(Timestamp, usize)>,
-    timer_at: Option<Timestamp>,
+    tenants: usize,
+    outcomes_report_work: bool,
+    /// Names of the values in a load report.
+    load_fields: Vec<String>,
+    requests: RequestTable,
+    engines: EngineTable,
+    /// When the timer for the next check fires, if one is set.
+    check_timer: Option<Timestamp>,
 }
 
 impl Gateway {
-    pub fn start(
-        who: u32,
+    pub(crate) fn start(
+        instance: u32,
         seed: u64,
-        boot: &[u8],
+        settings: &[u8],
         now: Timestamp,
         reply: &mut Reply,
-    ) -> Result<Gateway, String> {
-        let s = settings::read(boot).map_err(|error| error.to_string())?;
-        let (classes, tenants) = (s.given.classes.len(), s.given.tenants.len());
-        let policy = Policy::new(seed, s.given);
-        if s.must_ask {
-            reply.watch(who);
+    ) -> Result<Gateway, EventError> {
+        let settings = larchfall_config::read(settings)?;
+        if settings.must_ask {
+            reply.watch(instance);
         }
         let gateway = Gateway {
-            who,
-            policy,
-            classes,
-            tenants,
-            tells_work: s.tells_work,
-            report_fields: s.report_fields,
-            slots: Vec::new(),
-            spare: Vec::new(),
-            by_id: HashMap::new(),
-            engines: Vec::new(),
-            engine_ix: HashMap::new(),
-            due: BTreeSet::new(),
-            timer_at: None,
+            instance,
+            classes: settings.given.classes.len(),
+            tenants: settings.given.tenants.len(),
+            policy: Policy::new(seed, settings.given),
+            outcomes_report_work: settings.tells_work,
+            load_fields: settings.report_fields,
+            requests: RequestTable::default(),
+            engines: EngineTable::default(),
+            check_timer: None,
         };
-        gateway.next_tick(now, reply);
+        gateway.set_tick_timer(now, reply);
         Ok(gateway)
     }
 
-    fn next_tick(&self, now: Timestamp, reply: &mut Reply) {
-        reply.schedule(self.who, (now + TICK).micros(), TICK_TAG);
+    fn set_tick_timer(&self, now: Timestamp, reply: &mut Reply) {
+        reply.set_timer(self.instance, (now + TICK).micros(), TICK_TAG);
     }
 
-    pub fn report(&self, values: &[f64]) -> LoadReport {
-        let field = |name| self.report_fields.iter().zip(values).find(|(n, _)| *n == name).map(|(_, v)| *v);
-        LoadReport { in_hand: field("concurrent"), busy: field("load_share") }
+    fn load_report(&self, values: &[f64]) -> LoadReport {
+        let value = |name| {
+            let mut named = self.load_fields.iter().zip(values);
+            named.find(|(field, _)| *field == name).map(|(_, value)| *value)
+        };
+        LoadReport { in_hand: value("concurrent"), busy: value("load_share") }
     }
 
-    /// The list's entries: all of them, or changes only.
-    pub fn list(&mut self, now: Timestamp, entries: &[([u8; 6], Engine)], whole: bool) {
-        let mut named = vec![false; self.engines.len()];
-        for (address, engine) in entries {
-            let next = self.engines.len();
-            let e = *self.engine_ix.entry(*address).or_insert(next);
-            if e == next {
-                self.engines.push((*address, *engine));
-                named.push(false);
-            }
-            named[e] = true;
-            self.engines[e].1 = *engine;
-            self.policy.update_engine(now, e, *engine);
+    /// Entries of the endpoint list have changed.
+    pub(crate) fn update_engines(&mut self, now: Timestamp, listed: &[ListedEngine]) {
+        for engine in listed {
+            let index = self.engines.update(*engine);
+            self.policy.update_engine(now, index, engine.engine);
+        }
+    }
+
+    /// The endpoint list is this, and engines that it does not name are gone.
+    pub(crate) fn replace_engines(&mut self, now: Timestamp, listed: &[ListedEngine]) {
+        let mut is_listed = vec![false; self.engines.len()];
+        for engine in listed {
+            let index = self.engines.update(*engine);
+            is_listed.resize(self.engines.len(), false);
+            is_listed[index] = true;
+            self.policy.update_engine(now, index, engine.engine);
         }
-        // A whole list drops what it does not name.
-        for (e, (_, engine)) in self.engines.iter().enumerate().filter(|(e, _)| whole && !named[*e]) {
-            self.policy.update_engine(now, e, Engine { state: EngineState::Gone, ..*engine });
+        for (index, known) in self.engines.iter().enumerate().filter(|(index, _)| !is_listed[*index]) {
+            self.policy.update_engine(now, index, Engine { state: EngineState::Gone, ..known.engine });
         }
     }
 
-    pub fn take(
+    pub(crate) fn admit(
         &mut self,
         now: Timestamp,
-        id: u32,
-        request: Request,
+        new: NewRequest,
         reply: &mut Reply,
-    ) -> Result<(), String> {
+    ) -> Result<(), EventError> {
+        let NewRequest { id, mut request } = new;
+        let instance = self.instance;
         if request.class >= self.classes {
-            return Err(format!("front {}, id {id}: no service group {}", self.who, request.class));
-        }
-        let slot = Slot { id, out: 0, over: false, due: None };
-        let b = match self.spare.pop() {
-            Some(b) => {
-                self.slots[b] = slot;
-                b
-            }
-            None => {
-                self.slots.push(slot);
-                self.slots.len() - 1
-            }
-        };
-        if self.by_id.insert(id, b).is_some() {
-            return Err(format!("front {}: id {id} came twice", self.who));
+            return Err(EventError::UnknownClass { instance, id, class: request.class });
         }
-        self.policy.admit(now, b, request);
-        self.ask(now, b, reply);
+        request.tenant = request.tenant.filter(|tenant| *tenant < self.tenants);
+        let index = self.requests.insert(id).ok_or(EventError::DuplicateId { instance, id })?;
+        self.policy.admit(now, index, request);
+        self.route(now, index, reply);
         Ok(())
     }
 
-    pub fn outcome(
-        &mut self,
-        now: Timestamp,
-        id: u32,
-        number: u8,
-        answer: &AttemptResult,
-        reply: &mut Reply,
-    ) {
-        let Some(&b) = self.by_id.get(&id) else { return };
-        let slot = &mut self.slots[b];
-        slot.out = slot.out.saturating_sub(1);
-        slot.over |= answer.over;
-        match self.policy.on_attempt_finished(now, b, number, answer) {
-            AfterAttempt::RouteAgain => self.ask(now, b, reply),
-            AfterAttempt::Finished => self.leave(b),
+    pub(crate) fn attempt_finished(&mut self, now: Timestamp, finished: &FinishedAttempt, reply: &mut Reply) {
+        let Some(index) = self.requests.index_of(finished.id) else { return };
+        self.requests.attempt_finished(index);
+        if finished.request_finished {
+            self.requests.finish(index);
+        }
+        let reports_work = self.outcomes_report_work && finished.outcome == Outcome::Returned;
+        let result = AttemptResult {
+            outcome: finished.outcome,
+            took: finished.took,
+            over: finished.request_finished,
+            // The simulator sends an outcome once nothing runs on, except where the key cooldown covers it.
+            seen: AttemptEvidence { last: LastObservation::Ended, same_process: true },
+            work: finished.work.filter(|_| reports_work),
+            report: self.load_report(&finished.load),
+        };
+        match self.policy.on_attempt_finished(now, index, finished.attempt, &result) {
+            AfterAttempt::RouteAgain => self.route(now, index, reply),
+            AfterAttempt::Finished => self.requests.release(index),
         }
     }
 
-    pub fn client_left(&mut self, id: u32, reply: &mut Reply) {
-        let Some(&b) = self.by_id.get(&id) else { return };
-        if !self.slots[b].over {
-            for number in self.policy.on_client_disconnected(b) {
-                reply.call_off(self.who, id, number);
+    pub(crate) fn client_disconnected(&mut self, id: u32, reply: &mut Reply) {
+        let Some(index) = self.requests.index_of(id) else { return };
+        if !self.requests.is_finished(index) {
+            for attempt in self.policy.on_client_disconnected(index) {
+                reply.cancel_attempt(self.instance, id, attempt);
             }
-            self.slots[b].over = true;
+            self.requests.finish(index);
         }
-        self.leave(b);
+        self.requests.release(index);
     }
 
-    pub fn note(&mut self, now: Timestamp, id: u32, number: u8, note: ProgressUpdate) {
-        if let Some(&b) = self.by_id.get(&id) {
-            self.policy.on_progress(now, b, number, note);
+    pub(crate) fn progress(&mut self, now: Timestamp, progress: &Progress) {
+        if let Some(index) = self.requests.index_of(progress.id) {
+            self.policy.on_progress(now, index, progress.attempt, progress.update);
         }
     }
 
-    pub fn probed(&mut self, now: Timestamp, address: [u8; 6], report: LoadReport) {
-        if let Some(&e) = self.engine_ix.get(&address) {
-            self.policy.on_load_report(now, e, report);
+    pub(crate) fn engine_load(&mut self, now: Timestamp, load: &EngineLoad) {
+        let report = self.load_report(&load.load);
+        if let Some(index) = self.engines.index_of(load.address) {
+            self.policy.on_load_report(now, index, report);
         }
     }
 
-    pub fn timer(&mut self, now: Timestamp, tag: u64, reply: &mut Reply) {
+    pub(crate) fn timer_fired(&mut self, now: Timestamp, tag: u64, reply: &mut Reply) {
         if tag == TICK_TAG {
-            self.policy.tick(now);
-            for e in self.policy.health_checks() {
-                reply.ping(self.who, self.engines[e].0);
-            }
-            self.next_tick(now, reply);
+            self.tick(now, reply);
             return;
         }
-        if self.timer_at.is_some_and(|at| at <= now) {
-            self.timer_at = None;
+        if self.check_timer.is_some_and(|at| at <= now) {
+            self.check_timer = None;
+        }
+        // Each is routed once: one whose next check is due at this time of the clock again waits for the next timer.
+        for index in self.requests.take_due(now) {
+            self.route(now, index, reply);
         }
-        // Each is asked once: whatever comes due again at this reading of the clock waits for the next.
-        let later = self.due.split_off(&(now + Duration::from_micros(1), 0));
-        for (_, b) in std::mem::replace(&mut self.due, later) {
-            self.slots[b].due = None;
-            self.ask(now, b, reply);
+    }
+
+    fn tick(&mut self, now: Timestamp, reply: &mut Reply) {
+        self.policy.tick(now);
+        for index in self.policy.health_checks() {
+            reply.check_health(self.instance, self.engines.address(index));
         }
+        self.set_tick_timer(now, reply);
     }
 
-    /// Writes what the module answers until it has nothing more to say, then notes when to ask again.
-    fn ask(&mut self, now: Timestamp, b: usize, reply: &mut Reply) {
-        let (who, id) = (self.who, self.slots[b].id);
+    /// Carries decisions out until there is nothing more to do for a request now, and sets its next check.
+    fn route(&mut self, now: Timestamp, index: usize, reply: &mut Reply) {
+        let instance = self.instance;
+        let id = self.requests.id(index);
         loop {
-            if self.slots[b].over {
-                return self.leave(b);
+            if self.requests.is_finished(index) {
+                self.requests.release(index);
+                return;
             }
-            match self.policy.route(now, b) {
-                RoutingDecision::Send(d) => {
-                    self.slots[b].out += 1;
-                    reply.resources(who, id, d.memory_mb.unwrap_or(0.0) as f32, d.priority);
-                    let allow = d.time_out.micros().clamp(1, u64::from(i32::MAX as u32)) as u32;
-                    reply.call_out(who, id, self.engines[d.engine].0, allow);
-                }
+            match self.policy.route(now, index) {
+                RoutingDecision::Send(parameters) => self.start_attempt(index, &parameters, reply),
                 RoutingDecision::Wait => break,
-                RoutingDecision::Reject(wait) => {
-                    reply.deny(
-                        who,
-                        id,
-                        wait.unwrap_or(Duration::ZERO).micros().min(u64::from(u32::MAX)) as u32,
-                    );
-                    self.slots[b].over = true;
+                RoutingDecision::Reject(retry_after) => {
+                    let retry_after = retry_after.unwrap_or(Duration::ZERO).micros();
+                    reply.reject(instance, id, retry_after.min(u64::from(u32::MAX)) as u32);
+                    self.requests.finish(index);
                 }
                 RoutingDecision::Fail => {
-                    reply.abort(who, id);
-                    self.slots[b].over = true;
+                    reply.fail(instance, id);
+                    self.requests.finish(index);
                 }
-                RoutingDecision::CancelAttempt(number) => reply.call_off(who, id, number),
+                RoutingDecision::CancelAttempt(attempt) => reply.cancel_attempt(instance, id, attempt),
             }
         }
-        let at = self.policy.next_check(now, b);
-        if let Some(old) = self.slots[b].due.replace(at) {
-            self.due.remove(&(old, b));
-        }
-        self.due.insert((at, b));
+        self.requests.set_check(index, self.policy.next_check(now, index));
     }
 
-    /// Lets go of a request once it is over and nothing of it is out.
-    fn leave(&mut self, b: usize) {
-        if let Some(at) = self.slots[b].due.take() {
-            self.due.remove(&(at, b));
-        }
-        if self.slots[b].over && self.slots[b].out == 0 {
-            self.by_id.remove(&self.slots[b].id);
-            self.spare.push(b);
-        }
+    fn start_attempt(&mut self, index: usize, parameters: &AttemptParameters, reply: &mut Reply) {
+        let id = self.requests.id(index);
+        self.requests.attempt_started(index);
+        let memory_mb = parameters.memory_mb.unwrap_or(0.0) as f32;
+        reply.set_resources(self.instance, id, memory_mb, parameters.priority);
+        // The wire's time-out is signed, and none at all where it is zero.
+        let timeout = parameters.time_out.micros().clamp(1, u64::from(i32::MAX as u32)) as u32;
+        reply.start_attempt(self.instance, id, self.engines.address(parameters.engine), timeout);
     }
 
-    /// After all events of one reading of the clock: the timer for what is due next, and the module's log
-    /// lines.
-    pub fn settle(&mut self, reply: &mut Reply) {
-        if let Some(&(at, _)) = self.due.first()
-            && self.timer_at.is_none_or(|armed| at < armed)
+    /// Ends a batch: sets the timer for the next check, and writes what the policy has to log.
+    pub(crate) fn end_batch(&mut self, reply: &mut Reply) {
+        if let Some(next) = self.requests.first_check()
+            && self.check_timer.is_none_or(|set| next < set)
         {
-            reply.schedule(self.who, at.micros(), DUE_TAG);
-            self.timer_at = Some(at);
+            reply.set_timer(self.instance, next.micros(), CHECK_TAG);
+            self.check_timer = Some(next);
         }
         for event in self.policy.take_events() {
-            reply.trace(self.who, &event.to_string());
+            reply.trace(self.instance, &event.to_string());
         }
     }
 }
