--- a/crates/gateway/tests/gateway/codecs/discovery.rs
+++ b/crates/gateway/tests/gateway/codecs/discovery.rs
@@ -1,7 +1,9 @@
 //! The discovery service's frames, and the list that the configuration holds.
 
 use larchfall_config::Names;
-use larchfall_gateway::codec::discovery::{Frame, decode, encode_watch, known_events};
+use larchfall_gateway::codec::discovery::{
+    Endpoint, Frame, Known, WatchEvent, decode, encode_watch, known_events,
+};
 use larchfall_policy::interface::EngineState;
 use larchfall_stub::discovery::{Listed, frame};
 
@@ -57,3 +59,43 @@
         assert_eq!(error.to_string(), says);
     }
 }
+
+const KNOWN: &str = include_str!("../files/known.json");
+const KNOWN_REFUSALS: &str = include_str!("../files/known-refusals.txt");
+const KNOWN_REFUSAL_COUNT: usize = 23;
+
+fn read_known(text: &str) -> Result<Vec<WatchEvent>, String> {
+    let known: Known = serde_json::from_str(text).map_err(|error| error.to_string())?;
+    known_events(&known, &names()).map_err(|error| error.to_string())
+}
+
+/// The list and the texts are those of the version before the program's terms were changed.
+#[test]
+fn a_known_list_of_the_version_before_is_read_and_refused_as_before() {
+    let endpoint = Endpoint {
+        id: 0x00c4_1f7a,
+        address: "10.1.0.9:7001".parse().unwrap(),
+        state: EngineState::Draining,
+        zone: 1,
+        kind: 0,
+        cell: 3,
+        started_ms: 5,
+    };
+    let event = WatchEvent { revision: 41, full_list: true, endpoints: vec![endpoint] };
+    assert_eq!(read_known(KNOWN), Ok(vec![event]));
+    let cases: Vec<&str> = KNOWN_REFUSALS.trim().split("\n\n").collect();
+    assert_eq!(cases.len(), KNOWN_REFUSAL_COUNT);
+    for case in cases {
+        let (text, expected) = match case.lines().collect::<Vec<_>>()[..] {
+            [removed, inserted, expected] => {
+                let removed = removed.strip_prefix("- ").expect(case);
+                let inserted = inserted.strip_prefix('+').expect(case).trim_start();
+                assert!(KNOWN.contains(removed), "{removed} is not in the list");
+                (KNOWN.replacen(removed, inserted, 1), expected)
+            }
+            [whole, expected] => (whole.strip_prefix("= ").expect(case).to_owned(), expected),
+            _ => panic!("{case}"),
+        };
+        assert_eq!(read_known(&text), Err(expected.strip_prefix("! ").expect(case).to_owned()));
+    }
+}
