--- a/crates/gateway/src/codec/message_pack/encode.rs
+++ b/crates/gateway/src/codec/message_pack/encode.rs
@@ -30,10 +30,10 @@
         Response::Rejected(None) => encode_error(out, "Rejected", None),
         Response::Rejected(Some(retry_after)) => {
             let milliseconds = (retry_after.micros() / 1000).to_string();
-            encode_error(out, "Rejected", Some(ErrorField { name: "holdoff", value: &milliseconds }));
+            encode_error(out, "Rejected", Some(&ErrorField { name: "holdoff", value: &milliseconds }));
         }
         Response::Errored(reason) => {
-            encode_error(out, "Errored", Some(ErrorField { name: "reason", value: reason }));
+            encode_error(out, "Errored", Some(&ErrorField { name: "reason", value: reason }));
         }
         Response::Pong => {
             let _ = write_nil(out);
@@ -49,7 +49,7 @@
     value: &'a str,
 }
 
-fn encode_error(out: &mut Vec<u8>, kind: &str, field: Option<ErrorField>) {
+fn encode_error(out: &mut Vec<u8>, kind: &str, field: Option<&ErrorField>) {
     let _ = write_array_len(out, 2);
     let _ = write_str(out, kind);
     let _ = write_map_len(out, u32::from(field.is_some()));
--- a/crates/paged-rest/tests/codecs.rs
+++ b/crates/paged-rest/tests/codecs.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_no_call_is_told_so_with_its_status() {
+fn what_is_no_call_is_refused_with_its_status_and_text() {
     let long = |n: usize| format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(n));
     let lines = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(65));
     let body = |n: usize| format!("POST / HTTP/1.1\r\nContent-Length: {n}\r\n\r\n{}", "x".repeat(n));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_first_source_that_a_call_has_counts_and_faults_name_it() {
+fn the_first_source_that_a_call_has_counts_and_errors_name_it() {
     use HeaderFamily::{Both, Presto, Trino};
     // Headers, the family that is spoken, the sources of the request class, what is found.
     type Case<'a> = (&'a [(&'a str, &'a str)], HeaderFamily, &'a str, Result<Option<&'a str>, &'a str>);
--- a/crates/paged-rest/tests/results.rs
+++ b/crates/paged-rest/tests/results.rs
@@ -2,7 +2,7 @@
 
 use larchfall_paged_rest::cursor::{FinalAnswer, PageLookup, ResultCursor, ResultEnd, ResultWindow};
 use larchfall_paged_rest::page_address::{AddressKey, PageAddress};
-use larchfall_paged_rest::results::{ResultId, ResultLimits, ResultStore};
+use larchfall_paged_rest::results::{AbandonedResult, ResultId, ResultLimits, ResultStore};
 use larchfall_policy::time::{Duration, Timestamp};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -52,38 +52,38 @@
     #![proptest_config(ProptestConfig { cases: 3_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_order_of_steps_hands_out_each_row_once_and_settles_once(steps in prop::collection::vec(step(), 1..80)) {
+    fn any_order_of_steps_delivers_each_row_once_and_answers_once(steps in prop::collection::vec(step(), 1..80)) {
         let limits = ResultLimits { max_results: 2, max_in_flight: 2, max_bytes: 60, window: WINDOW };
         let mut results: ResultStore<Vec<u32>> = ResultStore::new(limits);
         let mut now = 0;
         let mut model = Model::default();
-        let name = results.open(ms(now)).unwrap();
+        let id = results.open(ms(now)).unwrap();
         // The token that the client would ask for next, as its last document said.
         let mut next = 0_u64;
         let mut open = true;
         for step in steps {
             match step {
                 Step::Rows(n) => {
-                    if results.has_capacity(name) == Some(true) {
+                    if results.has_capacity(id) == Some(true) {
                         let rows: Vec<u32> = (0..u32::from(n)).map(|i| model.next_row + i).collect();
                         let size = 10 * rows.len();
-                        if results.push(name, rows.clone(), size, None) {
+                        if results.push(id, rows.clone(), size, None) {
                             model.next_row += u32::from(n);
                             model.made.extend(rows);
                         }
                     }
                 }
-                Step::End(end) => _ = results.push(name, Vec::new(), 0, Some(end)),
+                Step::End(end) => _ = results.push(id, Vec::new(), 0, Some(end)),
                 Step::Lost => {
-                    let handed: Vec<u32> = model.seen.values().flat_map(|(rows, _)| rows.clone()).collect();
-                    if results.restart(name) {
-                        prop_assert!(handed.is_empty(), "{handed:?} were handed on and come again");
+                    let delivered: Vec<u32> = model.seen.values().flat_map(|(rows, _)| rows.clone()).collect();
+                    if results.restart(id) {
+                        prop_assert!(delivered.is_empty(), "{delivered:?} were delivered and come again");
                         model.made.clear();
                     }
                 }
                 Step::Get(by) => {
                     let token = next.saturating_add_signed(by.into());
-                    match results.get(name, token, ms(now)) {
+                    match results.get(id, token, ms(now)) {
                         PageLookup::Found { page, final_answer } => {
                             prop_assert_eq!(page.token, token);
                             prop_assert!(token <= next, "{token} was never given out, {next} was");
@@ -100,16 +100,16 @@
                         PageLookup::Unknown => prop_assert!(token > next || !open),
                     }
                 }
-                Step::WaitEnded(by) => results.push_empty(name, next.saturating_add_signed(by.into()), Vec::new()),
+                Step::WaitEnded(by) => results.push_empty(id, next.saturating_add_signed(by.into()), Vec::new()),
                 Step::Abandon => {
-                    model.final_answers.extend(results.abandon(name).map(|abandoned| abandoned.final_answer()));
+                    model.final_answers.extend(results.abandon(id).map(|abandoned| abandoned.final_answer()));
                     open = false;
                 }
                 Step::Time(by) => {
                     now += u64::from(by);
                     let abandoned = results.expire(ms(now));
-                    model.final_answers.extend(abandoned.iter().map(|abandoned| abandoned.final_answer()));
-                    open &= results.is_open(name);
+                    model.final_answers.extend(abandoned.iter().map(AbandonedResult::final_answer));
+                    open &= results.is_open(id);
                 }
             }
             prop_assert!(results.buffered_bytes() <= limits.max_bytes.max(30) + 30, "{} bytes wait", results.buffered_bytes());
@@ -118,7 +118,7 @@
         // What the client saw is what the engine made, from the first row on.
         let seen: Vec<u32> = model.seen.values().flat_map(|(rows, _)| rows.clone()).collect();
         prop_assert_eq!(&seen[..], &model.made[..seen.len()]);
-        model.final_answers.extend(results.expire(ms(now + 10_000)).iter().map(|abandoned| abandoned.final_answer()));
+        model.final_answers.extend(results.expire(ms(now + 10_000)).iter().map(AbandonedResult::final_answer));
         prop_assert_eq!(model.final_answers.len(), 1);
         prop_assert!(results.is_empty() && results.buffered_bytes() == 0, "all has left memory");
     }
@@ -139,17 +139,17 @@
         other => Err(other),
     };
     assert_eq!(ask(0), Ok(("a", None)));
-    assert_eq!(ask(0), Ok(("a", None)), "after a dropped line");
+    assert_eq!(ask(0), Ok(("a", None)), "after a dropped connection");
     assert_eq!(ask(2), Err(PageLookup::Unknown), "one ahead");
     assert_eq!(ask(1), Ok(("b", None)));
     assert_eq!(ask(0), Err(PageLookup::Gone));
     assert_eq!(ask(2), Ok(("", Some(FinalAnswer::Delivered(ResultEnd::Returned)))));
     assert_eq!(ask(2), Ok(("", None)), "the final answer counts once");
-    assert!(!cursor.abandon(), "had its answer");
+    assert!(!cursor.abandon(), "it had its final answer");
 }
 
 #[test]
-fn a_wait_that_is_over_leaves_a_page_without_rows_and_the_next_rows_get_the_next_token() {
+fn a_wait_that_ended_adds_a_page_without_rows_and_the_next_rows_get_the_next_token() {
     let mut cursor = ResultCursor::new(WINDOW, ms(0));
     cursor.push_empty(1, "never given out");
     cursor.push_empty(0, "");
@@ -164,9 +164,9 @@
 }
 
 #[test]
-fn a_result_begins_anew_only_while_none_of_its_rows_were_handed_on() {
-    // How many pages the client asked for, and whether the result may begin anew; the first has no rows.
-    for (asked, anew) in [(0, true), (1, true), (2, false), (3, false)] {
+fn a_result_restarts_only_while_none_of_its_rows_were_delivered() {
+    // How many pages the client asked for, and whether the result may restart; the first has no rows.
+    for (asked, may_restart) in [(0, true), (1, true), (2, false), (3, false)] {
         let mut cursor = ResultCursor::new(WINDOW, ms(0));
         cursor.push(0, 0, None);
         cursor.push(1, 10, None);
@@ -174,16 +174,17 @@
         for token in 0..asked {
             assert!(matches!(cursor.get(token, ms(1)), PageLookup::Found { .. }));
         }
-        assert_eq!(cursor.restart(), anew, "{asked} asked for");
-        assert_eq!(cursor.buffered_bytes() == 0, anew);
+        assert_eq!(cursor.restart(), may_restart, "{asked} asked for");
+        assert_eq!(cursor.buffered_bytes() == 0, may_restart);
     }
 }
 
 #[test]
-fn caps_over_all_results_leave_each_a_page_at_a_time() {
+fn limits_over_all_results_leave_each_one_page_at_a_time() {
     let limits = ResultLimits { max_results: 2, max_in_flight: 2, max_bytes: 20, window: WINDOW };
     let mut results = ResultStore::new(limits);
-    let (a, b) = (results.open(ms(0)).unwrap(), results.open(ms(0)).unwrap());
+    let a = results.open(ms(0)).unwrap();
+    let b = results.open(ms(0)).unwrap();
     assert_eq!(results.open(ms(0)), None, "as many as may be");
     results.push(a, "", 10, None);
     assert_eq!(results.has_capacity(a), Some(true));
@@ -199,7 +200,7 @@
     assert_eq!(
         results.abandon(a).and_then(|abandoned| abandoned.request),
         Some(7),
-        "its batch works for nobody"
+        "nobody waits for its request"
     );
     assert_eq!((results.abandon(a), results.has_capacity(a), results.buffered_bytes()), (None, None, 10));
     let again = results.open(ms(1)).unwrap();
@@ -223,7 +224,8 @@
 
 #[test]
 fn addresses_are_of_one_key_and_can_not_be_changed() {
-    let (key, other) = (AddressKey::new(&[1; 32]), AddressKey::new(&[2; 32]));
+    let key = AddressKey::new(&[1; 32]);
+    let other = AddressKey::new(&[2; 32]);
     let address = PageAddress { result: ResultId { index: 12, generation: 70_000 }, token: 3 };
     let path = key.path(address);
     assert_eq!(key.parse(&path), Some(address));
@@ -246,18 +248,18 @@
 }
 
 #[test]
-fn only_so_many_results_are_in_the_making_at_a_time() {
+fn only_so_many_results_are_in_flight_at_a_time() {
     let limits = ResultLimits { max_results: 9, max_in_flight: 2, max_bytes: 100, window: WINDOW };
     let mut results: ResultStore<()> = ResultStore::new(limits);
-    let names: Vec<ResultId> = (0..2).filter_map(|_| results.open(ms(0))).collect();
-    assert_eq!((names.len(), results.open(ms(0))), (2, None));
+    let ids: Vec<ResultId> = (0..2).filter_map(|_| results.open(ms(0))).collect();
+    assert_eq!((ids.len(), results.open(ms(0))), (2, None));
     for _ in 0..2 {
-        results.request_ended(names[0]);
+        results.request_ended(ids[0]);
     }
     let third = results.open(ms(0)).unwrap();
-    assert_eq!(results.open(ms(0)), None, "a batch that is over counts once");
+    assert_eq!(results.open(ms(0)), None, "a request that ended counts once");
     results.abandon(third);
-    assert!(results.open(ms(0)).is_some(), "one that was left counts no more");
+    assert!(results.open(ms(0)).is_some(), "one that was abandoned counts no more");
     results.expire(ms(2000));
     assert!(results.is_empty() && results.open(ms(2000)).is_some() && results.open(ms(2000)).is_some());
 }
