--- a/crates/gateway/tests/gateway/codecs/engine_http.rs
+++ b/crates/gateway/tests/gateway/codecs/engine_http.rs
@@ -38,12 +38,13 @@
     assert!(cancel_statement("h", "ab").starts_with(b"DELETE /obj/ab HTTP/1.1\r\n"));
 }
 
+type ReplyCase<'a> = (&'a [u8], Result<Option<Reply>, &'a str>);
+
 #[test]
 fn replies_are_read_with_care() {
     let reply = |status| Reply { status, ..Reply::default() };
     let long = [b"HTTP/1.1 200 OK\r\nX: ".to_vec(), vec![b'a'; 9000]].concat();
-    type Case<'a> = (&'a [u8], Result<Option<Reply>, &'a str>);
-    let cases: Vec<Case> = vec![
+    let cases: Vec<ReplyCase> = vec![
         (
             b"HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Stats: inflight:7;util:0.61\r\nContent-Length: 4\r\n\r\n1\ta\n",
             Ok(Some(Reply {
--- a/crates/gateway/tests/gateway/codecs/message_pack.rs
+++ b/crates/gateway/tests/gateway/codecs/message_pack.rs
@@ -61,8 +61,21 @@
     Incomplete,
 }
 
+fn check(what: &str, input: &[u8], expected: Decoded) {
+    match (decode(input), expected) {
+        (Ok(Some(got)), Decoded::Message(wanted)) => assert_eq!(got.value, wanted, "{what}"),
+        (Ok(Some(got)), Decoded::Unusable(wanted)) => {
+            let Message::Unusable { message_id: 9, reason } = got.value else { panic!("{what}: {got:?}") };
+            assert_eq!(reason.to_string(), wanted, "{what}");
+        }
+        (Ok(None), Decoded::Incomplete) => {}
+        (Err(got), Decoded::Malformed(wanted)) => assert_eq!(got.to_string(), wanted, "{what}"),
+        (got, wanted) => panic!("{what}: {got:?}, wanted {wanted:?}"),
+    }
+}
+
 #[test]
-fn what_cannot_be_used_is_told_apart_from_what_is_no_message() {
+fn a_request_with_an_unusable_field_is_told_which() {
     let with = |changed: &str, value: &str| {
         let field = |(name, old)| if name == changed { (name, value) } else { (name, old) };
         let fields: Vec<(&str, &str)> = FULL.iter().copied().map(field).collect();
@@ -72,47 +85,60 @@
         let fields: Vec<_> = FULL.iter().copied().filter(|(name, _)| *name != left_out).collect();
         bytes(&request(9, "report", &fields, ""))
     };
-    let array = |parts: Vec<Value>| bytes(&Value::Array(parts));
-    let deep = [vec![0x91; 200], vec![0xc0]].concat();
-    let cases: Vec<(&str, Vec<u8>, Decoded)> = vec![
-        ("no id", without("req"), Decoded::Unusable("req is missing or unusable")),
-        (
-            "an id that would end a head",
-            with("req", "a\r\nX: 1"),
-            Decoded::Unusable("req is missing or unusable"),
-        ),
-        ("no wait", without("timeout"), Decoded::Unusable("timeout is missing or unusable")),
-        ("a wait in words", with("timeout", "soon"), Decoded::Unusable("timeout is missing or unusable")),
-        ("a wait without end", with("timeout", "inf"), Decoded::Unusable("timeout is missing or unusable")),
-        ("an id of other length", with("req", "9b1f"), Decoded::Unusable("req is missing or unusable")),
-        ("a wait of none", with("timeout", "0"), Decoded::Unusable("timeout is missing or unusable")),
-        ("a wait of years", with("timeout", "1e18"), Decoded::Unusable("timeout is missing or unusable")),
-        ("a key with a sign", with("subject", "+3a"), Decoded::Unusable("subject is unusable")),
-        ("no figure for memory", with("est_mb", "NaN"), Decoded::Unusable("est_mb is unusable")),
-        ("memory beyond all", with("est_mb", "1e12"), Decoded::Unusable("est_mb is unusable")),
+    let cases = [
+        ("no id", without("req"), "req is missing or unusable"),
+        ("an id that would end a head", with("req", "a\r\nX: 1"), "req is missing or unusable"),
+        ("no wait", without("timeout"), "timeout is missing or unusable"),
+        ("a wait in words", with("timeout", "soon"), "timeout is missing or unusable"),
+        ("a wait without end", with("timeout", "inf"), "timeout is missing or unusable"),
+        ("an id of other length", with("req", "9b1f"), "req is missing or unusable"),
+        ("a wait of none", with("timeout", "0"), "timeout is missing or unusable"),
+        ("a wait of years", with("timeout", "1e18"), "timeout is missing or unusable"),
+        ("a key with a sign", with("subject", "+3a"), "subject is unusable"),
+        ("no figure for memory", with("est_mb", "NaN"), "est_mb is unusable"),
+        ("memory beyond all", with("est_mb", "1e12"), "est_mb is unusable"),
+        ("a reference that would end a head", with("opkey", "a\n"), "opkey is unusable"),
+        ("a key that is not hex", with("subject", "north"), "subject is unusable"),
+        ("an estimate below none", with("ms", "-1"), "ms is unusable"),
+    ];
+    for (what, input, expected) in cases {
+        check(what, &input, Decoded::Unusable(expected));
+    }
+}
+
+fn array(parts: Vec<Value>) -> Vec<u8> {
+    bytes(&Value::Array(parts))
+}
+
+#[test]
+fn a_request_in_another_form_is_told_so() {
+    let cases = [
         (
             "a body that is text",
             array(vec![0.into(), 9.into(), "report".into(), vec![Value::Map(vec![]), "x".into()].into()]),
-            Decoded::Unusable("body is no bin"),
-        ),
-        ("a reference that would end a head", with("opkey", "a\n"), Decoded::Unusable("opkey is unusable")),
-        ("a key that is not hex", with("subject", "north"), Decoded::Unusable("subject is unusable")),
-        ("an estimate below none", with("ms", "-1"), Decoded::Unusable("ms is unusable")),
-        (
-            "three parts",
-            array(vec![0.into(), 9.into(), "report".into()]),
-            Decoded::Unusable("a request has four parts"),
+            "body is no bin",
         ),
+        ("three parts", array(vec![0.into(), 9.into(), "report".into()]), "a request has four parts"),
         (
             "no body",
             array(vec![0.into(), 9.into(), "report".into(), vec![Value::Map(vec![])].into()]),
-            Decoded::Unusable("wanted fields and a body"),
+            "wanted fields and a body",
         ),
         (
             "a method that is a number",
             array(vec![0.into(), 9.into(), 1.into(), Value::Array(vec![])]),
-            Decoded::Unusable("method is no text"),
+            "method is no text",
         ),
+    ];
+    for (what, input, expected) in cases {
+        check(what, &input, Decoded::Unusable(expected));
+    }
+}
+
+#[test]
+fn other_messages_are_told_apart_from_what_is_no_message() {
+    let deep = [vec![0x91; 200], vec![0xc0]].concat();
+    let cases = [
         (
             "ping",
             array(vec![0.into(), 8.into(), "ping".into(), Value::Array(vec![])]),
@@ -150,18 +176,7 @@
         ),
     ];
     for (what, input, expected) in cases {
-        match (decode(&input), expected) {
-            (Ok(Some(got)), Decoded::Message(wanted)) => assert_eq!(got.value, wanted, "{what}"),
-            (Ok(Some(got)), Decoded::Unusable(wanted)) => {
-                let Message::Unusable { message_id: 9, reason } = got.value else {
-                    panic!("{what}: {got:?}")
-                };
-                assert_eq!(reason.to_string(), wanted, "{what}");
-            }
-            (Ok(None), Decoded::Incomplete) => {}
-            (Err(got), Decoded::Malformed(wanted)) => assert_eq!(got.to_string(), wanted, "{what}"),
-            (got, wanted) => panic!("{what}: {got:?}, wanted {wanted:?}"),
-        }
+        check(what, &input, expected);
     }
 }
 
--- a/crates/gateway/tests/gateway/common.rs
+++ b/crates/gateway/tests/gateway/common.rs
@@ -8,11 +8,11 @@
 use std::ops::{Deref, DerefMut};
 use std::time::Duration;
 
-pub use larchfall_fault_tests::process::{config, config_of, settings, site, wait_for};
+pub(crate) use larchfall_fault_tests::process::{config, config_of, settings, site, wait_for};
 
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall");
+pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall");
 
-pub struct Gateway(process::Gateway);
+pub(crate) struct Gateway(process::Gateway);
 
 impl Deref for Gateway {
     type Target = process::Gateway;
@@ -29,12 +29,12 @@
 
 impl Gateway {
     /// A gateway that knows this engine.
-    pub fn start(engine: Option<SocketAddr>) -> Gateway {
+    pub(crate) fn start(engine: Option<SocketAddr>) -> Gateway {
         let discovery = Discovery::start("127.0.0.1:0").unwrap();
         Gateway::start_on("127.0.0.1:0", discovery, engine, 256)
     }
 
-    pub fn start_on(
+    pub(crate) fn start_on(
         listen: &str,
         discovery: Discovery,
         engine: Option<SocketAddr>,
@@ -44,12 +44,12 @@
         Gateway::start_with(discovery, &text)
     }
 
-    pub fn start_with(discovery: Discovery, text: &str) -> Gateway {
+    pub(crate) fn start_with(discovery: Discovery, text: &str) -> Gateway {
         Gateway::start_site(discovery, text, None)
     }
 
     /// With the operator's own settings beside the configuration, and the paged protocol among them.
-    pub fn start_site(discovery: Discovery, text: &str, site: Option<&str>) -> Gateway {
+    pub(crate) fn start_site(discovery: Discovery, text: &str, site: Option<&str>) -> Gateway {
         let mut gateway = process::Gateway::start(PROGRAM, discovery, text, site, &[]);
         gateway.rest = site.map(|_| process::address_in(&gateway.log.wait_for("listening for paged REST,")));
         Gateway(gateway)
@@ -57,25 +57,25 @@
 }
 
 /// An address at which nobody listens, nor will: a client's own end holds the port.
-pub struct Nobody {
-    pub address: SocketAddr,
+pub(crate) struct Nobody {
+    pub(crate) address: SocketAddr,
     _held: (TcpListener, TcpStream),
 }
 
-pub fn nobody() -> Nobody {
+pub(crate) fn nobody() -> Nobody {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     Nobody { address: stream.local_addr().unwrap(), _held: (listener, stream) }
 }
 
 /// A listener whose queue is full: who connects next is up only once `let_in` has taken the others out of it.
-pub struct Full {
+pub(crate) struct Full {
     listener: TcpListener,
     filled: usize,
 }
 
 impl Full {
-    pub fn start() -> Full {
+    pub(crate) fn start() -> Full {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
         socket.listen(0).unwrap();
@@ -86,12 +86,12 @@
         Full { listener, filled }
     }
 
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
     /// Waits until the gateway is about to connect here.
-    pub fn until_dialled(&self) {
+    pub(crate) fn until_dialled(&self) {
         let port = format!(":{:04X} 02 ", self.address().port());
         wait_for("the front to connect", || {
             std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&port).then_some(())
@@ -99,7 +99,7 @@
     }
 
     /// The gateway's own connection.
-    pub fn let_in(&self) -> TcpStream {
+    pub(crate) fn let_in(&self) -> TcpStream {
         for _ in 0..self.filled {
             self.listener.accept().unwrap();
         }
@@ -108,6 +108,6 @@
 }
 
 /// An engine that is seen to have come this far.
-pub fn until_seen(engine: &Engine, what: &str, seen: impl Fn(&larchfall_stub::engine::Seen) -> bool) {
+pub(crate) fn until_seen(engine: &Engine, what: &str, seen: impl Fn(&larchfall_stub::engine::Seen) -> bool) {
     wait_for(what, || seen(&engine.seen()).then_some(()));
 }
--- a/crates/gateway/tests/gateway/rest.rs
+++ b/crates/gateway/tests/gateway/rest.rs
@@ -48,8 +48,8 @@
 }
 
 /// All documents from the first one on, and how often the last was asked for.
-fn follow(client: &mut RestClient, first: Answer) -> Vec<Document> {
-    let mut all = vec![document(&first)];
+fn follow(client: &mut RestClient, first: &Answer) -> Vec<Document> {
+    let mut all = vec![document(first)];
     while let Some(next) = all.last().unwrap().next_uri.clone() {
         all.push(document(&client.call("GET", path(&next), &[], b"").unwrap()));
     }
@@ -112,7 +112,7 @@
             assert_eq!(first.field("retry-after"), Some("1"));
             assert!(String::from_utf8_lossy(&first.body).contains(error.unwrap()), "{act:?}");
         } else {
-            let last = follow(&mut client, first).pop().unwrap();
+            let last = follow(&mut client, &first).pop().unwrap();
             assert_eq!(last.error.map(|e| e.error_name), error.map(str::to_owned), "{act:?} for {class}");
         }
         let started = engine.seen().started.len();
@@ -120,6 +120,9 @@
     }
 }
 
+/// Headers, the statement, and what the response says.
+type UnusableCase<'a> = (&'a [(&'a str, &'a str)], &'a str, &'a str);
+
 #[test]
 fn what_can_not_be_used_is_named_and_sent_to_no_engine() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
@@ -128,8 +131,7 @@
     let user = ("X-Trino-User", "acme");
     let load = ("X-Trino-Source", "load");
     let session = ("X-Trino-Session", "time_limit_ms=soon");
-    type Case<'a> = (&'a [(&'a str, &'a str)], &'a str, &'a str);
-    let cases: [Case; 8] = [
+    let cases: [UnusableCase; 8] = [
         (&[user], "select 1", "group is missing"),
         (&[("X-Trino-Source", "look")], "select 1", "unknown customer"),
         (&[user, ("X-Trino-Source", "dance")], "select 1", "unknown service group"),
@@ -222,7 +224,7 @@
         let first = post(&mut client, class, "select 1");
         // None of its rows was handed on: once-only ends in an error, what may run again was tried again.
         if class == "once" {
-            let all = follow(&mut client, first);
+            let all = follow(&mut client, &first);
             assert!(rows(&all).is_empty() && all.last().unwrap().error.is_some());
             assert_eq!(engine.seen().started.len(), 1);
         } else {
@@ -283,7 +285,7 @@
     }
     for client in &mut paged {
         let first = client.answer().unwrap();
-        assert_eq!(rows(&follow(client, first)), ["ok"]);
+        assert_eq!(rows(&follow(client, &first)), ["ok"]);
     }
     let seen = engine.seen().started;
     let order: Vec<_> = seen.iter().map(|c| String::from_utf8_lossy(&c.statement).into_owned()).collect();
@@ -304,7 +306,7 @@
     trickle.write_all(b"POST /v1/sta").unwrap();
     let began = Instant::now();
     let first = post(&mut client, "look", "select 1");
-    assert_eq!(rows(&follow(&mut client, first)), ["ok"]);
+    assert_eq!(rows(&follow(&mut client, &first)), ["ok"]);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     // The other protocol has its own connections.
     let mut whole = gateway.client();
@@ -350,7 +352,7 @@
     gateway.log.wait_for("shutdown requested");
     let refused = post(&mut gateway.rest_client(), "once", "select 2");
     assert_eq!((refused.status, refused.field("retry-after")), (503, Some("1")));
-    assert_eq!(rows(&follow(&mut client, first)), ["1", "2", "3"]);
+    assert_eq!(rows(&follow(&mut client, &first)), ["1", "2", "3"]);
     // What was read to its end is kept for a while, and keeps no gateway from ending.
     assert!(gateway.ended().success());
     gateway.log.wait_for("reason: stopped");
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -51,12 +51,13 @@
     }
 }
 
-#[test]
-fn a_file_of_the_version_before_means_the_same() {
-    let Site { rest, gateways, duties, subsets, signals } = parse(FILE, &names()).unwrap();
-    let ms = Duration::from_millis;
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
 
-    let rest = rest.unwrap();
+#[test]
+fn a_paged_rest_table_of_the_version_before_means_the_same() {
+    let rest = parse(FILE, &names()).unwrap().rest.unwrap();
     assert_eq!(rest.listen.to_string(), "127.0.0.1:8080");
     assert_eq!(rest.base.as_deref(), Some("http://queries.example:8080"));
     assert_eq!((rest.headers, rest.connections, rest.statement), (HeaderFamily::Both, 48, 32_768));
@@ -77,8 +78,11 @@
     assert_eq!(request.idempotency_key, [FieldSource::Header("Idempotency-Key".into())]);
     assert_eq!((request.order_key, request.work), (session("order_key"), session("ms")));
     assert_eq!((request.memory, request.timeout), (session("mb"), session("time_limit")));
+}
 
-    let gateways = gateways.unwrap();
+#[test]
+fn a_members_table_of_the_version_before_means_the_same() {
+    let gateways = parse(FILE, &names()).unwrap().gateways.unwrap();
     assert_eq!((&gateways.name[..], &gateways.zone[..], gateways.serves), ("n0", "east", 40));
     assert_eq!(gateways.address.to_string(), "0.0.0.0:7400");
     assert_eq!(gateways.told.to_string(), "10.0.0.7:7400");
@@ -90,8 +94,11 @@
     assert_eq!(members.networks, [([10, 0, 0, 0].into(), 24), ([127, 0, 0, 1].into(), 32)]);
     let count = gateways.count.unwrap();
     assert_eq!((count.within, count.step, count.least), (ms(20_000), ms(1_500), 2));
+}
 
-    let duties = duties.unwrap();
+#[test]
+fn leases_of_the_version_before_mean_the_same() {
+    let duties = parse(FILE, &names()).unwrap().duties.unwrap();
     let settings = duties.settings;
     let list = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     assert_eq!(settings.voters.current, list(&["n0", "n1", "n2"]));
@@ -114,7 +121,11 @@
     let [program] = &duties.programs[..] else { panic!("{:?}", duties.programs) };
     assert_eq!((&program.duty[..], program.end), ("nightly", ms(250)));
     assert_eq!(program.command, ["/usr/bin/nightly", "--once"]);
+}
 
+#[test]
+fn subsets_and_gossip_of_the_version_before_mean_the_same() {
+    let Site { subsets, signals, .. } = parse(FILE, &names()).unwrap();
     let subsets = subsets.unwrap();
     assert_eq!((subsets.plan.least, subsets.plan.slack, subsets.look), (12, 0.2, ms(400)));
     assert_eq!((subsets.aperture.grows, subsets.aperture.shrinks), (ms(900), ms(9_000)));
--- a/crates/operator-config/tests/site.rs
+++ b/crates/operator-config/tests/site.rs
@@ -12,6 +12,8 @@
 
 const LEAST: &str = "[rest]\nlisten = \"127.0.0.1:0\"\n[rest.batch]\ngroup = [{ value = \"look\" }]\ncustomer = [{ value = \"acme\" }]\n";
 
+const VOTERS: &str = "electors = [\"a\", \"b\", \"c\"]";
+
 const GATEWAYS: &str = "[fronts]\ncluster = \"toy\"\nname = \"n0\"\naddress = \"127.0.0.1:7400\"\nseeds = [\"127.0.0.1:7401\"]\nnetworks = [\"127.0.0.0/8\"]\n";
 
 #[test]
@@ -38,56 +40,81 @@
     assert_eq!((least.settings.period, least.settings.most), (Duration::from_millis(500), 1024));
 }
 
+fn assert_refused(text: &str, expected: &str) {
+    let error = parse(text, &names()).expect_err(text).to_string();
+    assert!(error.contains(expected), "{expected}: {error}");
+}
+
 #[test]
-fn faults_are_said_with_line_and_field() {
-    let with = |line: &str| LEAST.replace("[rest.batch]", &format!("{line}\n[rest.batch]"));
-    let gateways = |line: &str| format!("{GATEWAYS}{line}\n");
+fn refusals_of_members_name_line_and_field() {
+    let members = |line: &str| format!("{GATEWAYS}{line}\n");
     let long = "x".repeat(49);
-    const THREE: &str = "electors = [\"a\", \"b\", \"c\"]";
-    let duties = |lines: &str| format!("{GATEWAYS}[duties]\n{lines}\n");
-    let duty = |lines: &str| duties(&format!("{THREE}\n[[duty]]\n{lines}"));
-    let runs = "name = \"x\"\ncommand = [\"true\"]";
     let cases = [
-        (&gateways("dance = 1")[..], "line 7: unknown field `dance`"),
-        (&gateways("period-ms = 10"), "line 7: fronts.period-ms: 10 ms is not within 50 to 60000"),
-        (&gateways("answer-ms = 300"), "line 7: fronts.answer-ms: others that are asked"),
-        (&gateways("count-step-ms = 1"), "line 7: fronts.count-step-ms: 1 ms is not within"),
-        (&gateways("count-least = 0"), "line 7: fronts.count-least: 0 is not within"),
-        (&gateways("most = 1"), "line 7: fronts.most: 1 is not within 2 to 65536"),
-        (&gateways("told = \"0.0.0.0:7400\""), "fronts.address: others need an address"),
+        (&members("dance = 1")[..], "line 7: unknown field `dance`"),
+        (&members("period-ms = 10"), "line 7: fronts.period-ms: 10 ms is not within 50 to 60000"),
+        (&members("answer-ms = 300"), "line 7: fronts.answer-ms: others that are asked"),
+        (&members("count-step-ms = 1"), "line 7: fronts.count-step-ms: 1 ms is not within"),
+        (&members("count-least = 0"), "line 7: fronts.count-least: 0 is not within"),
+        (&members("most = 1"), "line 7: fronts.most: 1 is not within 2 to 65536"),
+        (&members("told = \"0.0.0.0:7400\""), "fronts.address: others need an address"),
         (&GATEWAYS.replace("127.0.0.1:7400", "127.0.0.1:0"), "fronts.address: others need an address"),
         (&GATEWAYS.replace("127.0.0.1:7401", "seed"), "line 5: fronts.seeds: no IPv4 address with a port"),
         (&GATEWAYS.replace("/8", "/33"), "line 6: fronts.networks: wanted an address and its bits"),
         (&GATEWAYS.replace("n0", &long), "line 3: fronts.name: wanted 1 to 48 bytes"),
         (&GATEWAYS.replace("cluster = \"toy\"\n", ""), "missing field `cluster`"),
-        (&format!("[duties]\n{THREE}\n"), "line 2: duties.electors: needs a [fronts] table"),
+    ];
+    for (text, expected) in cases {
+        assert_refused(text, expected);
+    }
+}
+
+#[test]
+fn refusals_of_leases_and_programs_name_line_and_field() {
+    let leases = |lines: &str| format!("{GATEWAYS}[duties]\n{lines}\n");
+    let program = |lines: &str| leases(&format!("{VOTERS}\n[[duty]]\n{lines}"));
+    let runs = "name = \"x\"\ncommand = [\"true\"]";
+    let cases = [
+        (&format!("[duties]\n{VOTERS}\n")[..], "line 2: duties.electors: needs a [fronts] table"),
         (
-            &duties("electors = [\"a\", \"b\"]"),
+            &leases("electors = [\"a\", \"b\"]"),
             "line 8: duties.electors: wanted the names of 3, 5 or 7 fronts",
         ),
         (
-            &duties("electors = [\"a\", \"b\", \"b\"]"),
+            &leases("electors = [\"a\", \"b\", \"b\"]"),
             "line 8: duties.electors: wanted the names of 3, 5 or 7",
         ),
         (
-            &duties(&format!("{THREE}\nelectors-before = []")),
+            &leases(&format!("{VOTERS}\nelectors-before = []")),
             "line 9: duties.electors-before: wanted the names",
         ),
         (
-            &duties(&format!("{THREE}\nlongest-ms = 2000")),
+            &leases(&format!("{VOTERS}\nlongest-ms = 2000")),
             "line 9: duties.longest-ms: electors would grant less",
         ),
-        (&duties(&format!("{THREE}\nmargin = 900")), "line 9: duties.margin: 900 is not within 1 to 500"),
-        (&duties(&format!("{THREE}\nprobing = 2\nfresh-ms = 400")), "line 10: duties.fresh-ms: what is read"),
-        (&duties(&format!("{THREE}\nkeepers = 0")), "line 9: duties.keepers: 0 is not within 1 to 64"),
-        (&duty("name = \"\"\ncommand = [\"true\"]"), "line 10: duty.name: wanted 1 to 48 bytes"),
+        (&leases(&format!("{VOTERS}\nmargin = 900")), "line 9: duties.margin: 900 is not within 1 to 500"),
+        (
+            &leases(&format!("{VOTERS}\nprobing = 2\nfresh-ms = 400")),
+            "line 10: duties.fresh-ms: what is read",
+        ),
+        (&leases(&format!("{VOTERS}\nkeepers = 0")), "line 9: duties.keepers: 0 is not within 1 to 64"),
+        (&program("name = \"\"\ncommand = [\"true\"]"), "line 10: duty.name: wanted 1 to 48 bytes"),
         (
-            &duty(&format!("{runs}\n[[duty]]\n{runs}")),
+            &program(&format!("{runs}\n[[duty]]\n{runs}")),
             "line 13: duty.name: wanted 1 to 48 bytes that no other",
         ),
-        (&duty("name = \"x\"\ncommand = []"), "line 11: duty.command: names no program"),
-        (&duty(&format!("{runs}\nend-ms = 800")), "line 12: duty.end-ms: 800 ms is not within 10 to 750"),
+        (&program("name = \"x\"\ncommand = []"), "line 11: duty.command: names no program"),
+        (&program(&format!("{runs}\nend-ms = 800")), "line 12: duty.end-ms: 800 ms is not within 10 to 750"),
         (&format!("{GATEWAYS}[[duty]]\n{runs}\n"), "line 8: duty: needs a [duties] table"),
+    ];
+    for (text, expected) in cases {
+        assert_refused(text, expected);
+    }
+}
+
+#[test]
+fn refusals_of_paged_rest_and_of_unknown_tables_name_line_and_field() {
+    let with = |line: &str| LEAST.replace("[rest.batch]", &format!("{line}\n[rest.batch]"));
+    let cases = [
         ("[rest", "line 1"),
         ("[dance]\n", "line 1: unknown field `dance`"),
         ("[rest]\n", "missing field `listen`"),
@@ -111,8 +138,7 @@
         (&LEAST.replace("[{ value = \"acme\" }]", "[]"), "rest.batch.customer: the settings have customers"),
         (&LEAST.replace("{ value = \"look\" }", "{ cookie = \"look\" }"), "line 4: unknown variant `cookie`"),
     ];
-    for (text, says) in cases {
-        let why = parse(text, &names()).expect_err(text).to_string();
-        assert!(why.contains(says), "{says}: {why}");
+    for (text, expected) in cases {
+        assert_refused(text, expected);
     }
 }
