--- a/crates/fault-tests/src/bin/larchfall-faulty.rs
+++ b/crates/fault-tests/src/bin/larchfall-faulty.rs
@@ -2,8 +2,8 @@
 //! no way to. `FAULTY_CLOCK` is how many times as fast the steady clock runs, `FAULTY_WALL` a file that says by how many
 //! seconds the Unix clock is off just now, `FAULTY_DISK` one that says, at each step, what the disk does: nothing (it is sound), `full`, `read-only`, `lies`, `slow MS`, or `dies N` (the process ends at step N).
 
-use larchfall_gateway::run::command::main_on;
-use larchfall_gateway::run::parts::{Folder, Parts, boot_time, unix_time};
+use larchfall_gateway::cli::main_on;
+use larchfall_gateway::platform::{Directory, Platform, boot_time, unix_time};
 use larchfall_leases::record::Disk;
 use larchfall_policy::time::{Duration, Timestamp};
 use std::io::{self, ErrorKind};
@@ -13,7 +13,7 @@
 use std::time::Duration as StdDuration;
 
 struct Faulty {
-    folder: Folder,
+    folder: Directory,
     steps: usize,
 }
 
@@ -67,6 +67,6 @@
         Duration::from_micros(now)
     };
     let disk =
-        |folder: &Path| -> Box<dyn Disk> { Box::new(Faulty { folder: Folder(folder.to_owned()), steps: 0 }) };
-    main_on(Parts { clock: Arc::new(clock), wall: Arc::new(wall), disk })
+        |folder: &Path| -> Box<dyn Disk> { Box::new(Faulty { folder: Directory::new(folder), steps: 0 }) };
+    main_on(Platform { steady_clock: Arc::new(clock), unix_clock: Arc::new(wall), open_disk: disk })
 }
--- a/crates/fault-tests/src/storm/health.rs
+++ b/crates/fault-tests/src/storm/health.rs
@@ -4,7 +4,7 @@
 use crate::process::name;
 use crate::storm::rows::{Row, What, row};
 use crate::storm::setting::{Piece, Setting};
-use larchfall_gateway::cluster::ask::{self, ask};
+use larchfall_gateway::cluster::status_query::{Topic, ask};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::mpsc::channel;
@@ -27,11 +27,11 @@
 }
 
 /// Asks all at once.
-fn of_all(gateways: &[SocketAddrV4], what: ask::What) -> Vec<Rows> {
+fn of_all(gateways: &[SocketAddrV4], topic: Topic) -> Vec<Rows> {
     let (to, answers) = channel();
     for (i, gateway) in gateways.iter().copied().enumerate() {
         let to = to.clone();
-        thread::spawn(move || to.send((i, ask(gateway, "toy", what).ok())));
+        thread::spawn(move || to.send((i, ask(gateway, "toy", topic).ok())));
     }
     let (until, mut all) = (Instant::now() + WITHIN, vec![None; gateways.len()]);
     for _ in gateways {
@@ -45,10 +45,10 @@
 impl Views {
     pub fn look(gateways: &[SocketAddrV4]) -> Views {
         Views {
-            members: of_all(gateways, ask::What::Gateways),
-            duties: of_all(gateways, ask::What::Duties),
-            shares: of_all(gateways, ask::What::Shares),
-            engines: of_all(gateways, ask::What::Engines),
+            members: of_all(gateways, Topic::Members),
+            duties: of_all(gateways, Topic::Leases),
+            shares: of_all(gateways, Topic::Quotas),
+            engines: of_all(gateways, Topic::Engines),
         }
     }
 
--- /dev/null
+++ b/crates/gateway/src/cli/status.rs
@@ -0,0 +1,39 @@
+//! `larchfall members`, `leases`, `quotas` and `engines`: asks a running gateway about itself.
+
+use super::CommandError;
+use super::arguments::FilePaths;
+use super::table::format_table;
+use crate::cluster::status_query::{self, Topic};
+
+pub(super) fn run(topic: Topic, paths: FilePaths) -> Result<(), CommandError> {
+    let files = paths.load()?;
+    let gateways = files.operator_config.and_then(|file| file.site.gateways);
+    let gateways = gateways.ok_or(CommandError::NoClusterAddress)?;
+    let rows = status_query::ask(gateways.address, &gateways.settings.cluster, topic)
+        .map_err(CommandError::Status)?;
+    println!("{}", format_table(header(topic), rows));
+    Ok(())
+}
+
+/// Operators' scripts read these: they keep their words.
+fn header(topic: Topic) -> &'static [&'static str] {
+    match topic {
+        Topic::Members => &["front", "standing", "generation", "address", "zone", "since s", "heard s ago"],
+        Topic::Leases => &["duty", "holder", "token", "left ms", "last ended here"],
+        Topic::Quotas => &["what", "part", "by", "kept here: fronts", "in use", "jain", "factor"],
+        Topic::Engines => &[
+            "engine",
+            "listed",
+            "is",
+            "in reach",
+            "load",
+            "answered",
+            "failed",
+            "others",
+            "answered",
+            "failed",
+            "heard s ago",
+            "turn",
+        ],
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/client_listener.rs
@@ -0,0 +1,65 @@
+//! Listening for clients that speak MessagePack-RPC, and accepting their connections.
+
+use crate::protocols::rpc;
+use crate::state::State;
+use larchfall_policy::time::{Duration, Timestamp};
+use may::net::TcpListener;
+use slog::warn;
+use std::io;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+const PAUSE: Duration = Duration::from_millis(2);
+/// One in so many places for clients is kept free.
+const SPARE: usize = 8;
+/// A connection that is newer than this may be about to speak. Clients write as soon as they are connected: with
+/// more, hundreds that say nothing keep those that would speak waiting in the queue.
+const FRESH: Duration = Duration::from_millis(50);
+/// What waited in the listener's queue while nothing was accepted is out of it by so long after.
+const QUEUE_EMPTIES: Duration = Duration::from_millis(100);
+
+/// Opens a listener. may's own shares its port with any other of ours: a plain one finds out whether the port is free.
+pub fn bind(address: SocketAddrV4) -> io::Result<TcpListener> {
+    drop(std::net::TcpListener::bind(address)?);
+    TcpListener::bind(address)
+}
+
+/// A time in which connections were left waiting in the listener's queue.
+#[derive(Clone, Copy)]
+struct Held {
+    since: Timestamp,
+    until: Timestamp,
+}
+
+/// Accepts connections while there are descriptors for them. The system completes a connection that waits in the
+/// listener's queue all the same, and a request in it would be overtaken by later ones of its key: so the last places
+/// are kept free by closing connections that nobody uses.
+pub fn accept(state: &Arc<State>, listener: &TcpListener) {
+    let max_clients = state.limits.clients;
+    let spare = max_clients / SPARE + 1;
+    let mut held: Option<Held> = None;
+    loop {
+        let now = state.clock.now();
+        if state.peers.len() + spare >= max_clients {
+            state.peers.make_room(spare, now - FRESH);
+        }
+        if state.peers.len() >= max_clients || state.stalls.starves_events(now) {
+            state.sleep(PAUSE);
+            held = Some(Held { since: held.map_or(now, |held| held.since), until: state.clock.now() });
+            continue;
+        }
+        held = held.filter(|held| now.since(held.until) < QUEUE_EMPTIES);
+        match listener.accept() {
+            Ok((stream, from)) => {
+                let joined = rpc::join(state, stream, from, held.map(|held| held.since));
+                let state = state.clone();
+                may::go!(move || rpc::serve(&state, joined));
+                may::coroutine::yield_now();
+            }
+            Err(error) => {
+                warn!(state.log, "accept failed"; "error" => error.to_string());
+                state.sleep(PAUSE);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -0,0 +1,157 @@
+//! Observations of engines, shared between gateways: what this gateway observed goes to some others, and what they
+//! observed comes in. The package decides what of it counts, the policy judges.
+
+use super::Cluster;
+use super::counters::{count, increment};
+use crate::state::{State, lock};
+use larchfall_health_gossip::Process;
+use larchfall_health_gossip::desk::{Bounds, Desk};
+use larchfall_health_gossip::wire::{Letter, MOST_ENGINES};
+use larchfall_operator_config::Signals as Settings;
+use larchfall_policy::time::{Duration, Timestamp};
+use nanorand::{Rng, WyRand};
+use slog::info;
+use std::collections::{BTreeMap, HashSet};
+use std::net::SocketAddrV4;
+use std::sync::Mutex;
+use std::sync::atomic::AtomicU64;
+
+/// How many gateways and engine processes observations are kept of.
+const BOUNDS: Bounds = Bounds { gateways: 1024, processes: 1024 };
+
+struct Inner {
+    observations: Desk,
+    due: Timestamp,
+    random: WyRand,
+}
+
+#[derive(Default)]
+struct Counters {
+    sent: AtomicU64,
+    received: AtomicU64,
+    ignored: AtomicU64,
+    /// Outcomes of others that counted beside this gateway's own.
+    counted: AtomicU64,
+}
+
+/// This gateway's part in sharing observations of engines.
+pub struct HealthGossip {
+    settings: Settings,
+    inner: Mutex<Inner>,
+    counters: Counters,
+}
+
+impl HealthGossip {
+    /// Has the policy note from now on what it observes.
+    pub fn new(state: &State, settings: Settings, seed: u64, now: Timestamp) -> HealthGossip {
+        state.facade.notes_sights(BOUNDS.processes);
+        let inner = Inner {
+            observations: Desk::new(BOUNDS, settings.weigh, settings.turn),
+            due: now,
+            random: WyRand::new_seed(seed),
+        };
+        HealthGossip { settings, inner: Mutex::new(inner), counters: Counters::default() }
+    }
+
+    pub(super) fn due_in(&self, now: Timestamp) -> Duration {
+        lock(&self.inner).due.since(now)
+    }
+
+    /// Where it is time: sends what is new to some others, and counts what others sent.
+    pub(super) fn on_timer(&self, state: &State, cluster: &Cluster) {
+        let now = state.clock.now();
+        {
+            let mut inner = lock(&self.inner);
+            if now < inner.due {
+                return;
+            }
+            inner.due = now + self.settings.every;
+        }
+        self.send_observations(state, cluster);
+        self.count_observations(state, cluster, now);
+    }
+
+    fn send_observations(&self, state: &State, cluster: &Cluster) {
+        let Some((number, observed)) = state.facade.sights_to_tell(MOST_ENGINES) else { return };
+        let (generation, mut others) = {
+            let members = lock(&cluster.members);
+            let others: Vec<SocketAddrV4> = members
+                .live()
+                .filter(|(name, _)| **name != cluster.member_name)
+                .map(|(_, member)| member.about.address)
+                .collect();
+            (members.myself().claim.generation, others)
+        };
+        lock(&self.inner).random.shuffle(&mut others);
+        let message = Letter::new(&cluster.cluster_name, &cluster.member_name, generation, number, observed);
+        let bytes = message.seal();
+        for to in others.into_iter().take(self.settings.fanout) {
+            if cluster.socket.inner().send_to(&bytes, to).is_ok() {
+                increment(&self.counters.sent);
+            }
+        }
+    }
+
+    fn count_observations(&self, state: &State, cluster: &Cluster, now: Timestamp) {
+        let listed: HashSet<Process> = state.facade.processes().into_iter().collect();
+        let alive = cluster.alive_zones();
+        let is_listed = |process: Process| listed.contains(&process);
+        let outcomes = lock(&self.inner).observations.look(state.facade.own_sights(), &alive, is_listed, now);
+        for (process, is_bad) in outcomes {
+            increment(&self.counters.counted);
+            state.facade.told_of(process, is_bad);
+        }
+        // After the outcomes: an engine that they had ejected just now waits for its probe slot from the start.
+        for process in state.facade.failing() {
+            let is_own_slot =
+                lock(&self.inner).observations.may_try(&cluster.member_name, process, &alive, now);
+            state.facade.turn(process, is_own_slot);
+        }
+    }
+
+    pub(super) fn on_datagram(&self, state: &State, cluster: &Cluster, bytes: &[u8], from: SocketAddrV4) {
+        increment(&self.counters.received);
+        let message = Letter::open(bytes, &cluster.cluster_name);
+        let known = message.and_then(|message| {
+            let members = lock(&cluster.members);
+            let sender = members.table().get(&message.name).filter(|member| member.about.address == from)?;
+            // One that was taken for dead for a while goes on under a later generation; an older one is another process.
+            let is_current = !sender.claim.is_final() && message.generation >= sender.claim.generation;
+            is_current.then(|| (sender.about.zone.clone(), message))
+        });
+        let Some((zone, message)) = known else {
+            return increment(&self.counters.ignored);
+        };
+        let sender = (&message.name[..], message.generation, &zone[..]);
+        lock(&self.inner).observations.hear(sender, message.number, &message.saw, state.clock.now());
+    }
+
+    /// Cells on one engine process: responses and failures here; gateways that reported, their responses and failures, the
+    /// age of the newest report in seconds; and whose probe slot it is.
+    pub(super) fn row(
+        &self,
+        member_name: &str,
+        alive: &BTreeMap<String, String>,
+        process: Process,
+        now: Timestamp,
+    ) -> [String; 7] {
+        let inner = lock(&self.inner);
+        let (others, own) = inner.observations.known(process);
+        let is_own_slot = inner.observations.may_try(member_name, process, alive, now);
+        [
+            own.answered.to_string(),
+            own.failed.to_string(),
+            others.gateways.to_string(),
+            others.answered.to_string(),
+            others.failed.to_string(),
+            others.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs())),
+            if is_own_slot { "mine" } else { "another's" }.to_owned(),
+        ]
+    }
+
+    pub(super) fn log_counters(&self, state: &State) {
+        info!(state.log, "health gossip counters"; "sent" => count(&self.counters.sent),
+            "received" => count(&self.counters.received), "ignored" => count(&self.counters.ignored),
+            "counted" => count(&self.counters.counted));
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -0,0 +1,103 @@
+//! Load reports, shared between gateways: the holder of a health-checking lease asks its engines for their load, and
+//! sends what they say to all members.
+
+use super::{LIST_BYTES, LeaseService};
+use crate::cluster::Cluster;
+use crate::cluster::counters::increment;
+use crate::engines::attempt;
+use crate::state::{State, lock};
+use larchfall_leases::permit::Stamped;
+use larchfall_leases::probing::{Probe, Reading, duty, duty_of};
+use larchfall_leases::wire::{Matter, pages};
+use larchfall_policy::interface::LoadReport;
+use slog::warn;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+impl LeaseService {
+    /// Where it is time, asks the engines of each lease held here for their load, and sends the reports to all members once
+    /// the last engine has answered. `ready` are engines by index and id.
+    pub(super) fn request_load_reports(
+        &self,
+        state: &Arc<State>,
+        cluster: &Arc<Cluster>,
+        ready: &[(usize, u32)],
+    ) {
+        let Some(probing) = &state.probing else { return };
+        let leases = {
+            let mut probing = lock(probing);
+            if probing.begins(state.clock.now()) { probing.duties() } else { 0 }
+        };
+        for number in 0..leases {
+            let engines: Vec<(usize, u32)> =
+                ready.iter().copied().filter(|(_, id)| duty_of(u64::from(*id), leases) == number).collect();
+            let outstanding = Arc::new(AtomicUsize::new(engines.len()));
+            for (index, id) in engines {
+                let permit = lock(&self.leases)
+                    .permit(&duty(number), self.now())
+                    .map(|permit| permit.allow(Probe { engine: index }));
+                let Some(allowed) = permit else { break };
+                let state = state.clone();
+                let cluster = cluster.clone();
+                let outstanding = outstanding.clone();
+                may::go!(move || {
+                    let report = attempt::probe(&state, allowed.action().engine);
+                    if let (Some(report), Some(probing)) = (report, &state.probing) {
+                        lock(probing).read(encode_report(id, report), state.clock.now());
+                    }
+                    let is_last = outstanding.fetch_sub(1, Ordering::Relaxed) == 1;
+                    if let Some(leases) = cluster.leases.as_ref().filter(|_| is_last) {
+                        leases.send_load_reports(&state, &cluster, number);
+                    }
+                });
+            }
+        }
+    }
+
+    /// Sends what was reported under a lease to all members, with its token, while it still lasts.
+    fn send_load_reports(&self, state: &State, cluster: &Cluster, number: usize) {
+        let Some(probing) = &state.probing else { return };
+        let reports = lock(probing).to_tell(number, state.clock.now());
+        let lease = duty(number);
+        for page in pages(reports, LIST_BYTES) {
+            let stamped = lock(&self.leases).permit(&lease, self.now()).map(|permit| permit.stamp(page));
+            let Some(stamped) = stamped else { return };
+            let others: Vec<String> = lock(&cluster.members)
+                .live()
+                .map(|(name, _)| name)
+                .filter(|name| **name != self.me.name)
+                .cloned()
+                .collect();
+            for to in others {
+                self.send(cluster, &to, Matter::Readings(stamped.clone()));
+            }
+        }
+    }
+
+    pub(super) fn on_load_reports(&self, state: &State, reports: &Stamped<Vec<Reading>>) {
+        let Some(probing) = &state.probing else { return };
+        let accepted: Option<Vec<Reading>> = lock(probing)
+            .hear(reports, state.clock.now())
+            .map(|accepted| accepted.into_iter().copied().collect());
+        let Some(accepted) = accepted else {
+            warn!(state.log, "load reports rejected"; "token" => reports.token, "lease" => &reports.duty);
+            return;
+        };
+        for reading in accepted {
+            increment(&self.counters.load_reports);
+            let report =
+                LoadReport { in_hand: reading.in_hand.map(f64::from), busy: reading.busy.map(f64::from) };
+            state.facade.told(reading.engine, report);
+        }
+    }
+}
+
+fn encode_report(engine: u32, report: LoadReport) -> Reading {
+    let narrow = |value: Option<f64>| value.map(|value| value as f32);
+    Reading {
+        engine: u64::from(engine),
+        age_us: 0,
+        in_hand: narrow(report.in_hand),
+        busy: narrow(report.busy),
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -0,0 +1,205 @@
+//! Quotas, exchanged between gateways: each asks the holders of the allocating leases for its part of each capacity, and
+//! answers those that ask it where it holds such a lease itself.
+
+use super::{LIST_BYTES, LeaseService};
+use crate::cluster::Cluster;
+use crate::state::{State, lock};
+use larchfall_config::Settings;
+use larchfall_leases::permit::Stamped;
+use larchfall_leases::probing::{duty_of, keeper};
+use larchfall_leases::wire::{Matter, Who, pages};
+use larchfall_operator_config::{Keepers, Kinds};
+use larchfall_policy::interface::{RequestClass, SlowStartPolicy};
+use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_quotas::Terms;
+use larchfall_quotas::capacity::Capacity;
+use larchfall_quotas::demand::{Demand, Wanted};
+use larchfall_quotas::shares::{self, Shares};
+use std::collections::BTreeMap;
+use std::sync::Mutex;
+use std::sync::atomic::Ordering;
+
+/// Of more capacities than this gateways use their own fraction only.
+const MAX_CAPACITIES: usize = 4096;
+/// When to look again where no quotas are exchanged.
+pub(super) const IDLE: Duration = Duration::from_millis(1000);
+
+/// What of the platform's settings quotas are worked out from.
+pub struct QuotaInputs {
+    /// How many gateways there are at most.
+    pub gateways: usize,
+    slow_start: SlowStartPolicy,
+    classes: Vec<RequestClass>,
+    tenants: Vec<Tenant>,
+}
+
+struct Tenant {
+    name: String,
+    capacity: Capacity,
+}
+
+impl QuotaInputs {
+    /// From the platform's settings.
+    pub fn new(platform: &Settings) -> QuotaInputs {
+        let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
+        QuotaInputs {
+            gateways: platform.given.fleet.gateways,
+            slow_start: platform.given.slow_start.clone(),
+            classes: platform.given.classes.clone(),
+            tenants: platform.names.tenants.iter().map(tenant).collect(),
+        }
+    }
+}
+
+/// This gateway's quotas, and those that it allocates.
+pub(super) struct QuotaExchange {
+    pub(super) quotas: Mutex<Shares>,
+    /// Which kinds of capacity are allocated, by the operator's file.
+    kinds: Kinds,
+    inputs: QuotaInputs,
+}
+
+impl QuotaExchange {
+    pub(super) fn new(
+        state: &State,
+        keepers: Keepers,
+        margin: u32,
+        inputs: QuotaInputs,
+        now: Timestamp,
+    ) -> QuotaExchange {
+        let Keepers { keepers, length, kinds } = keepers;
+        let window = inputs.slow_start.window;
+        let strict = Terms { gateways: inputs.gateways, length, margin, window, strict: true };
+        let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
+        let quotas = Shares::new(shares::Settings { strict, soft, keepers, most: MAX_CAPACITIES }, now);
+        if kinds.slow_start {
+            state.facade.careful(quotas.careful());
+        }
+        QuotaExchange { quotas: Mutex::new(quotas), kinds, inputs }
+    }
+
+    pub(super) fn due_in(&self, now: Timestamp) -> Duration {
+        lock(&self.quotas).due().since(now)
+    }
+
+    /// How much this gateway wants of each capacity that is allocated.
+    fn wanted(&self, state: &State, demand: &Demand) -> Vec<Wanted> {
+        let mut wanted = Vec::new();
+        for (id, engine, is_in_slow_start) in state.facade.ready(&self.inputs.slow_start) {
+            let weight = demand.of_engine(&engine, &self.inputs.classes);
+            if self.kinds.slow_start && is_in_slow_start {
+                wanted.push((Capacity::SlowStart(id), weight));
+            }
+            if self.kinds.threads {
+                wanted.push((Capacity::Threads(id), weight));
+            }
+        }
+        if self.kinds.tenants {
+            let tenants = self.inputs.tenants.iter().enumerate();
+            wanted.extend(tenants.map(|(index, tenant)| (tenant.capacity, demand.of_tenant(index))));
+        }
+        wanted
+    }
+
+    /// Tells the policy what this gateway may use.
+    fn apply(&self, state: &State, now: Timestamp) {
+        let capacity = |(key, fraction, _)| Capacity::of(key).map(|capacity| (capacity, fraction));
+        let fractions: BTreeMap<Capacity, f64> = lock(&self.quotas).parts(now).filter_map(capacity).collect();
+        let tenants: Vec<Capacity> = self.inputs.tenants.iter().map(|tenant| tenant.capacity).collect();
+        state.facade.share(&tenants, &fractions);
+    }
+
+    /// What a capacity is called in the log and by `larchfall quotas`.
+    pub(super) fn capacity_name(&self, key: u64) -> String {
+        match Capacity::of(key) {
+            Some(Capacity::SlowStart(id)) => format!("cold/{id:08x}"),
+            Some(Capacity::Threads(id)) => format!("threads/{id:08x}"),
+            Some(capacity) => {
+                let tenant = self.inputs.tenants.iter().find(|tenant| tenant.capacity == capacity);
+                format!("customer/{}", tenant.map_or("", |tenant| &tenant.name))
+            }
+            None => key.to_string(),
+        }
+    }
+}
+
+impl LeaseService {
+    /// Asks for this gateway's quotas where it is time, and tells the policy what it may use now.
+    pub(super) fn request_quotas(&self, state: &State, cluster: &Cluster) {
+        let Some(exchange) = &self.quotas else { return };
+        let now = self.now();
+        let (requests, (gateways, length)) = {
+            let mut quotas = lock(&exchange.quotas);
+            let allocators = quotas.keepers();
+            let wanted = |demand: &Demand| exchange.wanted(state, demand);
+            let allocator_of = |capacity| duty_of(capacity, allocators);
+            let requests = quotas.asks(|| state.facade.came(), wanted, allocator_of, now);
+            (requests, quotas.terms())
+        };
+        exchange.apply(state, now);
+        for request in requests {
+            let lease = keeper(request.keeper);
+            let holder = lock(&self.leases).holder(&lease, now).map(str::to_owned);
+            let Some(holder) = holder else { continue };
+            for wants in pages(request.wants, LIST_BYTES) {
+                let message = Matter::AskShares {
+                    duty: lease.clone(),
+                    round: request.round,
+                    gateways: gateways as u32,
+                    length_us: length.micros(),
+                    wants,
+                };
+                self.send_quota_message(state, cluster, &holder, message);
+            }
+        }
+    }
+
+    /// To a member, which may be this gateway itself.
+    fn send_quota_message(&self, state: &State, cluster: &Cluster, to: &str, message: Matter) {
+        if to == self.me.name {
+            self.on_quota_message(state, cluster, &self.me, &message);
+        } else {
+            self.send(cluster, to, message);
+        }
+    }
+
+    pub(super) fn on_quota_message(&self, state: &State, cluster: &Cluster, from: &Who, message: &Matter) {
+        let Some(exchange) = &self.quotas else { return };
+        match message {
+            Matter::AskShares { duty: lease, round, gateways, length_us, wants } => {
+                let terms = (*gateways as usize, Duration::from_micros(*length_us));
+                let Some(granted) = self.allocate(exchange, lease, (&from.name, terms), wants) else {
+                    return;
+                };
+                for page in pages(granted.action, LIST_BYTES) {
+                    let parts = Stamped { duty: granted.duty.clone(), token: granted.token, action: page };
+                    let message = Matter::Shares { round: *round, parts };
+                    self.send_quota_message(state, cluster, &from.name, message);
+                }
+            }
+            Matter::Shares { round, parts } => {
+                let now = self.now();
+                let accepted = lock(&exchange.quotas).granted(*round, parts.token, &parts.action, now);
+                self.counters.quotas.fetch_add(accepted as u64, Ordering::Relaxed);
+                exchange.apply(state, now);
+            }
+            _ => {}
+        }
+    }
+
+    /// Quotas for a gateway that asked, where this one holds the lease that allocates them.
+    fn allocate(
+        &self,
+        exchange: &QuotaExchange,
+        lease: &str,
+        requester: (&str, (usize, Duration)),
+        wants: &[(u64, f32)],
+    ) -> Option<Stamped<Vec<(u64, f64)>>> {
+        let now = self.now();
+        // Held until the quotas are stamped: none is allocated that the next holder may not know to be over in time.
+        let leases = lock(&self.leases);
+        let permit = leases.permit(lease, now)?;
+        let granted = lock(&exchange.quotas).answer(permit.token, requester, wants, now);
+        Some(permit.stamp(granted))
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/cluster/leases/status.rs
@@ -0,0 +1,123 @@
+//! Leases and quotas as `larchfall leases` and `larchfall quotas` show them, and in the log.
+
+use super::LeaseService;
+use crate::cluster::counters::count;
+use crate::state::{State, lock};
+use larchfall_leases::duties::View;
+use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_quotas::keeper::Fairness;
+use slog::info;
+use std::collections::BTreeMap;
+
+/// A lease as this gateway knows it.
+struct Holding {
+    holder: String,
+    token: u64,
+    expires: Timestamp,
+}
+
+impl LeaseService {
+    /// By lease: its name, its holder, its token, what remains in milliseconds, why and when it last ended here.
+    pub(in crate::cluster) fn lease_rows(&self) -> Vec<Vec<String>> {
+        let now = self.now();
+        let row = |view: View| {
+            let here =
+                view.held.map(|(token, expires)| Holding { holder: self.me.name.clone(), token, expires });
+            let elsewhere = || {
+                view.known.map(|known| Holding {
+                    holder: known.holder.name.clone(),
+                    token: known.token,
+                    expires: known.until,
+                })
+            };
+            let holding = here.or_else(elsewhere);
+            let remaining = holding.as_ref().map_or(0, |held| held.expires.since(now).micros() / 1000);
+            let last = view.last.map_or(String::new(), |(reason, at)| {
+                format!("{reason:?} {:.1} s ago", now.since(at).secs())
+            });
+            vec![
+                view.duty.to_owned(),
+                holding.as_ref().map_or(String::new(), |held| held.holder.clone()),
+                holding.as_ref().map_or(0, |held| held.token).to_string(),
+                remaining.to_string(),
+                last,
+            ]
+        };
+        lock(&self.leases).view(now).map(row).collect()
+    }
+
+    /// By capacity: its name, this gateway's fraction, whether that was granted; where it is allocated here, how many
+    /// gateways have a quota, what may be in use, and how fair that is.
+    pub(in crate::cluster) fn quota_rows(&self) -> Vec<Vec<String>> {
+        let Some(exchange) = &self.quotas else { return Vec::new() };
+        let now = self.now();
+        let quotas = lock(&exchange.quotas);
+        let allocated: BTreeMap<u64, Fairness> = quotas.kept(now).collect();
+        let row = |(key, fraction, is_granted): (u64, f64, bool)| {
+            let source = if is_granted { "handed out" } else { "by itself" };
+            let mut row = vec![exchange.capacity_name(key), format!("{fraction:.4}"), source.to_owned()];
+            if let Some(fairness) = allocated.get(&key) {
+                row.extend(fairness_cells(fairness));
+            }
+            row
+        };
+        let mut rows: Vec<Vec<String>> = quotas.parts(now).map(row).collect();
+        rows.sort();
+        rows
+    }
+
+    pub(in crate::cluster) fn log_status(&self, state: &State) {
+        self.log_counters(state);
+        self.log_quotas(state);
+        for row in self.lease_rows() {
+            info!(state.log, "lease"; "name" => &row[0], "holder" => &row[1], "token" => &row[2],
+                "remaining_ms" => &row[3], "last_change" => &row[4]);
+        }
+    }
+
+    fn log_counters(&self, state: &State) {
+        let counters = &self.counters;
+        let mut rejected = 0;
+        let mut report_age = Duration::ZERO;
+        let mut without_report = 0;
+        if let Some(probing) = &state.probing {
+            let ids = state.facade.listed().1.into_iter().map(|(_, id)| u64::from(id));
+            let probing = lock(probing);
+            rejected = probing.refused();
+            (report_age, without_report) = probing.ages(ids, state.clock.now());
+        }
+        info!(state.log, "lease counters"; "received" => count(&counters.received), "sent" => count(&counters.sent),
+            "unknown" => count(&counters.unknown), "corrupt" => count(&counters.corrupt),
+            "records_written" => count(&counters.records), "records_failed" => count(&counters.records_failed),
+            "load_reports" => count(&counters.load_reports), "load_reports_rejected" => rejected,
+            "quota_messages" => count(&counters.quotas), "load_reports_age_ms" => report_age.micros() / 1000,
+            "engines_without_report" => without_report);
+    }
+
+    fn log_quotas(&self, state: &State) {
+        let Some(exchange) = &self.quotas else { return };
+        let now = self.now();
+        let quotas = lock(&exchange.quotas);
+        let granted = quotas.parts(now).filter(|(_, _, is_granted)| *is_granted).count();
+        let fractions: Vec<String> = quotas
+            .parts(now)
+            .map(|(key, fraction, _)| format!("{}:{fraction:.4}", exchange.capacity_name(key)))
+            .collect();
+        info!(state.log, "quotas"; "fractions" => fractions.join(" "), "allocated" => quotas.kept(now).count(),
+            "granted" => granted);
+        for (key, fairness) in quotas.kept(now) {
+            info!(state.log, "quota allocation"; "capacity" => exchange.capacity_name(key),
+                "gateways" => fairness.gateways, "in_use" => fairness.in_use, "jain" => fairness.jain,
+                "factor" => fairness.factor.unwrap_or(f64::INFINITY));
+        }
+    }
+}
+
+fn fairness_cells(fairness: &Fairness) -> [String; 4] {
+    [
+        fairness.gateways.to_string(),
+        format!("{:.4}", fairness.in_use),
+        format!("{:.4}", fairness.jain),
+        fairness.factor.map_or("none".to_owned(), |factor| format!("{factor:.2}")),
+    ]
+}
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,112 +1,104 @@
-//! The gateways among themselves, where the operator's file has a `[gateways]` table: one socket, one coroutine that hears
-//! and asks. No request waits for it, and it waits for none.
-
-pub mod ask;
-pub mod duties;
-pub mod mind;
-pub mod programs;
-pub mod signals;
-
-use crate::state::State;
-use crate::state::clock::wait;
-use crate::state::facade::Verdict;
-use crate::state::lock;
-use duties::Duty;
-use larchfall_membership::claim::Standing;
+//! The gateways among themselves, where the operator's file has a `[fronts]` table: one UDP socket, served by one
+//! coroutine. No request waits for it, and it waits for none.
+
+mod counters;
+mod event_loop;
+pub mod health_gossip;
+pub mod leases;
+mod membership;
+mod status_pages;
+pub mod status_query;
+pub mod supervisor;
+
+use crate::state::{State, lock};
+use counters::{DatagramCounters, increment};
+use health_gossip::HealthGossip;
 use larchfall_membership::count::Count;
-use larchfall_membership::members::{Members, Out, Refused, Settings};
-use larchfall_membership::wire::{Letter, MOST_BYTES, Unreadable};
-use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_membership::members::{Members, Settings};
+use larchfall_operator_config::Duties;
+use leases::LeaseService;
 use may::net::UdpSocket;
-use signals::Signals;
-use slog::{info, warn};
-use std::io::{self, ErrorKind};
-use std::net::{SocketAddr, SocketAddrV4};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use slog::warn;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddrV4;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// So many datagrams are taken in within each such time; what comes beyond waits in the socket, or is lost there. A
-/// flood costs what that many cost, and no request's share of the core.
-const MOST: usize = 100;
-const EACH: Duration = Duration::from_millis(100);
-
-/// What came and was passed over, by why; what went.
-#[derive(Default)]
-struct Counters {
-    heard: AtomicU64,
-    sent: AtomicU64,
-    unsent: AtomicU64,
-    other_version: AtomicU64,
-    other_cluster: AtomicU64,
-    spoilt: AtomicU64,
-    strangers: AtomicU64,
-    /// Times that the budget was used up.
-    over_budget: AtomicU64,
-}
-
-fn one(counter: &AtomicU64) {
-    counter.fetch_add(1, Ordering::Relaxed);
-}
-
-pub struct Gateways {
+/// This gateway as a member of its cluster.
+pub struct Cluster {
     members: Mutex<Members>,
-    /// How many gateways the module is to count, where it follows the living.
-    count: Option<Mutex<Count>>,
+    /// How many gateways the policy is to count, where that follows those that are alive.
+    gateway_count: Option<Mutex<Count>>,
     socket: UdpSocket,
-    cluster: String,
-    name: String,
-    counters: Counters,
-    over: AtomicBool,
-    /// What one gateway does at a time, where the file says so.
-    duties: Option<Arc<Duty>>,
-    /// What gateways saw of engines, where the file says so.
-    signals: Option<Signals>,
+    /// Datagrams of other clusters are ignored.
+    cluster_name: String,
+    /// This gateway's own.
+    member_name: String,
+    counters: DatagramCounters,
+    /// This gateway has told the others that it leaves.
+    has_left: AtomicBool,
+    /// Roles of which each is held by one gateway at a time, where the operator's file has them.
+    leases: Option<Arc<LeaseService>>,
+    /// What gateways observed of engines, where the operator's file has it.
+    health_gossip: Option<HealthGossip>,
+}
+
+/// What a member is made of.
+pub struct ClusterSetup {
+    /// Address to bind.
+    pub address: SocketAddrV4,
+    /// Membership, in which this gateway knows itself only.
+    pub members: Members,
+    /// Name of the cluster, as datagrams carry it.
+    pub cluster_name: String,
+    /// This gateway's own name.
+    pub member_name: String,
+    /// Bounds of the number of gateways, where it follows those that are alive.
+    pub gateway_count: Option<Count>,
+    /// Leased roles, where they are on.
+    pub leases: Option<Arc<LeaseService>>,
+    /// Observations of engines shared with others, where that is on.
+    pub health_gossip: Option<HealthGossip>,
 }
 
-impl Gateways {
-    /// Its generation is the time of its start, so that each process under its name is another than the one before.
-    pub fn open(
-        bind: SocketAddrV4,
-        members: Members,
-        (cluster, name): (String, String),
-        count: Option<Count>,
-        duties: Option<Arc<Duty>>,
-        signals: Option<Signals>,
-    ) -> io::Result<Arc<Gateways>> {
-        let socket = UdpSocket::bind(bind)?;
-        let (counters, over) = (Counters::default(), AtomicBool::new(false));
-        Ok(Arc::new(Gateways {
-            members: Mutex::new(members),
-            count: count.map(Mutex::new),
-            socket,
-            cluster,
-            name,
-            counters,
-            over,
-            duties,
-            signals,
+impl Cluster {
+    /// Opens the socket; nothing is sent or received yet.
+    pub fn open(setup: ClusterSetup) -> io::Result<Arc<Cluster>> {
+        Ok(Arc::new(Cluster {
+            socket: UdpSocket::bind(setup.address)?,
+            members: Mutex::new(setup.members),
+            gateway_count: setup.gateway_count.map(Mutex::new),
+            cluster_name: setup.cluster_name,
+            member_name: setup.member_name,
+            counters: DatagramCounters::default(),
+            has_left: AtomicBool::new(false),
+            leases: setup.leases,
+            health_gossip: setup.health_gossip,
         }))
     }
 
+    /// Where other members are told that this gateway listens.
     pub fn address(&self) -> SocketAddrV4 {
         lock(&self.members).myself().about.address
     }
 
-    pub fn name(&self) -> &str {
-        &self.name
+    /// This gateway's own name.
+    pub fn member_name(&self) -> &str {
+        &self.member_name
     }
 
-    /// Those that live, this gateway among them, and their zones.
-    pub fn living(&self) -> Vec<(String, String)> {
-        lock(&self.members).live().map(|(name, m)| (name.clone(), m.about.zone.clone())).collect()
+    /// Zones by the names of the members that are alive, this gateway among them.
+    pub fn alive_zones(&self) -> BTreeMap<String, String> {
+        lock(&self.members).live().map(|(name, member)| (name.clone(), member.about.zone.clone())).collect()
     }
 
-    /// Seeds, periods and duties from a file that was read again.
-    pub fn set(&self, state: &State, settings: Settings, duties: Option<larchfall_operator_config::Duties>) {
-        // Which fleet it belongs to changes with the next start only.
-        lock(&self.members).set(Settings { cluster: self.cluster.clone(), ..settings });
-        match (&self.duties, duties) {
-            (Some(duties), Some(site)) => duties.set(state, self, site),
+    /// Takes over seeds, periods and leases from a file that was read again.
+    pub fn reload(&self, state: &State, settings: Settings, leases: Option<Duties>) {
+        // Which cluster it belongs to changes with the next start only.
+        lock(&self.members).set(Settings { cluster: self.cluster_name.clone(), ..settings });
+        match (&self.leases, leases) {
+            (Some(service), Some(leases)) => service.reload(state, self, leases),
             (Some(_), None) | (None, Some(_)) => {
                 warn!(state.log, "lease settings are added or removed with the next start only");
             }
@@ -114,215 +106,44 @@
         }
     }
 
-    /// Says that it goes, before the listener ends.
+    /// Tells the other members that this gateway leaves, before it stops listening for clients.
     pub fn leave(&self, state: &State) {
-        if let Some(duties) = &self.duties {
-            duties.leave(state, self);
-        }
-        let out = lock(&self.members).leave(state.clock.now());
-        self.over.store(true, Ordering::Relaxed);
-        self.take(state, out);
-    }
-
-    /// One line with the counters, one with each member: what is known, since when, and when it was heard.
-    pub fn log(&self, state: &State) {
-        let (now, c) = (state.clock.now(), &self.counters);
-        let n = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        info!(state.log, "membership counters"; "received" => n(&c.heard), "sent" => n(&c.sent), "unsent" => n(&c.unsent),
-            "other_version" => n(&c.other_version), "other_cluster" => n(&c.other_cluster), "corrupt" => n(&c.spoilt),
-            "unknown_senders" => n(&c.strangers), "over_budget" => n(&c.over_budget));
-        let (table, health, version) = {
-            let members = lock(&self.members);
-            (members.table().clone(), members.health().score(), members.version())
-        };
-        if let Some(duties) = &self.duties {
-            duties.log(state);
-        }
-        if let Some(signals) = &self.signals {
-            signals.log(state);
-        }
-        info!(state.log, "membership"; "known" => table.len(), "version" => version, "own_health" => health);
-        for (name, member) in &table {
-            let heard = member.heard.map_or(-1.0, |at| now.since(at).secs());
-            info!(state.log, "member"; "name" => name, "state" => word(member.claim.standing),
-                "generation" => member.claim.generation, "incarnation" => member.claim.incarnation,
-                "address" => member.about.address.to_string(), "zone" => &member.about.zone,
-                "since_s" => now.since(member.since).secs(), "heard_s_ago" => heard);
-        }
-    }
-
-    /// Tells the module when another number of gateways is to be counted.
-    fn count(&self, state: &State, now: Timestamp, before: usize) -> usize {
-        let Some(count) = &self.count else { return before };
-        let fleet = lock(&self.members).fleet();
-        let counted = lock(count).see(fleet, now);
-        if counted != before {
-            state.facade.count(counted);
-            info!(state.log, "gateways counted"; "silent" => fleet.silent, "alive" => fleet.live, "count" => counted);
+        if let Some(leases) = &self.leases {
+            leases.leave(state, self);
         }
-        counted
+        let effects = lock(&self.members).leave(state.clock.now());
+        self.has_left.store(true, Ordering::Relaxed);
+        self.apply_membership(state, effects);
     }
 
-    /// Sends what is to be sent and logs what changed. No lock is held here.
-    fn take(&self, state: &State, out: Out) {
-        for change in out.changes {
-            let from = change.from.map_or("unknown", word);
-            info!(state.log, "member changed"; "generation" => change.generation,
-                "reason" => format!("{:?}", change.reason), "was" => from, "state" => word(change.to),
-                "name" => change.name);
+    /// Logs counters and members, leases and gossip.
+    pub fn log_status(&self, state: &State) {
+        self.counters.log(&state.log);
+        if let Some(leases) = &self.leases {
+            leases.log_status(state);
         }
-        for (to, letter) in out.letters {
-            // Straight to the socket: a full buffer loses a datagram, as the net may, and holds nobody up.
-            let sent = self.socket.inner().send_to(&letter.seal(), to);
-            one(if sent.is_ok() { &self.counters.sent } else { &self.counters.unsent });
+        if let Some(gossip) = &self.health_gossip {
+            gossip.log_counters(state);
         }
+        self.log_members(state);
     }
 
-    /// By gateway: its name, standing, generation, address, zone, since when it stands so and when it was heard, in seconds.
-    fn rows(&self, now: Timestamp) -> Vec<Vec<String>> {
-        let members = lock(&self.members);
-        let row = |(name, m): (&String, &larchfall_membership::members::Member)| {
-            let heard = m.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
-            let since = format!("{:.1}", now.since(m.since).secs());
-            let (generation, address) = (m.claim.generation.to_string(), m.about.address.to_string());
-            let standing = word(m.claim.standing).to_owned();
-            vec![name.clone(), standing, generation, address, m.about.zone.clone(), since, heard]
-        };
-        members.table().iter().map(row).collect()
-    }
-
-    /// By engine: its id, state, what this gateway makes of it, and what it and others saw there, where that is told.
-    fn engine_rows(&self, state: &State) -> Vec<Vec<String>> {
-        // Once for all engines: a fleet may be large.
-        let (now, living) = (state.clock.now(), self.living().into_iter().collect());
-        let word = |holds: bool, word: &str| if holds { word.to_owned() } else { String::new() };
-        let row = |x: Verdict| {
-            let verdict = if x.failing { "left out" } else { "sound" };
-            let mut row = vec![format!("{:08x}", x.process.id), format!("{:?}", x.state).to_lowercase()];
-            row.extend([verdict.to_owned(), word(x.used, "used"), word(x.congested, "congested")]);
-            row.extend(
-                self.signals.iter().flat_map(|signals| signals.row(&self.name, &living, x.process, now)),
-            );
-            row
-        };
-        let mut rows: Vec<_> = state.facade.verdicts().into_iter().map(row).collect();
-        rows.sort();
-        rows
-    }
-
-    /// Answers a question of this machine's own.
-    fn answer(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
-        let near = from.ip().is_loopback() || *from.ip() == *self.address().ip();
-        let Some(question) = ask::question(bytes, &self.cluster).filter(|_| near) else {
-            return one(&self.counters.strangers);
-        };
-        let rows = match question.what {
-            ask::What::Gateways => self.rows(state.clock.now()),
-            ask::What::Engines => self.engine_rows(state),
-            ask::What::Duties => self.duties.as_ref().map(|duties| duties.rows()).unwrap_or_default(),
-            ask::What::Shares => self.duties.as_ref().map(|duties| duties.share_rows()).unwrap_or_default(),
-        };
-        let _ = self.socket.inner().send_to(&ask::answer(&question, rows.into_iter()), from);
-    }
-
-    fn hear(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
-        one(&self.counters.heard);
-        if let Some(signals) =
-            self.signals.as_ref().filter(|_| bytes.first() == Some(&larchfall_health_gossip::wire::VERSION))
+    /// Each kind of datagram begins with a version of its own.
+    fn on_datagram(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
+        increment(&self.counters.received);
+        let version = bytes.first();
+        if let Some(gossip) = &self.health_gossip
+            && version == Some(&larchfall_health_gossip::wire::VERSION)
         {
-            return signals.hear(state, self, bytes, from);
-        }
-        match (bytes.first(), &self.duties) {
-            (Some(&larchfall_leases::wire::VERSION), Some(duties)) => {
-                return duties.hear(state, self, bytes, from);
-            }
-            (Some(&ask::VERSION), _) => return self.answer(state, bytes, from),
-            _ => {}
-        }
-        let letter = match Letter::open(bytes, &self.cluster) {
-            Ok(letter) => letter,
-            Err(why) => {
-                return one(match why {
-                    Unreadable::Version(_) => &self.counters.other_version,
-                    Unreadable::OtherCluster => &self.counters.other_cluster,
-                    Unreadable::TooLong | Unreadable::Spoilt | Unreadable::Unsound => &self.counters.spoilt,
-                });
-            }
-        };
-        let heard = lock(&self.members).hear(from, &letter, state.clock.now());
-        match heard {
-            Ok(out) => self.take(state, out),
-            Err(Refused::Stranger) => one(&self.counters.strangers),
-            Err(Refused::NameTaken) => {
-                warn!(
-                    state.log,
-                    "fronts: another process has this name, and was started later: no member any more"
-                );
-                if let Some(duties) = &self.duties {
-                    duties.name_taken(state, self);
-                }
-            }
-        }
-    }
-}
-
-fn word(standing: Standing) -> &'static str {
-    match standing {
-        Standing::Alive => "alive",
-        Standing::Suspected => "suspected",
-        Standing::Dead => "dead",
-        Standing::Left => "left",
-    }
-}
-
-/// Hears and asks until this gateway leaves.
-pub fn run(state: &Arc<State>, gateways: &Arc<Gateways>) {
-    let mut bytes = [0; MOST_BYTES + 1];
-    let (mut taken, mut window) = (0, state.clock.now());
-    let mut counted = 0;
-    let done = || gateways.duties.as_ref().is_none_or(|duties| duties.is_done());
-    while !gateways.over.load(Ordering::Relaxed) || !done() {
-        let now = state.clock.now();
-        let (due, out) = {
-            let mut members = lock(&gateways.members);
-            let out = (members.due() <= now).then(|| members.wake(now));
-            (members.due(), out)
-        };
-        if let Some(out) = out {
-            gateways.take(state, out);
-            counted = gateways.count(state, now, counted);
-        }
-        if let Some(duties) = gateways.duties.as_ref().filter(|duties| duties.due_in() == Duration::ZERO) {
-            duties.wake(state, gateways);
-        }
-        if let Some(signals) = &gateways.signals {
-            signals.wake(state, gateways);
-        }
-        if now.since(window) >= EACH {
-            (taken, window) = (0, now);
-        }
-        if taken >= MOST {
-            one(&gateways.counters.over_budget);
-            state.sleep((window + EACH).since(now).max(Duration::from_millis(1)));
-            continue;
-        }
-        let due_in = gateways.duties.as_ref().map(|duties| duties.due_in());
-        let now = state.clock.now();
-        let signals_in = gateways.signals.as_ref().map(|signals| signals.due_in(now));
-        let own = due_in.into_iter().chain(signals_in).fold(EACH * 600.0, Duration::min);
-        let left = due.since(now).min(own).max(Duration::from_millis(1));
-        if gateways.socket.set_read_timeout(Some(wait(left))).is_err() {
-            return;
-        }
-        match gateways.socket.recv_from(&mut bytes) {
-            Ok((n, SocketAddr::V4(from))) => {
-                taken += 1;
-                gateways.hear(state, &bytes[..n], from);
-            }
-            // Where a member's port is closed the next receive says so: that is one more lost datagram.
-            Ok(_) => {}
-            Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {}
-            Err(_) => state.sleep(Duration::from_millis(5)),
+            gossip.on_datagram(state, self, bytes, from);
+        } else if let Some(leases) = &self.leases
+            && version == Some(&larchfall_leases::wire::VERSION)
+        {
+            leases.on_datagram(state, self, bytes, from);
+        } else if version == Some(&status_query::VERSION) {
+            self.answer_status_query(state, bytes, from);
+        } else {
+            self.on_membership_datagram(state, bytes, from);
         }
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,3 +1,3 @@
 fn main() -> std::process::ExitCode {
-    larchfall_gateway::run::command::main()
+    larchfall_gateway::cli::main()
 }
--- /dev/null
+++ b/crates/gateway/src/startup/cluster.rs
@@ -0,0 +1,70 @@
+//! Joins the other gateways, where the operator's file has a `[fronts]` table.
+
+use super::StartupError;
+use crate::cluster::health_gossip::HealthGossip;
+use crate::cluster::leases::quota_exchange::QuotaInputs;
+use crate::cluster::leases::{LeaseService, LeaseSetup, OpenedLeases, RecordWriter};
+use crate::cluster::{Cluster, ClusterSetup};
+use crate::platform::Platform;
+use crate::state::State;
+use larchfall_leases::wire::Who;
+use larchfall_membership::claim::About;
+use larchfall_membership::count::Count;
+use larchfall_membership::members::Members;
+use larchfall_operator_config::{Duties, Gateways, Signals};
+use slog::info;
+use std::sync::Arc;
+
+/// What the operator's file says of gateways among themselves.
+pub(super) struct ClusterSettings {
+    pub(super) gateways: Gateways,
+    pub(super) leases: Option<Duties>,
+    pub(super) health_gossip: Option<Signals>,
+}
+
+/// The open socket between gateways, and the writer of the voter record where there is one.
+pub(super) struct JoinedCluster {
+    pub(super) cluster: Arc<Cluster>,
+    pub(super) record_writer: Option<RecordWriter>,
+}
+
+/// Opens the socket between gateways. Who else is there is found out once it runs; until then as many gateways count as
+/// the platform's settings name.
+pub(super) fn join(
+    state: &State,
+    settings: ClusterSettings,
+    quota_inputs: QuotaInputs,
+    seed: u64,
+    platform: Platform,
+) -> Result<JoinedCluster, StartupError> {
+    let ClusterSettings { gateways, leases, health_gossip } = settings;
+    let about = About { address: gateways.told, zone: gateways.zone, serves: gateways.serves };
+    let now = state.clock.now();
+    let gateway_count = gateways.count.map(|count| Count::new(count, quota_inputs.gateways, now));
+    // The time of its start, so that each process under this name is another one than the one before.
+    let me = Who { name: gateways.name, generation: now.micros() };
+    let cluster_name = gateways.settings.cluster.clone();
+    let members = Members::new(&me.name, me.generation, about, gateways.settings, seed, now);
+    let member_name = me.name.clone();
+    let opened = leases
+        .map(|settings| LeaseService::open(state, LeaseSetup { settings, me, seed, platform, quota_inputs }))
+        .transpose()
+        .map_err(StartupError::Leases)?;
+    let (leases, record_writer) = match opened {
+        Some(OpenedLeases { service, record_writer }) => (Some(service), record_writer),
+        None => (None, None),
+    };
+    let address = gateways.address;
+    let cluster = Cluster::open(ClusterSetup {
+        address,
+        members,
+        cluster_name,
+        member_name,
+        gateway_count,
+        leases,
+        health_gossip: health_gossip.map(|settings| HealthGossip::new(state, settings, seed, now)),
+    })
+    .map_err(|source| StartupError::ClusterAddress { address, source })?;
+    info!(state.log, "listening to members"; "name" => cluster.member_name(), "address" => cluster.address().to_string());
+    Ok(JoinedCluster { cluster, record_writer })
+}
--- /dev/null
+++ b/crates/gateway/src/startup/mod.rs
@@ -0,0 +1,206 @@
+//! The start of a gateway, from its files to the coroutines that run until the end.
+
+mod cluster;
+mod error;
+mod paged_rest;
+mod state;
+
+pub use error::StartupError;
+
+use crate::cli::files::LoadedFiles;
+use crate::cluster::Cluster;
+use crate::cluster::leases::RecordWriter;
+use crate::cluster::leases::quota_exchange::QuotaInputs;
+use crate::config::Config;
+use crate::logging::{self, Logging};
+use crate::platform::Platform;
+use crate::protocols::rest::{self, RestService};
+use crate::reload::{Files, Reloader};
+use crate::signals::{CaughtSignals, SignalStream, Signals};
+use crate::state::State;
+use crate::state::clock::Clock;
+use crate::subsetting::{self, Subsetting};
+use crate::{client_listener, discovery, shutdown, timer};
+use cluster::{ClusterSettings, JoinedCluster};
+use larchfall_operator_config::Site;
+use may::net::TcpListener;
+use paged_rest::PagedRest;
+use slog::info;
+use state::StateSettings;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+/// Bytes of each coroutine's stack. Only pages that were touched count as memory; see docs/front.md.
+const STACK_BYTES: usize = 64 * 1024;
+/// Coroutines that are made at the start and kept for reuse. Each has touched two pages of its stack: a thousand, the
+/// crate's default, are 8 MB and two thousand page faults of a gateway that uses some dozens.
+const POOLED_COROUTINES: usize = 64;
+
+/// Runs a gateway to its end.
+pub fn run(
+    loaded: LoadedFiles,
+    platform: Platform,
+    caught_signals: CaughtSignals,
+) -> Result<(), StartupError> {
+    may::config().set_workers(1).set_stack_size(STACK_BYTES / size_of::<usize>()).set_worker_pin(false);
+    may::config().set_pool_capacity(POOLED_COROUTINES);
+    let LoadedFiles { config_path, config, operator_config } = loaded;
+    let files = Files {
+        config: config_path,
+        operator_config: operator_config.as_ref().map(|file| file.path.clone()),
+    };
+    let site = operator_config.map(|file| file.site).unwrap_or_default();
+
+    // Listeners first: an address that is taken is found before anything runs.
+    let listener = client_listener::bind(config.listen)
+        .map_err(|source| StartupError::Listen { address: config.listen, source })?;
+    let paged_rest = site.rest.clone().map(|rest| PagedRest::open(rest, config.seed)).transpose()?;
+    let limits = paged_rest::remaining_limits(config.limits, paged_rest.as_ref())?;
+    // Dropped at the end of this function, so that the last lines are written.
+    let Logging { logger, flush_on_drop: _flush_on_drop } = logging::start(&config.name);
+
+    let quota_inputs = QuotaInputs::new(&config.settings);
+    let subsetting = site.subsets.map(|subsets| Subsetting::new(subsets, &config.settings));
+    let Config { listen, seed, discovery, known, settings, .. } = config;
+    let state = Arc::new(state::build(StateSettings {
+        platform: settings,
+        limits,
+        seed,
+        log: logger,
+        probing: site.duties.as_ref().and_then(|leases| leases.probing),
+        clock: Clock::start((platform.unix_clock)()),
+    }));
+    // The configuration's endpoint list counts as if the discovery service had just sent it.
+    state.facade.heard(state.clock.now());
+    for event in &known {
+        discovery::apply(&state, event);
+    }
+    let event_wait = timer::Looks::open().map_err(StartupError::SocketPair)?;
+    let signals = caught_signals.into_streams().map_err(StartupError::Signals)?;
+    log_addresses(&state, &listener, listen, paged_rest.as_ref());
+    let cluster = join_cluster(&state, site, quota_inputs, seed, platform)?;
+    let gateway = Gateway {
+        state: state.clone(),
+        listener,
+        paged_rest,
+        cluster,
+        subsetting,
+        event_wait,
+        signals,
+        files,
+        discovery,
+        seed,
+    };
+    gateway.start_timer()?;
+    let ended = may::go!(move || gateway.run()).join();
+    state.log_counters();
+    ended.map_err(|_| StartupError::Panicked)
+}
+
+fn log_addresses(
+    state: &State,
+    listener: &TcpListener,
+    configured: SocketAddrV4,
+    paged_rest: Option<&PagedRest>,
+) {
+    let address = listener.local_addr().unwrap_or(configured.into());
+    info!(state.log, "listening"; "clients" => state.limits.clients, "engine_connections" => state.limits.engine_links,
+        "requests" => state.limits.requests, "address" => address.to_string());
+    if let Some(paged_rest) = paged_rest {
+        paged_rest.log_address(&state.log);
+    }
+}
+
+/// Opens the socket between gateways and starts the thread that writes the voter record, where the operator's file has
+/// them.
+fn join_cluster(
+    state: &Arc<State>,
+    site: Site,
+    quota_inputs: QuotaInputs,
+    seed: u64,
+    platform: Platform,
+) -> Result<Option<Arc<Cluster>>, StartupError> {
+    let Some(gateways) = site.gateways else { return Ok(None) };
+    let settings = ClusterSettings { gateways, leases: site.duties, health_gossip: site.signals };
+    let JoinedCluster { cluster, record_writer } =
+        cluster::join(state, settings, quota_inputs, seed, platform)?;
+    record_writer
+        .map(|writer: RecordWriter| writer.start(state, &cluster))
+        .transpose()
+        .map_err(StartupError::RecordThread)?;
+    Ok(Some(cluster))
+}
+
+/// All that runs, before it does.
+struct Gateway {
+    state: Arc<State>,
+    listener: TcpListener,
+    paged_rest: Option<PagedRest>,
+    cluster: Option<Arc<Cluster>>,
+    subsetting: Option<Subsetting>,
+    event_wait: timer::Looks,
+    signals: Signals,
+    files: Files,
+    discovery: SocketAddrV4,
+    seed: u64,
+}
+
+impl Gateway {
+    fn service(&self) -> Option<Arc<RestService>> {
+        self.paged_rest.as_ref().map(|rest| rest.service.clone())
+    }
+
+    fn start_timer(&self) -> Result<(), StartupError> {
+        let state = self.state.clone();
+        let service = self.service();
+        std::thread::Builder::new()
+            .name("timer".to_owned())
+            .spawn(move || timer::run(&state, service.as_ref()))
+            .map_err(StartupError::TimerThread)?;
+        Ok(())
+    }
+
+    /// Starts all coroutines, and waits until the gateway has ended.
+    fn run(self) {
+        let service = self.service();
+        let Gateway { state, cluster, signals, .. } = self;
+        if let Some(cluster) = cluster.clone() {
+            let state = state.clone();
+            may::go!(move || cluster.run(&state));
+        }
+        if let Some(subsetting) = self.subsetting {
+            subsetting::start(&state, cluster.clone(), subsetting);
+        }
+        discovery::start(&state, self.discovery, self.seed);
+        let reloader = Reloader {
+            state: state.clone(),
+            service: service.clone(),
+            cluster: cluster.clone(),
+            files: self.files,
+            seed: self.seed,
+        };
+        may::go!(move || reloader.run(signals.reload));
+        let watching = state.clone();
+        may::go!(move || timer::look_for_events(&watching, self.event_wait));
+        let accepting = state.clone();
+        may::go!(move || client_listener::accept(&accepting, &self.listener));
+        if let Some(PagedRest { service, listener, .. }) = self.paged_rest {
+            let state = state.clone();
+            may::go!(move || rest::accept(&state, &listener, &service));
+        }
+        log_counters_on_signal(&state, cluster.clone(), signals.log_counters);
+        shutdown::wait_and_shut_down(&state, signals.terminate, service.as_ref(), cluster.as_deref());
+    }
+}
+
+fn log_counters_on_signal(state: &Arc<State>, cluster: Option<Arc<Cluster>>, mut signal: SignalStream) {
+    let state = state.clone();
+    may::go!(move || {
+        while signal.wait() {
+            state.log_counters();
+            if let Some(cluster) = &cluster {
+                cluster.log_status(&state);
+            }
+        }
+    });
+}
--- /dev/null
+++ b/crates/gateway/src/startup/paged_rest.rs
@@ -0,0 +1,47 @@
+//! The paged REST protocol at the start: its service, its listener, and its part of the connections.
+
+use super::StartupError;
+use crate::client_listener;
+use crate::protocols::rest::RestService;
+use crate::state::limits::Limits;
+use larchfall_operator_config::Rest;
+use may::net::TcpListener;
+use slog::{Logger, info};
+use std::sync::Arc;
+
+/// The service with its open listener.
+pub(super) struct PagedRest {
+    pub(super) service: Arc<RestService>,
+    pub(super) listener: TcpListener,
+    settings: Rest,
+}
+
+impl PagedRest {
+    pub(super) fn open(settings: Rest, seed: u64) -> Result<PagedRest, StartupError> {
+        let service = RestService::new(settings.clone(), seed).map_err(StartupError::Randomness)?;
+        let address = settings.listen;
+        let listener =
+            client_listener::bind(address).map_err(|source| StartupError::Listen { address, source })?;
+        Ok(PagedRest { service: Arc::new(service), listener, settings })
+    }
+
+    pub(super) fn log_address(&self, log: &Logger) {
+        let address = self.listener.local_addr().unwrap_or(self.settings.listen.into());
+        info!(log, "listening for paged REST"; "connections" => self.settings.connections,
+            "results" => self.settings.caps.results, "address" => address.to_string());
+    }
+}
+
+/// What is left to the other protocol of the machine's limits.
+pub(super) fn remaining_limits(
+    limits: Limits,
+    paged_rest: Option<&PagedRest>,
+) -> Result<Limits, StartupError> {
+    let connections = paged_rest.map_or(0, |rest| rest.settings.connections);
+    let limits = limits.share(connections).ok_or(StartupError::NoConnectionsLeft)?;
+    let engine_connections = limits.engine_links;
+    if paged_rest.is_some_and(|rest| rest.settings.caps.making > engine_connections / 2) {
+        return Err(StartupError::TooManyQueries { engine_connections });
+    }
+    Ok(limits)
+}
--- /dev/null
+++ b/crates/gateway/src/subsetting.rs
@@ -0,0 +1,140 @@
+//! The engines that this gateway uses, where the operator's file has a `[subsets]` table: one coroutine looks at steady
+//! times at which members are alive and which engines are ready, and tells the policy. However many changes there were
+//! in between, they are handled at once.
+
+use crate::cluster::Cluster;
+use crate::state::State;
+use larchfall_config::Settings;
+use larchfall_operator_config::Subsets;
+use larchfall_policy::interface::{Fleet, RequestClass};
+use larchfall_policy::time::Timestamp;
+use larchfall_subsetting::aperture::{Aperture, Sight};
+use larchfall_subsetting::plan::Plan;
+use larchfall_subsetting::{Gateway, Listed, needs};
+use slog::info;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// Engines that one log line names at most.
+const LOGGED_ENGINES: usize = 64;
+
+/// What an assignment is worked out from, but for members and engines.
+pub struct Subsetting {
+    settings: Subsets,
+    classes: Vec<RequestClass>,
+    /// How many gateways the platform's settings name and which is this one: what counts without membership.
+    fleet: Fleet,
+}
+
+impl Subsetting {
+    /// With the operator's settings and the platform's.
+    pub fn new(settings: Subsets, platform: &Settings) -> Subsetting {
+        let given = &platform.given;
+        Subsetting { settings, classes: given.classes.clone(), fleet: given.fleet.clone() }
+    }
+
+    fn members(&self, state: &State, cluster: Option<&Cluster>) -> Members {
+        let Some(cluster) = cluster else {
+            // The platform's settings say nothing of zones.
+            let numbered = |number: usize| Gateway { number: number as u64, zone: None };
+            return Members {
+                me: numbered(self.fleet.me),
+                alive: (0..self.fleet.gateways.max(1)).map(numbered).collect(),
+            };
+        };
+        let zone_index = |zone: &str| state.names.zones.iter().position(|known| known == zone);
+        let alive_zones = cluster.alive_zones();
+        let named = |name: &str, zone: Option<&String>| Gateway {
+            number: xxh3_64(name.as_bytes()),
+            zone: zone.and_then(|zone| zone_index(zone)),
+        };
+        Members {
+            me: named(cluster.member_name(), alive_zones.get(cluster.member_name())),
+            alive: alive_zones.iter().map(|(name, zone)| named(name, Some(zone))).collect(),
+        }
+    }
+}
+
+/// This gateway and all that are alive.
+struct Members {
+    me: Gateway,
+    alive: BTreeSet<Gateway>,
+}
+
+/// An assignment of engines to gateways, and what it was worked out from.
+#[derive(Default)]
+struct Assignment {
+    gateways: BTreeSet<Gateway>,
+    engines: Vec<Listed>,
+    plan: Plan,
+}
+
+/// Starts the coroutine, and has the policy use no engine until it is told of some.
+pub fn start(state: &Arc<State>, cluster: Option<Arc<Cluster>>, subsetting: Subsetting) {
+    let state = state.clone();
+    state.facade.narrow();
+    may::go!(move || run(&state, cluster.as_deref(), &subsetting));
+}
+
+fn run(state: &State, cluster: Option<&Cluster>, subsetting: &Subsetting) {
+    let mut aperture = Aperture::new(subsetting.settings.aperture, state.clock.now());
+    let mut assignment = Assignment::default();
+    let mut used = BTreeSet::new();
+    while !state.is_done() {
+        let engines: Vec<Listed> =
+            state.facade.listed_ready().into_iter().map(|(id, told)| Listed { id, told }).collect();
+        let Members { me, alive } = subsetting.members(state, cluster);
+        if alive != assignment.gateways || engines != assignment.engines {
+            let needs = needs(&engines, &subsetting.classes);
+            let plan = Plan::make(subsetting.settings.plan, &alive, &engines, &needs);
+            assignment = Assignment { gateways: alive, engines, plan };
+        }
+        let now = state.clock.now();
+        if !used.is_empty() {
+            observe_used(state, &mut aperture, &assignment, me, &used, now);
+        }
+        let now_used = aperture.used(&assignment.plan, me, &assignment.engines);
+        if now_used != used {
+            log_change(state, &assignment, &aperture, &used, &now_used);
+            used = now_used;
+        }
+        let fractions = used.iter().filter_map(|id| Some((*id, assignment.plan.part(*id)?))).collect();
+        state.facade.use_engines(&used, fractions);
+        state.sleep(subsetting.settings.look);
+    }
+}
+
+/// Has the aperture widen or narrow by how the engines in use are.
+fn observe_used(
+    state: &State,
+    aperture: &mut Aperture,
+    assignment: &Assignment,
+    me: Gateway,
+    used: &BTreeSet<u32>,
+    now: Timestamp,
+) {
+    let ready: BTreeSet<u32> = assignment.engines.iter().map(|engine| engine.id).collect();
+    let mut sight = Sight { used: used.len(), ..Sight::default() };
+    for id in used {
+        let (is_unhealthy, is_congested) = state.facade.standing(*id).unwrap_or((true, false));
+        sight.bad += usize::from(is_unhealthy || !ready.contains(id));
+        sight.congested += usize::from(is_congested);
+    }
+    let assigned = assignment.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
+    aperture.look(sight, assignment.engines.len().saturating_sub(assigned), now);
+}
+
+fn log_change(
+    state: &State,
+    assignment: &Assignment,
+    aperture: &Aperture,
+    before: &BTreeSet<u32>,
+    now: &BTreeSet<u32>,
+) {
+    let ids: Vec<String> = now.iter().take(LOGGED_ENGINES).map(|id| format!("{id:08x}")).collect();
+    info!(state.log, "subset changed"; "added" => now.difference(before).count(),
+        "removed" => before.difference(now).count(), "gateways" => assignment.gateways.len(),
+        "beyond_assignment" => aperture.beyond(), "ids" => ids.join(" "),
+        "engines" => assignment.engines.len(), "used" => now.len());
+}
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,5 +1,6 @@
 //! The gateway's tests: codecs and memory as tables of cases, and the program on loopback sockets.
 
+mod cli;
 mod cluster;
 mod codecs;
 mod common;
