--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -30,7 +30,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Bytes of each coroutine's stack. Only pages that were touched count as memory; see docs/front.md.
+/// Bytes of each coroutine's stack. Only pages that were touched count as memory; see docs/gateway.md.
 const STACK_BYTES: usize = 64 * 1024;
 /// Coroutines that are made at the start and kept for reuse. Each has touched two pages of its stack: a thousand, the
 /// crate's default, are 8 MB and two thousand page faults of a gateway that uses some dozens.
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -6,7 +6,7 @@
 use crate::state::State;
 use larchfall_config::Settings;
 use larchfall_operator_config::Subsets;
-use larchfall_policy::interface::{Fleet, RequestClass};
+use larchfall_policy::interface::{EngineHealth, Fleet, RequestClass};
 use larchfall_policy::time::Timestamp;
 use larchfall_subsetting::aperture::{Aperture, Sight};
 use larchfall_subsetting::plan::Plan;
@@ -18,6 +18,8 @@
 
 /// Engines that one log line names at most.
 const LOGGED_ENGINES: usize = 64;
+/// What counts of an engine that is no longer listed.
+const UNKNOWN: EngineHealth = EngineHealth { ejected: true, congested: false };
 
 /// What an assignment is worked out from, but for members and engines.
 pub struct Subsetting {
@@ -117,9 +119,9 @@
     let ready: BTreeSet<u32> = assignment.engines.iter().map(|engine| engine.id).collect();
     let mut sight = Sight { used: used.len(), ..Sight::default() };
     for id in used {
-        let (is_unhealthy, is_congested) = state.facade.standing(*id).unwrap_or((true, false));
-        sight.bad += usize::from(is_unhealthy || !ready.contains(id));
-        sight.congested += usize::from(is_congested);
+        let health = state.facade.engine_health(*id).unwrap_or(UNKNOWN);
+        sight.bad += usize::from(health.ejected || !ready.contains(id));
+        sight.congested += usize::from(health.congested);
     }
     let assigned = assignment.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
     aperture.look(sight, assignment.engines.len().saturating_sub(assigned), now);
