--- a/crates/gateway/src/cluster/leases/load_reports.rs
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -6,9 +6,9 @@
 use crate::cluster::counters::increment;
 use crate::engines::attempt;
 use crate::state::{State, lock};
-use larchfall_leases::permit::Stamped;
-use larchfall_leases::probing::{Probe, Reading, duty, duty_of};
-use larchfall_leases::wire::{Matter, pages};
+use larchfall_leases::fencing::Fenced;
+use larchfall_leases::load_sharing::{HealthCheck, SharedLoadReport, health_check_role, role_index};
+use larchfall_leases::messages::{Payload, paginate};
 use larchfall_policy::interface::LoadReport;
 use slog::warn;
 use std::sync::Arc;
@@ -24,26 +24,26 @@
         ready: &[(usize, u32)],
     ) {
         let Some(probing) = &state.probing else { return };
-        let leases = {
+        let roles = {
             let mut probing = lock(probing);
-            if probing.begins(state.clock.now()) { probing.duties() } else { 0 }
+            if probing.start_round(state.clock.now()) { probing.roles() } else { 0 }
         };
-        for number in 0..leases {
+        for number in 0..roles {
             let engines: Vec<(usize, u32)> =
-                ready.iter().copied().filter(|(_, id)| duty_of(u64::from(*id), leases) == number).collect();
+                ready.iter().copied().filter(|(_, id)| role_index(u64::from(*id), roles) == number).collect();
             let outstanding = Arc::new(AtomicUsize::new(engines.len()));
             for (index, id) in engines {
                 let permit = lock(&self.leases)
-                    .permit(&duty(number), self.now())
-                    .map(|permit| permit.allow(Probe { engine: index }));
+                    .permit(&health_check_role(number), self.now())
+                    .map(|permit| permit.allow(HealthCheck { engine: index }));
                 let Some(allowed) = permit else { break };
                 let state = state.clone();
                 let cluster = cluster.clone();
                 let outstanding = outstanding.clone();
                 may::go!(move || {
-                    let report = attempt::probe(&state, allowed.action().engine);
+                    let report = attempt::probe(&state, allowed.into_action().engine);
                     if let (Some(report), Some(probing)) = (report, &state.probing) {
-                        lock(probing).read(encode_report(id, report), state.clock.now());
+                        lock(probing).record_own(encode_report(id, report), state.clock.now());
                     }
                     let is_last = outstanding.fetch_sub(1, Ordering::Relaxed) == 1;
                     if let Some(leases) = cluster.leases.as_ref().filter(|_| is_last) {
@@ -57,11 +57,11 @@
     /// Sends what was reported under a lease to all members, with its token, while it still lasts.
     fn send_load_reports(&self, state: &State, cluster: &Cluster, number: usize) {
         let Some(probing) = &state.probing else { return };
-        let reports = lock(probing).to_tell(number, state.clock.now());
-        let lease = duty(number);
-        for page in pages(reports, LIST_BYTES) {
-            let stamped = lock(&self.leases).permit(&lease, self.now()).map(|permit| permit.stamp(page));
-            let Some(stamped) = stamped else { return };
+        let reports = lock(probing).take_unsent(number, state.clock.now());
+        let lease = health_check_role(number);
+        for page in paginate(reports, LIST_BYTES) {
+            let fenced = lock(&self.leases).permit(&lease, self.now()).map(|permit| permit.fence(page));
+            let Some(fenced) = fenced else { return };
             let others: Vec<String> = lock(&cluster.members)
                 .live()
                 .map(|(name, _)| name)
@@ -69,35 +69,35 @@
                 .cloned()
                 .collect();
             for to in others {
-                self.send(cluster, &to, Matter::Readings(stamped.clone()));
+                self.send(cluster, &to, Payload::LoadReports(fenced.clone()));
             }
         }
     }
 
-    pub(super) fn on_load_reports(&self, state: &State, reports: &Stamped<Vec<Reading>>) {
+    pub(super) fn on_load_reports(&self, state: &State, reports: &Fenced<Vec<SharedLoadReport>>) {
         let Some(probing) = &state.probing else { return };
-        let accepted: Option<Vec<Reading>> = lock(probing)
-            .hear(reports, state.clock.now())
+        let accepted: Option<Vec<SharedLoadReport>> = lock(probing)
+            .on_reports(reports, state.clock.now())
             .map(|accepted| accepted.into_iter().copied().collect());
         let Some(accepted) = accepted else {
-            warn!(state.log, "load reports rejected"; "token" => reports.token, "lease" => &reports.duty);
+            warn!(state.log, "load reports rejected"; "token" => reports.token, "lease" => &reports.role);
             return;
         };
         for reading in accepted {
             increment(&self.counters.load_reports);
             let report =
-                LoadReport { in_hand: reading.in_hand.map(f64::from), busy: reading.busy.map(f64::from) };
+                LoadReport { in_hand: reading.in_flight.map(f64::from), busy: reading.busy.map(f64::from) };
             state.facade.told(reading.engine, report);
         }
     }
 }
 
-fn encode_report(engine: u32, report: LoadReport) -> Reading {
+fn encode_report(engine: u32, report: LoadReport) -> SharedLoadReport {
     let narrow = |value: Option<f64>| value.map(|value| value as f32);
-    Reading {
+    SharedLoadReport {
         engine: u64::from(engine),
         age_us: 0,
-        in_hand: narrow(report.in_hand),
+        in_flight: narrow(report.in_hand),
         busy: narrow(report.busy),
     }
 }
--- a/crates/gateway/src/cluster/leases/messages.rs
+++ b/crates/gateway/src/cluster/leases/messages.rs
@@ -4,8 +4,8 @@
 use crate::cluster::Cluster;
 use crate::cluster::counters::increment;
 use crate::state::{State, lock};
-use larchfall_leases::duties::{Change, Out, What};
-use larchfall_leases::wire::{Letter, Matter, Unreadable, Who};
+use larchfall_leases::manager::{LeaseEvent, LeaseEventKind, Output};
+use larchfall_leases::messages::{Datagram, MemberId, Payload};
 use slog::{info, warn};
 use std::net::SocketAddrV4;
 use std::sync::atomic::Ordering;
@@ -19,74 +19,71 @@
         from: SocketAddrV4,
     ) {
         increment(&self.counters.received);
-        let message = match Letter::open(bytes, &self.cluster_name) {
-            Ok(message) => message,
-            Err(Unreadable::Spoilt | Unreadable::Unsound | Unreadable::OtherCluster) => {
-                return increment(&self.counters.corrupt);
-            }
+        let Ok(datagram) = Datagram::decode(bytes, &self.cluster_name) else {
+            return increment(&self.counters.corrupt);
         };
-        if !is_known(cluster, &message.from, from) {
+        if !is_known(cluster, &datagram.sender, from) {
             return increment(&self.counters.unknown);
         }
-        match &message.matter {
-            Matter::Readings(reports) => self.on_load_reports(state, reports),
-            payload @ (Matter::AskShares { .. } | Matter::Shares { .. }) => {
-                self.on_quota_message(state, cluster, &message.from, payload);
+        match &datagram.payload {
+            Payload::LoadReports(reports) => self.on_load_reports(state, reports),
+            payload @ (Payload::RequestQuotas { .. } | Payload::Quotas { .. }) => {
+                self.on_quota_message(state, cluster, &datagram.sender, payload);
             }
             payload => {
-                let effects = lock(&self.leases).hear(&message.from, payload, self.now());
+                let effects = lock(&self.leases).on_message(&datagram.sender, payload, self.now());
                 self.apply(state, cluster, effects);
             }
         }
     }
 
-    pub(super) fn send(&self, cluster: &Cluster, to: &str, payload: Matter) {
+    pub(super) fn send(&self, cluster: &Cluster, to: &str, payload: Payload) {
         let address = lock(&cluster.members).table().get(to).map(|member| member.about.address);
         let Some(address) = address else {
             return increment(&self.counters.unknown);
         };
-        let bytes = Letter::new(&self.cluster_name, &self.me, payload).seal();
+        let bytes = Datagram::new(&self.cluster_name, &self.me, payload).encode();
         if cluster.socket.inner().send_to(&bytes, address).is_ok() {
             increment(&self.counters.sent);
         }
     }
 
     /// Sends, logs and carries out what came of a call. No lock is held here.
-    pub(super) fn apply(&self, state: &State, cluster: &Cluster, effects: Out) {
-        for (to, payload) in effects.letters {
-            self.send(cluster, &to, payload);
+    pub(super) fn apply(&self, state: &State, cluster: &Cluster, effects: Output) {
+        for message in effects.messages {
+            self.send(cluster, &message.to, message.payload);
         }
-        if let (Some(record), Some(records)) = (effects.write, &self.records) {
+        if let (Some(record), Some(records)) = (effects.record_to_write, &self.records) {
             // One is written at a time, so there is room.
             let _ = records.try_send(record);
         }
-        self.has_changed.fetch_or(!effects.changes.is_empty(), Ordering::Relaxed);
-        for change in effects.changes {
-            self.apply_change(state, cluster, change);
+        self.has_changed.fetch_or(!effects.events.is_empty(), Ordering::Relaxed);
+        for event in effects.events {
+            self.on_lease_event(state, cluster, event);
         }
     }
 
-    fn apply_change(&self, state: &State, cluster: &Cluster, change: Change) {
-        let Change { duty: lease, what } = change;
-        match what {
-            What::Holds { token } => {
+    fn on_lease_event(&self, state: &State, cluster: &Cluster, event: LeaseEvent) {
+        let LeaseEvent { role: lease, kind } = event;
+        match kind {
+            LeaseEventKind::Acquired { token } => {
                 info!(state.log, "lease acquired"; "token" => token, "lease" => lease);
             }
-            What::Ends { token, why, to } => {
-                info!(state.log, "lease ending"; "successor" => to.unwrap_or_default(),
-                    "reason" => format!("{why:?}"), "token" => token, "lease" => &lease);
+            LeaseEventKind::Ending { token, reason, successor } => {
+                info!(state.log, "lease ending"; "successor" => successor.unwrap_or_default(),
+                    "reason" => format!("{reason:?}"), "token" => token, "lease" => &lease);
                 self.supervisor.end(&lease);
                 if !self.supervisor.is_running(&lease) {
-                    let effects = lock(&self.leases).stopped(&lease, self.now());
+                    let effects = lock(&self.leases).on_work_stopped(&lease, self.now());
                     self.apply(state, cluster, effects);
                 }
             }
-            What::Lost { token, why } => {
-                warn!(state.log, "lease lost"; "reason" => format!("{why:?}"), "token" => token, "lease" => &lease);
+            LeaseEventKind::Lost { token, reason } => {
+                warn!(state.log, "lease lost"; "reason" => format!("{reason:?}"), "token" => token, "lease" => &lease);
                 self.supervisor.end(&lease);
             }
-            What::GivenBack { token, to } => {
-                info!(state.log, "lease released"; "successor" => to.unwrap_or_default(), "token" => token,
+            LeaseEventKind::Released { token, successor } => {
+                info!(state.log, "lease released"; "successor" => successor.unwrap_or_default(), "token" => token,
                     "lease" => lease);
             }
         }
@@ -95,7 +92,7 @@
 
 /// Whether membership knows the sender, at the address that it knows it by. A process that was taken for dead for a
 /// while goes on there under a later generation, and here under that of its start: it is the same one.
-fn is_known(cluster: &Cluster, sender: &Who, from: SocketAddrV4) -> bool {
+fn is_known(cluster: &Cluster, sender: &MemberId, from: SocketAddrV4) -> bool {
     lock(&cluster.members)
         .table()
         .get(&sender.name)
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -14,13 +14,13 @@
 use super::supervisor::Supervisor;
 use crate::platform::Platform;
 use crate::state::{State, lock};
-use larchfall_leases::duties::{Duties, Settings};
-use larchfall_leases::elector::Bounds;
-use larchfall_leases::fitness::{Fitness, Lines, Sight};
-use larchfall_leases::record::{Disk, Record, find};
-use larchfall_leases::wire::Who;
+use larchfall_leases::fitness::{Fitness, FitnessInputs, FitnessThresholds};
+use larchfall_leases::manager::{LeaseManager, LeaseSettings};
+use larchfall_leases::messages::MemberId;
+use larchfall_leases::voter::VoterLimits;
+use larchfall_leases::voter_record::{DamagedFile, Disk, VoterRecord, load};
 use larchfall_membership::members::Member;
-use larchfall_operator_config::Duties as LeaseSettings;
+use larchfall_operator_config::Duties as OperatorSettings;
 use larchfall_policy::time::{Duration, Timestamp};
 use quota_exchange::{QuotaExchange, QuotaInputs};
 use slog::{info, warn};
@@ -49,14 +49,14 @@
 
 /// Leased roles, and what this gateway does while it holds some.
 pub struct LeaseService {
-    leases: Mutex<Duties>,
-    me: Who,
+    leases: Mutex<LeaseManager>,
+    me: MemberId,
     cluster_name: String,
     platform: Platform,
-    fitness_limits: Mutex<Lines>,
+    fitness_thresholds: Mutex<FitnessThresholds>,
     fitness: Mutex<Fitness>,
     /// To the thread that writes the voter record, where there is a disk for it.
-    records: Option<SyncSender<Record>>,
+    records: Option<SyncSender<VoterRecord>>,
     supervisor: Supervisor,
     /// Quotas that are allocated by lease holders, where the operator's file has them.
     quotas: Option<QuotaExchange>,
@@ -69,9 +69,9 @@
 /// What the service is made of.
 pub struct LeaseSetup {
     /// The operator's settings.
-    pub settings: LeaseSettings,
+    pub settings: OperatorSettings,
     /// This process.
-    pub me: Who,
+    pub me: MemberId,
     /// Seed of the package's random choices.
     pub seed: u64,
     /// Clocks and the disk.
@@ -95,22 +95,22 @@
         let now = (platform.steady_clock)();
         // One that is no voter now may become one, when the file is read again.
         let mut disk = site.record.as_ref().map(|folder| (platform.open_disk)(folder));
-        let is_voter = site.settings.electors.has(&me.name);
+        let is_voter = site.settings.voters.contains(&me.name);
         let record = read_record(state, disk.as_mut(), is_voter);
         let settings = site.settings;
-        let quotas = site
-            .keepers
-            .map(|keepers| QuotaExchange::new(state, keepers, settings.terms.margin, quota_inputs, now));
+        let quotas = site.keepers.map(|keepers| {
+            QuotaExchange::new(state, keepers, settings.terms.drift_margin_per_mille, quota_inputs, now)
+        });
         let cluster_name = settings.cluster.clone();
         let unix_time = (platform.unix_clock)().micros();
-        let leases = Duties::new(me.clone(), settings, record.as_ref(), unix_time, seed, now);
+        let leases = LeaseManager::new(me.clone(), settings, record.as_ref(), unix_time, seed, now);
         let (records, record_writer) = disk.map(RecordWriter::new).unzip();
         let service = LeaseService {
             leases: Mutex::new(leases),
             me,
             cluster_name,
             platform,
-            fitness_limits: Mutex::new(site.lines),
+            fitness_thresholds: Mutex::new(site.lines),
             fitness: Mutex::default(),
             records,
             supervisor: Supervisor::start(site.programs)?,
@@ -127,15 +127,17 @@
     }
 
     /// Takes over a file that was read again, or rejects it whole where the change can't be made safely.
-    pub(super) fn reload(&self, state: &State, cluster: &Cluster, settings: LeaseSettings) {
+    pub(super) fn reload(&self, state: &State, cluster: &Cluster, settings: OperatorSettings) {
         // Whether there is a disk was settled at the start.
-        let bounds = Bounds { keeps: self.records.is_some(), ..settings.settings.bounds };
-        let leases = Settings { bounds, ..settings.settings };
-        let result = lock(&self.leases).set(leases, (self.platform.unix_clock)().micros(), self.now());
+        let voter_limits =
+            VoterLimits { persistent: self.records.is_some(), ..settings.settings.voter_limits };
+        let leases = LeaseSettings { voter_limits, ..settings.settings };
+        let result =
+            lock(&self.leases).update_settings(leases, (self.platform.unix_clock)().micros(), self.now());
         match result {
             Ok(effects) => {
                 self.supervisor.reload(settings.programs);
-                *lock(&self.fitness_limits) = settings.lines;
+                *lock(&self.fitness_thresholds) = settings.lines;
                 self.apply(state, cluster, effects);
             }
             Err(error) => warn!(state.log, "lease settings rejected"; "reason" => error.to_string()),
@@ -145,7 +147,7 @@
     pub(super) fn due_in(&self) -> Duration {
         let now = self.now();
         let quotas_due = self.quotas.as_ref().map_or(quota_exchange::IDLE, |quotas| quotas.due_in(now));
-        let due = lock(&self.leases).due().since(now).min(quotas_due);
+        let due = lock(&self.leases).next_timer().since(now).min(quotas_due);
         // Programs end by themselves, and a lease just acquired is to be acted on: both are looked for in between.
         let poll = (*lock(&self.last_timer) + PROGRAM_POLL_INTERVAL).since(now);
         let is_to_poll = self.has_changed.load(Ordering::Relaxed) || self.supervisor.is_running_any();
@@ -164,7 +166,7 @@
     }
 
     pub(super) fn on_name_taken(&self, state: &State, cluster: &Cluster) {
-        let effects = lock(&self.leases).name_taken(self.now());
+        let effects = lock(&self.leases).on_name_taken(self.now());
         self.apply(state, cluster, effects);
     }
 
@@ -182,14 +184,19 @@
         drop(members);
         let (listed, ready) = state.facade.listed();
         let heard = Timestamp::from_micros(state.discovery_heard.load(Ordering::Relaxed));
-        let sight = Sight { listed, ready: ready.len(), silence: state_now.since(heard), health: own_health };
-        let limits = *lock(&self.fitness_limits);
-        let is_fit = lock(&self.fitness).is_fit(limits, sight);
+        let inputs = FitnessInputs {
+            listed_engines: listed,
+            ready_engines: ready.len(),
+            discovery_silence: state_now.since(heard),
+            health_score: own_health,
+        };
+        let thresholds = *lock(&self.fitness_thresholds);
+        let is_fit = lock(&self.fitness).update(thresholds, inputs);
         let effects = {
             let mut leases = lock(&self.leases);
-            leases.live(alive_since);
-            leases.fit(is_fit);
-            leases.wake(now)
+            leases.set_live_members(alive_since);
+            leases.set_fit(is_fit);
+            leases.on_timer(now)
         };
         self.apply(state, cluster, effects);
         self.update_programs(state, cluster);
@@ -199,10 +206,10 @@
 }
 
 /// The voter record as it is on disk, if there is one.
-fn read_record(state: &State, disk: Option<&mut Box<dyn Disk>>, is_voter: bool) -> Option<Record> {
+fn read_record(state: &State, disk: Option<&mut Box<dyn Disk>>, is_voter: bool) -> Option<VoterRecord> {
     let has_disk = disk.is_some();
-    let found = disk.map(|disk| find(disk.as_mut())).unwrap_or_default();
-    for (file, reason) in &found.damaged {
+    let found = disk.map(|disk| load(disk.as_mut())).unwrap_or_default();
+    for DamagedFile { file, reason } in &found.damaged {
         warn!(state.log, "voter record damaged"; "reason" => reason, "file" => file);
     }
     if is_voter {
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -5,9 +5,9 @@
 use crate::cluster::Cluster;
 use crate::state::{State, lock};
 use larchfall_config::Settings;
-use larchfall_leases::permit::Stamped;
-use larchfall_leases::probing::{duty_of, keeper};
-use larchfall_leases::wire::{Matter, Who, pages};
+use larchfall_leases::fencing::Fenced;
+use larchfall_leases::load_sharing::{quota_allocator_role, role_index};
+use larchfall_leases::messages::{MemberId, Payload, QuotaDemand, QuotaGrant, paginate};
 use larchfall_operator_config::{Keepers, Kinds};
 use larchfall_policy::interface::{RequestClass, SlowStartPolicy};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -132,22 +132,24 @@
             let mut quotas = lock(&exchange.quotas);
             let allocators = quotas.keepers();
             let wanted = |demand: &Demand| exchange.wanted(state, demand);
-            let allocator_of = |capacity| duty_of(capacity, allocators);
+            let allocator_of = |capacity| role_index(capacity, allocators);
             let requests = quotas.asks(|| state.facade.came(), wanted, allocator_of, now);
             (requests, quotas.terms())
         };
         exchange.apply(state, now);
         for request in requests {
-            let lease = keeper(request.keeper);
+            let lease = quota_allocator_role(request.keeper);
             let holder = lock(&self.leases).holder(&lease, now).map(str::to_owned);
             let Some(holder) = holder else { continue };
-            for wants in pages(request.wants, LIST_BYTES) {
-                let message = Matter::AskShares {
-                    duty: lease.clone(),
+            let demands =
+                request.wants.into_iter().map(|(capacity, weight)| QuotaDemand { capacity, weight });
+            for demands in paginate(demands, LIST_BYTES) {
+                let message = Payload::RequestQuotas {
+                    role: lease.clone(),
                     round: request.round,
                     gateways: gateways as u32,
                     length_us: length.micros(),
-                    wants,
+                    demands,
                 };
                 self.send_quota_message(state, cluster, &holder, message);
             }
@@ -155,7 +157,7 @@
     }
 
     /// To a member, which may be this gateway itself.
-    fn send_quota_message(&self, state: &State, cluster: &Cluster, to: &str, message: Matter) {
+    fn send_quota_message(&self, state: &State, cluster: &Cluster, to: &str, message: Payload) {
         if to == self.me.name {
             self.on_quota_message(state, cluster, &self.me, &message);
         } else {
@@ -163,23 +165,31 @@
         }
     }
 
-    pub(super) fn on_quota_message(&self, state: &State, cluster: &Cluster, from: &Who, message: &Matter) {
+    pub(super) fn on_quota_message(
+        &self,
+        state: &State,
+        cluster: &Cluster,
+        from: &MemberId,
+        message: &Payload,
+    ) {
         let Some(exchange) = &self.quotas else { return };
         match message {
-            Matter::AskShares { duty: lease, round, gateways, length_us, wants } => {
+            Payload::RequestQuotas { role: lease, round, gateways, length_us, demands } => {
                 let terms = (*gateways as usize, Duration::from_micros(*length_us));
-                let Some(granted) = self.allocate(exchange, lease, (&from.name, terms), wants) else {
+                let Some(granted) = self.allocate(exchange, lease, (&from.name, terms), demands) else {
                     return;
                 };
-                for page in pages(granted.action, LIST_BYTES) {
-                    let parts = Stamped { duty: granted.duty.clone(), token: granted.token, action: page };
-                    let message = Matter::Shares { round: *round, parts };
+                for page in paginate(granted.content, LIST_BYTES) {
+                    let grants = Fenced { role: granted.role.clone(), token: granted.token, content: page };
+                    let message = Payload::Quotas { round: *round, grants };
                     self.send_quota_message(state, cluster, &from.name, message);
                 }
             }
-            Matter::Shares { round, parts } => {
+            Payload::Quotas { round, grants } => {
                 let now = self.now();
-                let accepted = lock(&exchange.quotas).granted(*round, parts.token, &parts.action, now);
+                let handed: Vec<(u64, f64)> =
+                    grants.content.iter().map(|grant| (grant.capacity, grant.fraction)).collect();
+                let accepted = lock(&exchange.quotas).granted(*round, grants.token, &handed, now);
                 self.counters.quotas.fetch_add(accepted as u64, Ordering::Relaxed);
                 exchange.apply(state, now);
             }
@@ -193,13 +203,16 @@
         exchange: &QuotaExchange,
         lease: &str,
         requester: (&str, (usize, Duration)),
-        wants: &[(u64, f32)],
-    ) -> Option<Stamped<Vec<(u64, f64)>>> {
+        demands: &[QuotaDemand],
+    ) -> Option<Fenced<Vec<QuotaGrant>>> {
         let now = self.now();
         // Held until the quotas are stamped: none is allocated that the next holder may not know to be over in time.
         let leases = lock(&self.leases);
         let permit = leases.permit(lease, now)?;
-        let granted = lock(&exchange.quotas).answer(permit.token, requester, wants, now);
-        Some(permit.stamp(granted))
+        let wants: Vec<(u64, f32)> = demands.iter().map(|demand| (demand.capacity, demand.weight)).collect();
+        let granted = lock(&exchange.quotas).answer(permit.token, requester, &wants, now);
+        let grants =
+            granted.into_iter().map(|(capacity, fraction)| QuotaGrant { capacity, fraction }).collect();
+        Some(permit.fence(grants))
     }
 }
--- a/crates/gateway/src/cluster/leases/status.rs
+++ b/crates/gateway/src/cluster/leases/status.rs
@@ -3,8 +3,9 @@
 use super::LeaseService;
 use crate::cluster::counters::count;
 use crate::state::{State, lock};
-use larchfall_leases::duties::View;
-use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_leases::load_sharing::ReportAges;
+use larchfall_leases::manager::{KnownLease, LastEnd, RoleStatus};
+use larchfall_policy::time::Timestamp;
 use larchfall_quotas::keeper::Fairness;
 use slog::info;
 use std::collections::BTreeMap;
@@ -20,30 +21,31 @@
     /// By lease: its name, its holder, its token, what remains in milliseconds, why and when it last ended here.
     pub(in crate::cluster) fn lease_rows(&self) -> Vec<Vec<String>> {
         let now = self.now();
-        let row = |view: View| {
-            let here =
-                view.held.map(|(token, expires)| Holding { holder: self.me.name.clone(), token, expires });
-            let elsewhere = || {
-                view.known.map(|known| Holding {
-                    holder: known.holder.name.clone(),
-                    token: known.token,
-                    expires: known.until,
-                })
+        let row = |status: RoleStatus| {
+            let here = status.held.map(|held| Holding {
+                holder: self.me.name.clone(),
+                token: held.token,
+                expires: held.expires_at,
+            });
+            let elsewhere = |known: &KnownLease| Holding {
+                holder: known.holder.name.clone(),
+                token: known.token,
+                expires: known.expires_at,
             };
-            let holding = here.or_else(elsewhere);
+            let holding = here.or_else(|| status.known.map(elsewhere));
             let remaining = holding.as_ref().map_or(0, |held| held.expires.since(now).micros() / 1000);
-            let last = view.last.map_or(String::new(), |(reason, at)| {
-                format!("{reason:?} {:.1} s ago", now.since(at).secs())
+            let last_end = status.last_end.map_or(String::new(), |LastEnd { reason, at }| {
+                format!("{} {:.1} s ago", reason.status_word(), now.since(at).secs())
             });
             vec![
-                view.duty.to_owned(),
+                status.role.to_owned(),
                 holding.as_ref().map_or(String::new(), |held| held.holder.clone()),
                 holding.as_ref().map_or(0, |held| held.token).to_string(),
                 remaining.to_string(),
-                last,
+                last_end,
             ]
         };
-        lock(&self.leases).view(now).map(row).collect()
+        lock(&self.leases).statuses(now).map(row).collect()
     }
 
     /// By capacity: its name, this gateway's fraction, whether that was granted; where it is allocated here, how many
@@ -78,20 +80,19 @@
     fn log_counters(&self, state: &State) {
         let counters = &self.counters;
         let mut rejected = 0;
-        let mut report_age = Duration::ZERO;
-        let mut without_report = 0;
+        let mut ages = ReportAges::default();
         if let Some(probing) = &state.probing {
             let ids = state.facade.listed().1.into_iter().map(|(_, id)| u64::from(id));
             let probing = lock(probing);
-            rejected = probing.refused();
-            (report_age, without_report) = probing.ages(ids, state.clock.now());
+            rejected = probing.rejected();
+            ages = probing.report_ages(ids, state.clock.now());
         }
         info!(state.log, "lease counters"; "received" => count(&counters.received), "sent" => count(&counters.sent),
             "unknown" => count(&counters.unknown), "corrupt" => count(&counters.corrupt),
             "records_written" => count(&counters.records), "records_failed" => count(&counters.records_failed),
             "load_reports" => count(&counters.load_reports), "load_reports_rejected" => rejected,
-            "quota_messages" => count(&counters.quotas), "load_reports_age_ms" => report_age.micros() / 1000,
-            "engines_without_report" => without_report);
+            "quota_messages" => count(&counters.quotas), "load_reports_age_ms" => ages.mean_age.micros() / 1000,
+            "engines_without_report" => ages.engines_without_report);
     }
 
     fn log_quotas(&self, state: &State) {
--- a/crates/gateway/src/cluster/leases/supervised_programs.rs
+++ b/crates/gateway/src/cluster/leases/supervised_programs.rs
@@ -12,14 +12,15 @@
         for exited in self.supervisor.take_exited(self.now()) {
             info!(state.log, "supervised program exited"; "status" => exited.status, "token" => exited.token,
                 "lease" => &exited.lease);
-            let effects = lock(&self.leases).stopped(&exited.lease, self.now());
+            let effects = lock(&self.leases).on_work_stopped(&exited.lease, self.now());
             self.apply(state, cluster, effects);
         }
         for lease in self.supervisor.leases() {
             let now = self.now();
             let boot_now = boot_time();
             // Looked at immediately before: the supervising process is told what is left from here on.
-            let held = lock(&self.leases).permit(&lease, now).map(|permit| (permit.token, permit.left(now)));
+            let held =
+                lock(&self.leases).permit(&lease, now).map(|permit| (permit.token, permit.remaining(now)));
             if let Some((token, remaining)) = held {
                 self.supervisor.may_run(&lease, token, boot_now + remaining, now);
             }
--- a/crates/gateway/src/cluster/leases/voter_record.rs
+++ b/crates/gateway/src/cluster/leases/voter_record.rs
@@ -4,7 +4,7 @@
 use crate::cluster::Cluster;
 use crate::cluster::counters::increment;
 use crate::state::{State, lock};
-use larchfall_leases::record::{Disk, Record, keep};
+use larchfall_leases::voter_record::{Disk, VoterRecord, store};
 use slog::warn;
 use std::io;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 /// What writes records, before its thread runs.
 pub struct RecordWriter {
     disk: Box<dyn Disk>,
-    records: Receiver<Record>,
+    records: Receiver<VoterRecord>,
 }
 
 impl RecordWriter {
     /// With the sender of the records that it writes: one at a time.
-    pub(super) fn new(disk: Box<dyn Disk>) -> (SyncSender<Record>, RecordWriter) {
+    pub(super) fn new(disk: Box<dyn Disk>) -> (SyncSender<VoterRecord>, RecordWriter) {
         let (sender, records) = sync_channel(1);
         (sender, RecordWriter { disk, records })
     }
@@ -30,7 +30,7 @@
         let cluster = cluster.clone();
         std::thread::Builder::new().spawn(move || {
             for record in records {
-                let result = keep(disk.as_mut(), &record);
+                let result = store(disk.as_mut(), &record);
                 if let Some(leases) = &cluster.leases {
                     leases.on_record_written(&state, &cluster, &result);
                 }
@@ -47,7 +47,7 @@
             increment(&self.counters.records_failed);
             warn!(state.log, "voter record not written"; "error" => error.to_string());
         }
-        let effects = lock(&self.leases).written(result.is_ok(), self.now());
+        let effects = lock(&self.leases).on_record_written(result.is_ok(), self.now());
         self.apply(state, cluster, effects);
     }
 }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -137,7 +137,7 @@
         {
             gossip.on_datagram(state, self, bytes, from);
         } else if let Some(leases) = &self.leases
-            && version == Some(&larchfall_leases::wire::VERSION)
+            && version == Some(&larchfall_leases::messages::VERSION)
         {
             leases.on_datagram(state, self, bytes, from);
         } else if version == Some(&status_query::VERSION) {
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,7 +1,7 @@
 //! What leases need of the machine: a steady clock that also runs during system sleep, the Unix clock, and a directory
 //! for the voter record. Fault tests put others in their place; the shipped program has no way to.
 
-use larchfall_leases::record::Disk;
+use larchfall_leases::voter_record::Disk;
 use larchfall_policy::time::{Duration, Timestamp};
 use rustix::time::{ClockId, clock_gettime};
 use std::fs::{self, File};
@@ -76,7 +76,7 @@
         fs::rename(self.path.join(from), self.path.join(to))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
--- a/crates/gateway/src/startup/cluster.rs
+++ b/crates/gateway/src/startup/cluster.rs
@@ -7,7 +7,7 @@
 use crate::cluster::{Cluster, ClusterSetup};
 use crate::platform::Platform;
 use crate::state::State;
-use larchfall_leases::wire::Who;
+use larchfall_leases::messages::MemberId;
 use larchfall_membership::claim::About;
 use larchfall_membership::count::Count;
 use larchfall_membership::members::Members;
@@ -42,7 +42,7 @@
     let now = state.clock.now();
     let gateway_count = gateways.count.map(|count| Count::new(count, quota_inputs.gateways, now));
     // The time of its start, so that each process under this name is another one than the one before.
-    let me = Who { name: gateways.name, generation: now.micros() };
+    let me = MemberId { name: gateways.name, generation: now.micros() };
     let cluster_name = gateways.settings.cluster.clone();
     let members = Members::new(&me.name, me.generation, about, gateways.settings, seed, now);
     let member_name = me.name.clone();
--- a/crates/gateway/src/startup/state.rs
+++ b/crates/gateway/src/startup/state.rs
@@ -12,7 +12,7 @@
 use crate::state::pool::Pool;
 use crate::state::stalls::Stalls;
 use larchfall_config::Settings;
-use larchfall_leases::probing::{self, Probing};
+use larchfall_leases::load_sharing::{LoadReportSharing, LoadSharingSettings};
 use larchfall_policy::interface::{Caps, Idempotency, PolicyConfig};
 use larchfall_policy::policy::Policy;
 use larchfall_policy::time::Duration;
@@ -37,7 +37,7 @@
     pub(super) seed: u64,
     pub(super) log: Logger,
     /// Load reports shared between gateways, where the operator's file has them.
-    pub(super) probing: Option<probing::Settings>,
+    pub(super) probing: Option<LoadSharingSettings>,
     pub(super) clock: Clock,
 }
 
@@ -81,6 +81,6 @@
         done: AtomicBool::new(false),
         discovery: AtomicU64::new(0),
         discovery_heard: AtomicU64::new(clock.now().micros()),
-        probing: probing.map(|settings| Mutex::new(Probing::new(settings, clock.now()))),
+        probing: probing.map(|settings| Mutex::new(LoadReportSharing::new(settings, clock.now()))),
     }
 }
