--- a/crates/fault-tests/src/process.rs
+++ b/crates/fault-tests/src/process.rs
@@ -28,7 +28,7 @@
        "aim":1000000,"hard_limit":30000000,"worth":2.0}],
     "domain":{"threads_by_class":[1,1,1],"size_cores":[64],"size_mb":[65536],"grants":true,"note_period":0},
     "parties":[{"name":"acme","allowance_per_s":1000}],
-    "safety":{"slow_start_from":0.3,"fall":2000000,"fall_multiple":3.0,"ramp_time":14000000,"drain_grace":2000000}}"#
+    "safety":{"cold_from":0.3,"fall":2000000,"fall_multiple":3.0,"ramp_time":14000000,"drain_grace":2000000}}"#
         .to_owned()
 }
 
@@ -56,7 +56,7 @@
         .collect();
     format!(
         r#"{{"name":"n0","listen":"{listen}","seed":"8c1f30d27a5be964",
-            "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"discovery":"{discovery}",
+            "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"board":"{discovery}",
             "known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"generation":1,"reset":true,"instances":[{}]}}}}]}},
             "settings":{settings}}}"#,
         known.join(",")
