--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -2,10 +2,11 @@
 
 mod cluster;
 mod codecs;
+mod combined_faults;
 mod common;
-mod cost;
-mod crossings;
 mod memory;
+mod protocol_cost;
+mod races;
 mod rest;
+mod scripted_engine;
 mod sockets;
-mod together;
--- a/crates/gateway/tests/gateway/crossings.rs
+++ b/crates/gateway/tests/gateway/races.rs
@@ -1,15 +1,15 @@
-//! Moments in which two things cross, each forced: engines and clients here are scripts that hold, split or release bytes at
-//! a marked point. The list of them is docs/races.md.
+//! Races, each forced: engines and clients here are scripts that hold, split or release bytes at a marked point. The list
+//! of races is docs/races.md.
 
 use crate::common::{Full, Gateway, PROGRAM, config, config_of, settings, wait_for};
+use crate::scripted_engine::{ScriptedEngine, read_call, reply, result_reply};
 use larchfall_fault_tests::relay::{Relays, Way};
 use larchfall_stub::client::{Answer, Client, request};
 use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::{Act, Engine};
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{TcpListener, TcpStream};
 use std::process::{Command, Stdio};
-use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -29,80 +29,10 @@
     Answer::Rows(text.as_bytes().to_vec())
 }
 
-fn refused() -> Answer {
+fn rejected() -> Answer {
     Answer::Error("Rejected".into(), Some("500".into()))
 }
 
-fn served(rows: &str) -> Vec<u8> {
-    reply("200 OK", "Page-Count: 1\r\n", rows)
-}
-
-fn reply(status: &str, head: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status}\r\n{head}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
-}
-
-/// One call as an engine reads it.
-#[derive(Clone, Debug)]
-struct Call {
-    /// Verb and path.
-    line: String,
-    head: String,
-    body: String,
-}
-
-fn read_call(input: &mut impl BufRead) -> Option<Call> {
-    let mut lines = Vec::new();
-    loop {
-        let mut line = String::new();
-        if input.read_line(&mut line).ok()? == 0 {
-            return None;
-        }
-        match line.trim() {
-            "" => break,
-            line => lines.push(line.to_ascii_lowercase()),
-        }
-    }
-    let length = lines.iter().find_map(|l| l.strip_prefix("content-length: ")?.parse().ok()).unwrap_or(0);
-    let mut body = vec![0; length];
-    input.read_exact(&mut body).ok()?;
-    let body = String::from_utf8(body).ok()?;
-    Some(Call { line: lines[0].clone(), head: lines.join("\n"), body })
-}
-
-/// An engine that does with each call what the script says; the connection ends where that says false.
-struct Script {
-    address: SocketAddr,
-    calls: Arc<Mutex<Vec<Call>>>,
-}
-
-impl Script {
-    fn start(plays: impl Fn(&Call, &mut TcpStream) -> bool + Send + Sync + 'static) -> Script {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, plays) = (listener.local_addr().unwrap(), Arc::new(plays));
-        let calls: Arc<Mutex<Vec<Call>>> = Arc::default();
-        let seen = calls.clone();
-        thread::spawn(move || {
-            for mut stream in listener.incoming().flatten() {
-                let (plays, seen) = (plays.clone(), seen.clone());
-                thread::spawn(move || {
-                    let mut input = BufReader::new(stream.try_clone().unwrap());
-                    while let Some(call) = read_call(&mut input) {
-                        seen.lock().unwrap().push(call.clone());
-                        if !plays(&call, &mut stream) {
-                            return;
-                        }
-                    }
-                });
-            }
-        });
-        Script { address, calls }
-    }
-
-    fn posts(&self) -> Vec<Call> {
-        self.calls.lock().unwrap().iter().filter(|c| c.line.starts_with("post")).cloned().collect()
-    }
-}
-
 /// What came on it until it ended.
 fn all_of(mut stream: TcpStream) -> String {
     stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
@@ -111,7 +41,8 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn patient() -> String {
+/// Settings under which a connection to an engine may take long to come up.
+fn slow_connect_settings() -> String {
     settings().replace(r#""connect_timeout":250000"#, r#""connect_timeout":20000000"#)
 }
 
@@ -121,16 +52,16 @@
     bytes
 }
 
-/// Guards against a call that goes out on a connection on which a second copy of the answer before it is still to come: it
+/// Guards against a call that goes out on a connection on which a duplicate of the answer before it is still to come: it
 /// took that for its own, and its client had another's rows.
 #[test]
-fn a_second_copy_of_an_answer_is_not_taken_for_the_next_ones() {
-    let engine = Script::start(|call, stream| {
-        // The second answer takes longer than the copy of the first.
+fn a_duplicate_answer_is_not_taken_for_the_next_one() {
+    let engine = ScriptedEngine::start(|call, stream| {
+        // The second answer takes longer than the duplicate of the first.
         if call.body == "second" {
             thread::sleep(Duration::from_millis(60));
         }
-        let answer = served(&format!("{}\n", call.body));
+        let answer = result_reply(&format!("{}\n", call.body));
         stream.write_all(&answer).unwrap();
         thread::sleep(Duration::from_millis(10));
         stream.write_all(&answer).is_ok()
@@ -143,21 +74,21 @@
     }
 }
 
-/// Guards against statuses that no engine gives to this call: a spoilt answer is no word of the engine's that the query has
-/// ended, or never ran.
+/// Guards against statuses that no engine gives to this call: a corrupt answer does not say that the query has ended, or
+/// never ran.
 #[test]
-fn an_answer_that_no_engine_gives_to_a_call_proves_nothing_and_the_query_is_asked_after() {
-    let spoilt = [
+fn an_answer_that_no_engine_gives_to_a_call_proves_nothing_and_the_query_is_polled() {
+    let corrupt = [
         reply("204 No Content", "", ""),
         reply("404 Not Found", "", ""),
         reply("503 Unavailable", "", ""),
         reply("200 OK", "", ""),
         reply("200 OK", "Page-No: 1\r\n", "another\n"),
     ];
-    for answer in spoilt {
+    for answer in corrupt {
         let said = String::from_utf8_lossy(&answer).into_owned();
-        let engine = Script::start(move |call, stream| {
-            let answer = if call.line.starts_with("post") { answer.clone() } else { served("own\n") };
+        let engine = ScriptedEngine::start(move |call, stream| {
+            let answer = if call.line.starts_with("post") { answer.clone() } else { result_reply("own\n") };
             stream.write_all(&answer).is_ok()
         });
         let gateway = Gateway::start(Some(engine.address));
@@ -168,12 +99,13 @@
     }
 }
 
-/// Guards against what is sent on for a client that left while its connection to the engine came up.
+/// Guards against a request that is sent although its client disconnected while the connection to the engine came up.
 #[test]
-fn what_its_client_left_during_a_slow_dial_is_not_sent() {
+fn what_its_client_abandoned_during_a_slow_connect_is_not_sent() {
     let engine = Full::start();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", discovery.address, &[engine.address()], 256, &patient());
+    let text =
+        config_of("127.0.0.1:0", discovery.address, &[engine.address()], 256, &slow_connect_settings());
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
@@ -189,13 +121,14 @@
     assert!(call.head.contains(NEXT), "{call:?}");
 }
 
-/// Guards against a repeat that was placed within its window and begins after it, since its connection came up late.
+/// Guards against a retry that was routed within its deduplication window and begins after it, since its connection came up
+/// late.
 #[test]
-fn a_repeat_whose_window_ends_during_a_slow_dial_is_not_sent() {
+fn a_retry_whose_window_ends_during_a_slow_connect_is_not_sent() {
     let first = TcpListener::bind("127.0.0.1:0").unwrap();
     let at_first = first.local_addr().unwrap();
     let second = Full::start();
-    let short = patient().replace(r#""dedup_window":12000000"#, r#""dedup_window":1500000"#);
+    let short = slow_connect_settings().replace(r#""dedup_window":12000000"#, r#""dedup_window":1500000"#);
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let text = config_of("127.0.0.1:0", discovery.address, &[at_first], 256, &short);
     let gateway = Gateway::start_with(discovery, &text);
@@ -206,7 +139,7 @@
     assert!(read_call(&mut BufReader::new(held.try_clone().unwrap())).is_some());
     // The other one joins before the first one dies with the call in its hands.
     gateway.list(2, &[(1, at_first, 0), (2, second.address(), 0)]);
-    wait_for("the front to hear of it", || {
+    wait_for("the gateway to apply it", || {
         gateway.signal("-USR1");
         gateway.log.last("discovery_events: ")?.contains("discovery_events: 2,").then_some(())
     });
@@ -216,12 +149,12 @@
     let stream = second.let_in();
     assert!(matches!(client.answer().unwrap(), (id, Answer::Error(..)) if id == sent));
     drop(gateway);
-    assert_eq!(all_of(stream), "", "a repeat after its window");
+    assert_eq!(all_of(stream), "", "a retry after its window");
 }
 
-/// Guards against a client that sends much and goes: all of it lies there when the gateway reads, its end behind it.
+/// Guards against a client that sends much and disconnects: all of it lies there when the gateway reads, its end behind it.
 #[test]
-fn what_a_client_sent_that_is_gone_when_it_is_read_is_not_sent_on() {
+fn what_a_disconnected_client_sent_is_not_sent_on() {
     let engine =
         Engine::start("127.0.0.1:0", |_| Act::Serve(Duration::ZERO, vec![b"ok\n".to_vec()])).unwrap();
     let gateway = Gateway::start(Some(engine.address));
@@ -251,14 +184,14 @@
 /// end was a reset, which took along what was on its way.
 #[test]
 fn who_breaks_the_protocol_has_the_answers_to_what_it_asked_before() {
-    let half = bytes_of(2, &fields(NEXT, "20000"), "")[..9].to_vec();
+    let incomplete = bytes_of(2, &fields(NEXT, "20000"), "")[..9].to_vec();
     let twice = bytes_of(1, &fields(NEXT, "20000"), "");
     let garbage = vec![0xc1; 300_000];
     let cases = [
         (0, garbage.clone(), "malformed"),
         (2_600, garbage, "malformed"),
         (2_600, twice, "id-used-twice"),
-        (2_600, half, "no-whole-message"),
+        (2_600, incomplete, "no-whole-message"),
     ];
     for (takes, more, reason) in cases {
         let takes = Duration::from_millis(takes);
@@ -275,16 +208,16 @@
 }
 
 /// Guards against a deadline passed on that is longer than what the client has left: its time runs while it writes, while it
-/// waits to be taken in, and while a connection to the engine comes up.
+/// waits to be accepted, and while a connection to the engine comes up.
 #[test]
-fn time_to_read_to_be_taken_in_and_to_dial_is_off_the_deadline_passed_on() {
+fn time_to_read_to_be_accepted_and_to_connect_is_off_the_deadline_passed_on() {
     const SLACK: u64 = 150;
-    let patience = |head: &str| -> u64 {
+    let time_passed_on = |head: &str| -> u64 {
         head.lines().find_map(|l| l.strip_prefix("x-patience: ")?.parse().ok()).unwrap()
     };
-    let engine = Script::start(|call, stream| {
+    let engine = ScriptedEngine::start(|call, stream| {
         let long = call.body == "long" || call.line.starts_with("get");
-        stream.write_all(&if long { reply("202 Accepted", "", "") } else { served("ok\n") }).is_ok()
+        stream.write_all(&if long { reply("202 Accepted", "", "") } else { result_reply("ok\n") }).is_ok()
     });
     let left = |began: Instant| 5_000 - began.elapsed().as_millis() as u64 + SLACK;
     // Of 64 descriptors 16 are for clients.
@@ -298,14 +231,14 @@
     slow.raw(&bytes[bytes.len() / 2..]).unwrap();
     assert_eq!(slow.answer().unwrap().1, rows("ok\n"));
     let posts = engine.posts();
-    assert!(patience(&posts[0].head) <= left(began), "written slowly: {}", posts[0].head);
+    assert!(time_passed_on(&posts[0].head) <= left(began), "written slowly: {}", posts[0].head);
     drop(slow);
-    // One that waits in the listener's queue while all places are taken and in use.
+    // One that waits in the listener's queue while all client descriptors are taken and in use.
     let mut busy: Vec<Client> = (0..16).map(|_| gateway.client()).collect();
     for (n, client) in busy.iter_mut().enumerate() {
         client.send("look", &fields(&format!("{n:016x}"), "25000"), "long").unwrap();
     }
-    wait_for("all places to be in use", || (engine.posts().len() >= 17).then_some(()));
+    wait_for("all client descriptors to be in use", || (engine.posts().len() >= 17).then_some(()));
     let mut queued = gateway.client();
     let began = Instant::now();
     queued.send("look", &fields(NEXT, "5000"), "queued").unwrap();
@@ -314,11 +247,11 @@
     assert_eq!(queued.answer().unwrap().1, rows("ok\n"));
     let posts = engine.posts();
     let call = posts.iter().find(|c| c.body == "queued").unwrap();
-    assert!(patience(&call.head) <= left(began), "waited in the queue: {}", call.head);
+    assert!(time_passed_on(&call.head) <= left(began), "waited in the queue: {}", call.head);
     // One whose connection comes up late.
     let full = Full::start();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", discovery.address, &[full.address()], 256, &patient());
+    let text = config_of("127.0.0.1:0", discovery.address, &[full.address()], 256, &slow_connect_settings());
     let gateway = Gateway::start_with(discovery, &text);
     let began = Instant::now();
     let mut client = gateway.client();
@@ -326,13 +259,13 @@
     full.until_dialled();
     thread::sleep(Duration::from_millis(500));
     let call = read_call(&mut BufReader::new(full.let_in())).unwrap();
-    assert!(patience(&call.head) <= left(began), "dialled: {}", call.head);
+    assert!(time_passed_on(&call.head) <= left(began), "connected late: {}", call.head);
 }
 
 /// Guards against a signal that ends a gateway which is not ready yet: its handlers came last.
 #[test]
 fn a_signal_before_a_gateway_is_ready_waits_until_it_is() {
-    for (signal, line) in [("-HUP", "configuration read again"), ("-TERM", "shutdown requested")] {
+    for (signal, line) in [("-HUP", "configuration reloaded"), ("-TERM", "shutdown requested")] {
         let path = std::env::temp_dir().join(format!("larchfall-{}{signal}", std::process::id()));
         let _ = std::fs::remove_file(&path);
         assert!(Command::new("mkfifo").arg(&path).status().unwrap().success());
@@ -376,11 +309,11 @@
     }
 }
 
-/// Guards against an answer that waits for the end of what was called off: a key in order whose request may run again is
-/// called off for its pace, and its engine, asked to stop, says nothing.
+/// Guards against an answer that waits for the end of a cancelled attempt: a request in key order that may run again is
+/// cancelled for its slow progress, and its engine, told to stop, says nothing.
 #[test]
-fn what_is_called_off_has_its_answer_in_time_whatever_its_key_waits_for() {
-    let engine = Script::start(|call, stream| {
+fn a_cancelled_request_has_its_answer_in_time_whatever_its_key_waits_for() {
+    let engine = ScriptedEngine::start(|call, stream| {
         if call.line.starts_with("delete") {
             thread::sleep(Duration::from_secs(30));
         }
@@ -397,9 +330,9 @@
     let mut client = gateway.client();
     let began = Instant::now();
     client.send("load", &keyed(ID, "1500"), "").unwrap();
-    assert_eq!(client.answer().unwrap(), (1, refused()));
+    assert_eq!(client.answer().unwrap(), (1, rejected()));
     assert!(began.elapsed() < Duration::from_millis(2_000), "{:?}", began.elapsed());
-    assert!(engine.calls.lock().unwrap().iter().any(|c| c.line.starts_with("delete")), "not called off");
+    assert!(engine.calls.lock().unwrap().iter().any(|c| c.line.starts_with("delete")), "not cancelled");
 }
 
 /// Guards against an end that comes by a second signal, or while the files are read again, or between two pieces of a request.
@@ -424,9 +357,9 @@
     assert!(gateway.ended().success());
 }
 
-/// Guards against idle clients that take what a connection to discovery or to an engine needs.
+/// Guards against idle clients that take the descriptors that connections to discovery and engines need.
 #[test]
-fn discovery_and_engines_come_back_while_idle_clients_hold_all_places() {
+fn discovery_and_engines_reconnect_while_idle_clients_hold_all_client_descriptors() {
     let serves =
         || Engine::start("127.0.0.1:0", |_| Act::Serve(Duration::ZERO, vec![b"ok\n".to_vec()])).unwrap();
     let (old, new) = (serves(), serves());
@@ -443,13 +376,13 @@
     // More than it has descriptors for, and as many as it takes say something.
     let mut idle: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
     idle.iter_mut().take(16).for_each(|client| _ = client.ping());
-    wait_for("all places to be taken", || {
+    wait_for("all client descriptors to be taken", || {
         gateway.signal("-USR1");
         gateway.log.last("most_clients: ")?.contains("most_clients: 16,").then_some(())
     });
     gateway.list(2, &[(2, new.address, 0)]);
     way.set(|_, _| true, Way::Sound);
-    wait_for("what discovery told to be heard", || {
+    wait_for("the discovery event to be applied", || {
         let mut client = gateway.client();
         client.send("look", &fields(NEXT, "20000"), "").ok()?;
         let _ = client.answer();
