--- a/crates/gateway/tests/gateway/cluster.rs
+++ b/crates/gateway/tests/gateway/cluster.rs
@@ -65,7 +65,7 @@
     fleet.joined();
     let counted = |fleet: &Fleet, by: usize| {
         let line = fleet.gateway(by).log.last("gateways counted, count: ")?;
-        line.split("counted ").nth(1)?.split(',').next()?.parse::<usize>().ok()
+        line.split("count: ").nth(1)?.split(',').next()?.parse::<usize>().ok()
     };
     wait_for("all six to count", || (0..6).all(|i| counted(&fleet, i) == Some(6)).then_some(()));
     // Cut off, it holds all others for dead at last, and still counts them; they go on without it.
