--- a/crates/gateway/src/cluster/duties.rs
+++ b/crates/gateway/src/cluster/duties.rs
@@ -2,8 +2,9 @@
 
 use super::Gateways;
 use super::programs::Programs;
-use crate::engines::attempt;
+use crate::engine::load_report;
 use crate::run::parts::{self, Parts, boot_time};
+use crate::state::engine_table::ReadyEngine;
 use crate::state::{State, lock};
 use larchfall_leases::duties::{Change, Duties, Out, Settings, View, What};
 use larchfall_leases::elector::Bounds;
@@ -63,10 +64,11 @@
     /// How much this gateway wants of each capacity that is handed out.
     fn wanted(&self, state: &State, demand: &Demand) -> Vec<Wanted> {
         let mut wanted = Vec::new();
-        for (id, engine, is_in_slow_start) in state.facade.ready(&self.slow_start) {
-            let weight = demand.of_engine(&engine, &self.classes);
+        for ready in state.policy.ready_for_quotas(&self.slow_start) {
+            let id = ready.id;
+            let weight = demand.of_engine(&ready.engine, &self.classes);
             wanted.extend(
-                (self.kinds.slow_start && is_in_slow_start).then_some((Capacity::SlowStart(id), weight)),
+                (self.kinds.slow_start && ready.in_slow_start).then_some((Capacity::SlowStart(id), weight)),
             );
             wanted.extend(self.kinds.threads.then_some((Capacity::Threads(id), weight)));
         }
@@ -130,7 +132,7 @@
             let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
             let shares = Shares::new(shares::Settings { strict, soft, keepers, most: MOST_SHARED }, now);
             if shared.kinds.slow_start {
-                state.facade.careful(shares.careful());
+                state.policy.enable_quotas(shares.careful());
             }
             Mutex::new(shares)
         });
@@ -155,7 +157,7 @@
             programs: Programs::start(site.programs)?,
             shares,
             shared,
-            names: state.names.tenants.clone(),
+            names: state.settings.names.tenants.clone(),
             woke: Mutex::new(now),
             soon: AtomicBool::new(false),
             counters: Counters::default(),
@@ -218,9 +220,9 @@
             let since = |m: &Member| now - state_now.since(m.since);
             (members.live().map(|(name, m)| (name.clone(), since(m))).collect(), members.health().score())
         };
-        let (known, ready) = state.facade.listed();
-        let silence = state_now.since(Timestamp::from_micros(state.discovery_heard.load(Ordering::Relaxed)));
-        let sight = Sight { listed: known, ready: ready.len(), silence, health };
+        let endpoints = state.policy.endpoints();
+        let silence = state_now.since(state.discovery.last_heard());
+        let sight = Sight { listed: endpoints.present, ready: endpoints.ready.len(), silence, health };
         let lines = *lock(&self.lines);
         let fit = lock(&self.fitness).is_fit(lines, sight);
         let out = {
@@ -231,7 +233,7 @@
         };
         self.take(state, gateways, out);
         self.look_after_programs(state, gateways);
-        self.probe(state, gateways, &ready);
+        self.probe(state, gateways, &endpoints.ready);
         self.share(state, gateways);
     }
 
@@ -244,7 +246,7 @@
             let (keepers, terms) = (shares.keepers(), shares.terms());
             let wanted = |demand: &Demand| self.shared.wanted(state, demand);
             let keeper_of = |capacity| duty_of(capacity, keepers);
-            (shares.asks(|| state.facade.came(), wanted, keeper_of, now), terms)
+            (shares.asks(|| state.policy.arrivals(), wanted, keeper_of, now), terms)
         };
         self.use_shares(state, shares, now);
         for Asking { keeper: number, round, wants } in asking {
@@ -267,7 +269,7 @@
     fn use_shares(&self, state: &State, shares: &Mutex<Shares>, now: Timestamp) {
         let known = |(key, part, _)| Capacity::of(key).map(|what| (what, part));
         let parts = lock(shares).parts(now).filter_map(known).collect();
-        state.facade.share(&self.shared.tenants, &parts);
+        state.policy.set_quotas(&self.shared.tenants, &parts);
     }
 
     fn hear_of_shares(&self, state: &State, gateways: &Gateways, from: &Who, matter: &Matter) {
@@ -319,28 +321,28 @@
     }
 
     /// The holder of a probing duty asks its engines, and tells all once the last has answered.
-    fn probe(&self, state: &Arc<State>, gateways: &Arc<Gateways>, ready: &[(usize, u32)]) {
-        let Some(probing) = &state.probing else { return };
+    fn probe(&self, state: &Arc<State>, gateways: &Arc<Gateways>, ready: &[ReadyEngine]) {
+        let Some(probing) = &state.shared_load_reports else { return };
         let duties = {
             let mut probing = lock(probing);
             if !probing.begins(state.clock.now()) { 0 } else { probing.duties() }
         };
         for number in 0..duties {
-            let ours = ready.iter().filter(|(_, id)| duty_of(u64::from(*id), duties) == number);
-            let ours: Vec<(usize, u32)> = ours.copied().collect();
+            let ours = ready.iter().filter(|engine| duty_of(u64::from(engine.id), duties) == number);
+            let ours: Vec<ReadyEngine> = ours.copied().collect();
             let left = Arc::new(AtomicUsize::new(ours.len()));
-            for (e, id) in ours {
+            for ReadyEngine { index: engine, id, .. } in ours {
                 let name = duty(number);
                 let leases = lock(&self.leases);
-                let Some(allowed) = leases.permit(&name, self.now()).map(|p| p.allow(Probe { engine: e }))
+                let Some(allowed) = leases.permit(&name, self.now()).map(|p| p.allow(Probe { engine }))
                 else {
                     break;
                 };
                 drop(leases);
                 let (state, gateways, left) = (state.clone(), gateways.clone(), left.clone());
                 may::go!(move || {
-                    let report = attempt::probe(&state, allowed.action().engine);
-                    if let (Some(report), Some(probing)) = (report, &state.probing) {
+                    let report = load_report::fetch(&state, allowed.action().engine);
+                    if let (Some(report), Some(probing)) = (report, &state.shared_load_reports) {
                         lock(probing).read(reading(id, report), state.clock.now());
                     }
                     if left.fetch_sub(1, Ordering::Relaxed) == 1
@@ -355,7 +357,7 @@
 
     /// What was read under a duty goes to all that live, with its token, while it still lasts.
     fn tell(&self, state: &State, gateways: &Gateways, number: usize) {
-        let Some(probing) = &state.probing else { return };
+        let Some(probing) = &state.shared_load_reports else { return };
         let read = lock(probing).to_tell(number, state.clock.now());
         let name = duty(number);
         let stamp = |permit: Permit, page| permit.stamp(page);
@@ -447,7 +449,7 @@
     }
 
     fn take_readings(&self, state: &State, told: &Stamped<Vec<Reading>>) {
-        let Some(probing) = &state.probing else { return };
+        let Some(probing) = &state.shared_load_reports else { return };
         let taken: Option<Vec<Reading>> = {
             let mut probing = lock(probing);
             let taken = probing.hear(told, state.clock.now());
@@ -459,7 +461,7 @@
                 for reading in readings {
                     one(&self.counters.readings);
                     let (in_hand, busy) = (reading.in_hand.map(f64::from), reading.busy.map(f64::from));
-                    state.facade.told(reading.engine, LoadReport { in_hand, busy });
+                    state.policy.record_shared_load_report(reading.engine, LoadReport { in_hand, busy });
                 }
             }
         }
@@ -538,11 +540,12 @@
     pub fn log(&self, state: &State) {
         let c = &self.counters;
         let n = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let ids = state.facade.listed().1.into_iter().map(|(_, id)| u64::from(id));
-        let (refused, (age, unread)) = state.probing.as_ref().map_or((0, (Duration::ZERO, 0)), |probing| {
-            let probing = lock(probing);
-            (probing.refused(), probing.ages(ids, state.clock.now()))
-        });
+        let ids = state.policy.ready_engines().into_iter().map(|engine| u64::from(engine.id));
+        let (refused, (age, unread)) =
+            state.shared_load_reports.as_ref().map_or((0, (Duration::ZERO, 0)), |probing| {
+                let probing = lock(probing);
+                (probing.refused(), probing.ages(ids, state.clock.now()))
+            });
         info!(state.log, "lease counters"; "received" => n(&c.heard), "sent" => n(&c.sent), "unknown" => n(&c.unknown),
             "corrupt" => n(&c.spoilt), "records_written" => n(&c.records), "records_failed" => n(&c.records_failed),
             "load_reports" => n(&c.readings), "load_reports_rejected" => refused, "quota_messages" => n(&c.shares),
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -8,9 +8,9 @@
 pub mod signals;
 
 use crate::state::State;
-use crate::state::clock::wait;
-use crate::state::facade::Verdict;
+use crate::state::clock::timeout;
 use crate::state::lock;
+use crate::state::policy_handle::EngineStatus;
 use duties::Duty;
 use larchfall_membership::claim::Standing;
 use larchfall_membership::count::Count;
@@ -157,7 +157,7 @@
         let fleet = lock(&self.members).fleet();
         let counted = lock(count).see(fleet, now);
         if counted != before {
-            state.facade.count(counted);
+            state.policy.set_gateway_count(counted);
             info!(state.log, "gateways counted"; "silent" => fleet.silent, "alive" => fleet.live, "count" => counted);
         }
         counted
@@ -196,16 +196,18 @@
         // Once for all engines: a fleet may be large.
         let (now, living) = (state.clock.now(), self.living().into_iter().collect());
         let word = |holds: bool, word: &str| if holds { word.to_owned() } else { String::new() };
-        let row = |x: Verdict| {
-            let verdict = if x.failing { "left out" } else { "sound" };
-            let mut row = vec![format!("{:08x}", x.process.id), format!("{:?}", x.state).to_lowercase()];
-            row.extend([verdict.to_owned(), word(x.used, "used"), word(x.congested, "congested")]);
+        let row = |status: EngineStatus| {
+            let health = if status.health.unhealthy { "left out" } else { "sound" };
+            let process = status.process;
+            let mut row = vec![format!("{:08x}", process.id), format!("{:?}", status.state).to_lowercase()];
+            let congested = word(status.health.congested, "congested");
+            row.extend([health.to_owned(), word(status.in_subset, "used"), congested]);
             row.extend(
-                self.signals.iter().flat_map(|signals| signals.row(&self.name, &living, x.process, now)),
+                self.signals.iter().flat_map(|signals| signals.row(&self.name, &living, process, now)),
             );
             row
         };
-        let mut rows: Vec<_> = state.facade.verdicts().into_iter().map(row).collect();
+        let mut rows: Vec<_> = state.policy.engine_statuses().into_iter().map(row).collect();
         rows.sort();
         rows
     }
@@ -311,7 +313,7 @@
         let signals_in = gateways.signals.as_ref().map(|signals| signals.due_in(now));
         let own = due_in.into_iter().chain(signals_in).fold(EACH * 600.0, Duration::min);
         let left = due.since(now).min(own).max(Duration::from_millis(1));
-        if gateways.socket.set_read_timeout(Some(wait(left))).is_err() {
+        if gateways.socket.set_read_timeout(Some(timeout(left))).is_err() {
             return;
         }
         match gateways.socket.recv_from(&mut bytes) {
--- a/crates/gateway/src/cluster/signals.rs
+++ b/crates/gateway/src/cluster/signals.rs
@@ -35,7 +35,7 @@
 
 impl Signals {
     pub fn new(state: &State, site: Site, seed: u64, now: Timestamp) -> Signals {
-        state.facade.notes_sights(BOUNDS.processes);
+        state.policy.enable_observations(BOUNDS.processes);
         let inner = Inner {
             desk: Desk::new(BOUNDS, site.weigh, site.turn),
             next: now,
@@ -64,7 +64,7 @@
     }
 
     fn tell(&self, state: &State, gateways: &Gateways) {
-        let Some((number, saw)) = state.facade.sights_to_tell(MOST_ENGINES) else { return };
+        let Some(report) = state.policy.next_observation_report(MOST_ENGINES) else { return };
         let (me, mut others) = {
             let members = lock(&gateways.members);
             let others: Vec<SocketAddrV4> = members
@@ -75,7 +75,8 @@
             (members.myself().claim.generation, others)
         };
         lock(&self.inner).chance.shuffle(&mut others);
-        let bytes = Letter::new(&gateways.cluster, &gateways.name, me, number, saw).seal();
+        let bytes =
+            Letter::new(&gateways.cluster, &gateways.name, me, report.number, report.observations).seal();
         for to in others.into_iter().take(self.site.fanout) {
             if gateways.socket.inner().send_to(&bytes, to).is_ok() {
                 self.sent.fetch_add(1, Ordering::Relaxed);
@@ -84,18 +85,18 @@
     }
 
     fn count(&self, state: &State, gateways: &Gateways, now: Timestamp) {
-        let there: HashSet<Process> = state.facade.processes().into_iter().collect();
+        let there: HashSet<Process> = state.policy.processes().into_iter().collect();
         let living: BTreeMap<String, String> = gateways.living().into_iter().collect();
         let is_there = |process: Process| there.contains(&process);
-        let outcomes = lock(&self.inner).desk.look(state.facade.own_sights(), &living, is_there, now);
+        let outcomes = lock(&self.inner).desk.look(state.policy.own_observations(), &living, is_there, now);
         for (process, bad) in outcomes {
             self.counted.fetch_add(1, Ordering::Relaxed);
-            state.facade.told_of(process, bad);
+            state.policy.record_peer_outcome(process, bad);
         }
         // After the verdicts: what was just left out waits for its turn from the start.
-        for process in state.facade.failing() {
+        for process in state.policy.unhealthy_processes() {
             let mine = lock(&self.inner).desk.may_try(&gateways.name, process, &living, now);
-            state.facade.turn(process, mine);
+            state.policy.set_probe_slot(process, mine);
         }
     }
 
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Follows the discovery service: connected for as long as it speaks, connected again when it does not.
 
 use crate::state::State;
-use crate::state::clock::wait;
+use crate::state::clock::timeout;
 use crate::wire::discovery::{self, Event, Frame};
 use larchfall_policy::time::Duration;
 use may::net::TcpStream;
@@ -10,7 +10,6 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 
 /// What the discovery service has to tell counts as told so long after, whether or not it came.
 pub const TOLD_WITHIN: Duration = Duration::from_millis(7000);
@@ -27,7 +26,7 @@
 pub fn follow(state: &Arc<State>, address: SocketAddrV4, seed: u64, era: u64) {
     let mut chance = WyRand::new_seed(seed);
     let mut pause = FIRST_PAUSE;
-    while state.is_current_discovery(era) {
+    while state.discovery.is_current_client(era) {
         let mut frames = 0;
         let reason = listen(state, address, era, &mut frames);
         info!(state.log, "discovery connection ended"; "reason" => reason, "frames" => frames);
@@ -38,33 +37,33 @@
 
 /// Takes in an event, and drops connections to engines that are gone.
 pub fn take(state: &State, event: &Event) {
-    for e in state.facade.follow(event) {
-        state.pool.forget(e);
+    for engine in state.policy.apply_discovery_event(event) {
+        state.engine_connections.close_idle(engine);
     }
-    state.counters.rest(|c| c.discovery_events += 1);
+    state.counters.update(|counters| counters.discovery_events += 1);
 }
 
 /// Listens until the connection ends; the reason.
 fn listen(state: &Arc<State>, address: SocketAddrV4, era: u64, frames: &mut u64) -> &'static str {
-    let Ok(mut stream) = TcpStream::connect_timeout(&SocketAddr::V4(address), wait(CONNECT_WITHIN)) else {
+    let Ok(mut stream) = TcpStream::connect_timeout(&SocketAddr::V4(address), timeout(CONNECT_WITHIN)) else {
         return "no-connection";
     };
-    let _ = stream.set_read_timeout(Some(wait(SILENCE)));
-    if stream.write_all(&discovery::since(state.facade.seen())).is_err() {
+    let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
+    if stream.write_all(&discovery::since(state.policy.discovery_revision())).is_err() {
         return "not-written";
     }
     let (mut input, mut last_look, mut sent) = (Vec::new(), false, state.clock.now());
     loop {
         // What the one before still says once another has its place may bear numbers that this one has yet to tell.
-        if !state.is_current_discovery(era) {
+        if !state.discovery.is_current_client(era) {
             return "replaced";
         }
         loop {
             match discovery::decode(&input) {
                 Ok(Some((frame, used))) => {
                     *frames += 1;
-                    state.discovery_heard.store(state.clock.now().micros(), Ordering::Relaxed);
-                    state.facade.heard(sent);
+                    state.discovery.record_heard(state.clock.now());
+                    state.policy.confirm_endpoints(sent);
                     if let Frame::News(event) = frame {
                         take(state, &event);
                     }
@@ -81,20 +80,20 @@
         input.resize(had + 4096, 0);
         let got = stream.read(&mut input[had..]);
         // What is read after a stall may be as old as that.
-        sent = state.stalls.may_be_from(slept_since, state.clock.now());
+        sent = state.stall_detector.earliest_send_time(slept_since, state.clock.now());
         input.truncate(had + *got.as_ref().unwrap_or(&0));
         match got {
             Ok(0) => return "board-closed",
             Ok(_) if last_look => {
                 last_look = false;
-                let _ = stream.set_read_timeout(Some(wait(SILENCE)));
+                let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
             }
             Ok(_) => {}
             Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
                 if std::mem::replace(&mut last_look, true) {
                     return "silent";
                 }
-                let _ = stream.set_read_timeout(Some(wait(LAST_LOOK)));
+                let _ = stream.set_read_timeout(Some(timeout(LAST_LOOK)));
             }
             Err(_) => return "board-reset",
         }
--- /dev/null
+++ b/crates/gateway/src/engine/load_report.rs
@@ -0,0 +1,22 @@
+//! Load reports that engines are asked for.
+
+use super::connection::connect;
+use crate::state::State;
+use crate::wire::http;
+use larchfall_policy::interface::LoadReport;
+
+/// Asks an engine for its load report and tells the policy. Attempts come first: where there is no permit, none is
+/// asked for.
+pub fn fetch(state: &State, engine: usize) -> Option<LoadReport> {
+    let instance = state.policy.engine_instance(engine)?;
+    let _permit = state.engine_connections.acquire(0, None)?;
+    state.counters.update(|counters| counters.load_probes += 1);
+    let deadline = state.clock.now() + state.settings.connect_timeout;
+    let mut connection = connect(state, instance, deadline).ok()?;
+    let reply = connection.call(&http::stats(instance.address), &state.clock, deadline).ok()?;
+    if !reply.closes {
+        state.engine_connections.put_back(connection, state.clock.now());
+    }
+    state.policy.record_load_report(instance, reply.report);
+    Some(reply.report)
+}
--- a/crates/gateway/src/protocols/mod.rs
+++ b/crates/gateway/src/protocols/mod.rs
@@ -1,4 +1,4 @@
-//! What clients speak: one file each. All take requests in by the same way, `intake`, and each hands out what its
+//! What clients speak: one file each. All take requests in by the same way, `admission`, and each hands out what its
 //! readers are given in its own words.
 
 pub mod rest;
--- a/crates/gateway/src/protocols/rest.rs
+++ b/crates/gateway/src/protocols/rest.rs
@@ -2,12 +2,12 @@
 //! other. Which page is whose, and until when, is decided by `larchfall_paged_rest`; where a request goes, by the module.
 
 use super::Reason;
-use crate::intake::{self, Refused};
+use crate::admission::{self, InvalidRequest, RequestError};
+use crate::request_context::{FinalAnswer, ResultReader};
 use crate::state::State;
-use crate::state::clock::wait;
+use crate::state::clock::timeout;
 use crate::state::lock;
-use crate::state::pages::{Found, Pages};
-use crate::task::{Final, Reader};
+use crate::state::result_pages::{PageLookup, ResultPages};
 use crate::wire::client_request::{self, ClientRequest};
 use larchfall_operator_config::Rest;
 use larchfall_paged_rest::call::{self, Call, Read as Got, Verb};
@@ -45,7 +45,7 @@
     site: Mutex<Arc<Rest>>,
     /// As at the start: what is open keeps its bounds.
     connections: usize,
-    pub pages: Pages,
+    pub pages: ResultPages,
     key: Key,
     ids: Mutex<WyRand>,
     clients: AtomicUsize,
@@ -56,7 +56,7 @@
     pub fn new(site: Rest, seed: u64) -> Result<RestService, getrandom::Error> {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret)?;
-        let (pages, ids) = (Pages::new(site.caps), Mutex::new(WyRand::new_seed(!seed)));
+        let (pages, ids) = (ResultPages::new(site.caps), Mutex::new(WyRand::new_seed(!seed)));
         let (connections, clients) = (site.connections, AtomicUsize::new(0));
         let site = Mutex::new(Arc::new(site));
         Ok(RestService { site, connections, pages, key: Key::new(&secret), ids, clients })
@@ -79,7 +79,9 @@
 /// Takes connections in while the service's share of them lasts.
 pub fn accept(state: &Arc<State>, listener: &TcpListener, service: &Arc<RestService>) {
     loop {
-        if service.clients() >= service.connections || state.stalls.starves_events(state.clock.now()) {
+        if service.clients() >= service.connections
+            || state.stall_detector.is_event_poll_overdue(state.clock.now())
+        {
             state.sleep(PAUSE);
             continue;
         }
@@ -124,7 +126,7 @@
         match call::read(&input, service.site().statement) {
             Ok(Got::Call(call, used)) => {
                 input.drain(..used);
-                let closes = call.closes || state.is_done();
+                let closes = call.closes || state.shutdown.is_complete();
                 let bytes = handle(state, service, &call).bytes(closes, call.verb);
                 if let Err(reason) = write(stream, &bytes) {
                     return reason;
@@ -151,14 +153,14 @@
                 return Reason::Malformed(bad.why);
             }
         }
-        if state.is_done() {
+        if state.shutdown.is_complete() {
             return Reason::Stopped;
         }
-        let left = state.clock.left(until);
+        let left = state.clock.remaining(until);
         if left.is_zero() {
             return if input.is_empty() { Reason::Quiet } else { Reason::NotWhole };
         }
-        let _ = stream.set_read_timeout(Some(left.min(wait(LOOK))));
+        let _ = stream.set_read_timeout(Some(left.min(timeout(LOOK))));
         let (began, mut chunk) = (input.is_empty(), [0; CHUNK]);
         match stream.read(&mut chunk) {
             Ok(0) => return Reason::ClientClosed,
@@ -178,13 +180,13 @@
 /// While any coroutine is ready the worker looks for no events: a client that never pauses would keep all others from
 /// being heard.
 fn let_others(state: &State) {
-    while state.stalls.starves_events(state.clock.now()) {
+    while state.stall_detector.is_event_poll_overdue(state.clock.now()) {
         state.sleep(PAUSE);
     }
 }
 
 fn write(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), Reason> {
-    let _ = stream.set_write_timeout(Some(wait(READ_WITHIN)));
+    let _ = stream.set_write_timeout(Some(timeout(READ_WITHIN)));
     stream.write_all(bytes).map_err(|e| match e.kind() {
         ErrorKind::TimedOut | ErrorKind::WouldBlock => Reason::NotRead,
         _ => Reason::ClientReset,
@@ -244,7 +246,7 @@
         },
         (Verb::Delete, path) => match service.key.read(path) {
             Some(place) => {
-                if let Some(left) = service.pages.leave(place.name) {
+                if let Some(left) = service.pages.abandon(place.name) {
                     give_up(state, left.request);
                 }
                 Answer::bare(204)
@@ -257,22 +259,22 @@
 
 /// Nobody reads what this request makes.
 pub fn give_up(state: &State, request: Option<usize>) {
-    state.counters.rest(|c| c.results_left += 1);
-    if let Some(b) = request {
-        state.facade.leave(b);
+    state.counters.update(|counters| counters.results_abandoned += 1);
+    if let Some(request) = request {
+        state.policy.record_disconnection(request);
     }
 }
 
 /// A statement: its first page, if that comes soon.
 fn begin(state: &Arc<State>, service: &Arc<RestService>, call: &Call) -> Answer {
     let now = state.clock.now();
-    if state.ends().is_some() {
+    if state.shutdown.deadline().is_some() {
         let seconds = (ENDS.micros() / 1_000_000).max(1).to_string();
         let fields = vec![("Retry-After", seconds)];
         return Answer { fields, ..Answer::fault(503, Fault::unusable("this front ends")) };
     }
     let unusable = |why: String| {
-        state.counters.rest(|c| c.unusable += 1);
+        state.counters.update(|counters| counters.unusable += 1);
         Answer::fault(400, Fault::unusable(&why))
     };
     if call.body.is_empty() {
@@ -291,31 +293,31 @@
         Ok(client_request) => client_request,
         Err(why) => return unusable(why.to_owned()),
     };
-    let Some(name) = service.pages.begin(now) else {
-        state.counters.rest(|c| c.over_limits += 1);
-        return Answer::pushed_back(state.max_retry_after);
+    let Some(name) = service.pages.open(now) else {
+        state.counters.update(|counters| counters.over_limits += 1);
+        return Answer::pushed_back(state.settings.max_retry_after);
     };
-    let taken = intake::take(state, &client_request, now, |b| {
-        service.pages.is_made_by(name, b);
+    let admitted = admission::admit(state, &client_request, now, |request| {
+        service.pages.set_request(name, request);
         let (state, service, pending) = (state.clone(), service.clone(), Mutex::new(None));
         Arc::new(Paged { state, service, name, began: now, pending })
     });
-    match taken {
+    match admitted {
         Ok(()) => {}
-        Err(refused) => {
-            service.pages.leave(name);
-            return match refused {
-                Refused::Unusable(why) => Answer::fault(400, Fault::unusable(part_of(why))),
-                Refused::NoRoom => Answer::pushed_back(state.max_retry_after),
+        Err(error) => {
+            service.pages.abandon(name);
+            return match error {
+                RequestError::Invalid(invalid) => Answer::fault(400, Fault::unusable(&part_of(invalid))),
+                RequestError::TooManyInFlight => Answer::pushed_back(state.settings.max_retry_after),
             };
         }
     }
     let place = Place { name, token: 0 };
     match found(state, service, place, now) {
         // No address was given out yet, so that clients which come again do so with the statement.
-        Found::Page(Page { end: Some(End::PushedBack), body, .. }, settled) => {
+        PageLookup::Page(Page { end: Some(End::PushedBack), body, .. }, settled) => {
             settle(state, settled);
-            service.pages.leave(name);
+            service.pages.abandon(name);
             let after = body.fault.and_then(|f| f.retry_after_millis).map(Duration::from_millis);
             Answer::pushed_back(after)
         }
@@ -324,11 +326,11 @@
 }
 
 /// The service's words for what the other protocol names by its fields.
-fn part_of(why: &'static str) -> &'static str {
-    match why {
-        "opkey is missing" => "reference is missing",
-        "subject is missing" => "key is missing",
-        other => other,
+fn part_of(invalid: InvalidRequest) -> String {
+    match invalid {
+        InvalidRequest::MissingIdempotencyKey => "reference is missing".to_owned(),
+        InvalidRequest::MissingOrderKey => "key is missing".to_owned(),
+        other => other.to_string(),
     }
 }
 
@@ -366,22 +368,24 @@
     answer(state, service, call, place, found)
 }
 
-fn found(state: &State, service: &RestService, place: Place, began: Timestamp) -> Found {
+fn found(state: &State, service: &RestService, place: Place, began: Timestamp) -> PageLookup {
     let empty = || Body { elapsed_ms: state.clock.now().since(began).micros() / 1000, ..Body::default() };
-    service.pages.ask(place, (&state.clock, &state.alarms), service.site().poll, empty)
+    service.pages.wait_for_page(place, &state.timers, service.site().poll, empty)
 }
 
 fn settle(state: &State, settled: Option<Settled>) {
     if let Some(Settled::Answered(_)) = settled {
-        state.counters.rest(|c| c.results_read += 1);
+        state.counters.update(|counters| counters.results_read += 1);
     }
 }
 
-fn answer(state: &State, service: &RestService, call: &Call, place: Place, found: Found) -> Answer {
+fn answer(state: &State, service: &RestService, call: &Call, place: Place, found: PageLookup) -> Answer {
     let (page, settled) = match found {
-        Found::Page(page, settled) => (page, settled),
+        PageLookup::Page(page, settled) => (page, settled),
         // Its address is one of ours, so it was there once.
-        Found::Gone | Found::Unknown => return Answer::fault(410, Fault::unusable("this page is gone")),
+        PageLookup::Gone | PageLookup::Unknown => {
+            return Answer::fault(410, Fault::unusable("this page is gone"));
+        }
     };
     settle(state, settled);
     let site = service.site();
@@ -415,30 +419,30 @@
     }
 }
 
-impl Reader for Paged {
+impl ResultReader for Paged {
     fn has_room(&self) -> bool {
         self.service.pages.has_room(self.name)
     }
 
-    fn rows(&self, rows: Vec<u8>) {
+    fn push_rows(&self, rows: Vec<u8>) {
         if let Some(before) = lock(&self.pending).replace(rows) {
             self.service.pages.push(self.name, self.body(before, None), None);
         }
     }
 
-    fn begin_anew(&self) -> bool {
+    fn restart(&self) -> bool {
         *lock(&self.pending) = None;
-        self.service.pages.begin_anew(self.name)
+        self.service.pages.restart(self.name)
     }
 
-    fn end(&self, end: Final) -> bool {
+    fn finish(&self, answer: FinalAnswer) -> bool {
         let rows = lock(&self.pending).take();
-        let (rows, fault, end) = match end {
-            Final::Returned => (rows.unwrap_or_default(), None, End::Returned),
-            Final::PushedBack(wait) => {
+        let (rows, fault, end) = match answer {
+            FinalAnswer::Returned => (rows.unwrap_or_default(), None, End::Returned),
+            FinalAnswer::Rejected(wait) => {
                 (Vec::new(), Some(Fault::pushed_back(wait.map(|w| w.micros() / 1000))), End::PushedBack)
             }
-            Final::Errored(why) => (Vec::new(), Some(Fault::errored(why)), End::Errored),
+            FinalAnswer::Errored(why) => (Vec::new(), Some(Fault::errored(why)), End::Errored),
         };
         self.service.pages.push(self.name, self.body(rows, fault), Some(end))
     }
--- a/crates/gateway/src/protocols/rpc.rs
+++ b/crates/gateway/src/protocols/rpc.rs
@@ -1,10 +1,11 @@
 //! A client connection of MessagePack-RPC: one coroutine reads its messages and is the one writer of its answers.
 
 use super::Reason;
-use crate::intake::{self, Refused};
-use crate::state::peer::{Opening, Peer};
+use crate::admission::{self, RequestError};
+use crate::request_context::{FinalAnswer, ResultReader};
+use crate::state::client_connections::RegisteredConnection;
+use crate::state::response_writer::{IdCheck, ResponseWriter};
 use crate::state::{State, lock};
-use crate::task::{Final, Reader};
 use crate::wire::client_request::ClientRequest;
 use crate::wire::rpc::{self, Message, Scan};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -36,7 +37,7 @@
     stream: TcpStream,
     from: SocketAddr,
     place: usize,
-    peer: Arc<Peer>,
+    peer: Arc<ResponseWriter>,
     /// Where it may have waited in the listener's queue, since when.
     queued_since: Option<Timestamp>,
 }
@@ -45,28 +46,29 @@
 /// take descriptors that are not there.
 pub fn join(state: &State, stream: TcpStream, from: SocketAddr, queued_since: Option<Timestamp>) -> Joined {
     let _ = stream.set_nodelay(true);
-    let (place, peer) = state.peers.join(stream.waker(), state.clock.now());
+    let registered = state.client_connections.register(stream.waker(), state.clock.now());
+    let RegisteredConnection { number: place, writer: peer } = registered;
     Joined { stream, from, place, peer, queued_since }
 }
 
 /// Serves one connection to its end.
 pub fn serve(state: &Arc<State>, joined: Joined) {
     let Joined { stream, from, place, peer, queued_since } = joined;
-    state.counters.rest(|c| {
-        c.connections += 1;
-        c.most_clients = c.most_clients.max(state.peers.len());
+    state.counters.update(|counters| {
+        counters.connections += 1;
+        counters.max_clients = counters.max_clients.max(state.client_connections.len());
     });
     let reason = converse(state, &stream, &peer, queued_since);
-    for b in peer.abort_all() {
-        state.facade.leave(b);
+    for request in peer.cancel_all() {
+        state.policy.record_disconnection(request);
     }
     // Who never asked for anything has no answer on its way.
-    if !reason.is_by_client() && peer.has_spoken() {
+    if !reason.is_by_client() && peer.has_sent_message() {
         linger(state, &stream);
     }
     // Its descriptor is free before its place is.
     drop(stream);
-    state.peers.part(place);
+    state.client_connections.unregister(place);
     info!(state.log, "client connection ended";
         "from" => from.to_string(), "reason" => reason.code(), "detail" => reason.detail());
 }
@@ -148,7 +150,7 @@
 fn converse(
     state: &Arc<State>,
     stream: &TcpStream,
-    peer: &Arc<Peer>,
+    peer: &Arc<ResponseWriter>,
     mut queued_since: Option<Timestamp>,
 ) -> Reason {
     let (mut inbox, mut rounds) = (Inbox::default(), 0);
@@ -161,13 +163,13 @@
             Ok(n) => n,
             Err(reason) => return reason,
         };
-        let (anew, too_slow) = (inbox.bytes.is_empty(), peer.reads_too_slowly());
+        let (anew, too_slow) = (inbox.bytes.is_empty(), peer.is_backlogged());
         let read = match if too_slow { Ok(0) } else { inbox.read(stream) } {
             Ok(n) => n,
             Err(reason) => return reason,
         };
         if read > 0 {
-            let now = state.stalls.may_be_from(slept_since, state.clock.now());
+            let now = state.stall_detector.earliest_send_time(slept_since, state.clock.now());
             inbox.came(queued_since.take().map_or(now, |queued| queued.min(now)), anew);
         }
         let takes = !too_slow && (read > 0 || inbox.more);
@@ -178,7 +180,7 @@
         }
         let now = state.clock.now();
         if wrote + read > 0 || takes {
-            peer.stirred(now);
+            peer.record_activity(now);
             rounds += 1;
             if rounds < BURST {
                 // Others may have waited while this one was served.
@@ -186,7 +188,7 @@
             }
             // While any coroutine is ready the worker looks for no events: those that always have something to say
             // would keep all others from being heard.
-            while rounds >= BURST || state.stalls.starves_events(state.clock.now()) {
+            while rounds >= BURST || state.stall_detector.is_event_poll_overdue(state.clock.now()) {
                 rounds = 0;
                 state.sleep(PAUSE);
             }
@@ -203,9 +205,9 @@
 
 /// Why this gateway ends a connection on which nothing happens, if it does: never while it owes an answer there that its
 /// client may still read.
-fn over(state: &State, peer: &Peer, broken: Option<Reason>, now: Timestamp) -> Option<Reason> {
-    let quiet = now.since(peer.quiet_since());
-    if peer.is_unread() && quiet >= state.answers_kept {
+fn over(state: &State, peer: &ResponseWriter, broken: Option<Reason>, now: Timestamp) -> Option<Reason> {
+    let quiet = now.since(peer.last_activity());
+    if peer.has_only_unread_responses() && quiet >= state.settings.unread_response_timeout {
         return Some(Reason::NotRead);
     }
     if !peer.is_idle() {
@@ -214,16 +216,16 @@
     if broken.is_some() {
         return broken;
     }
-    if peer.awaits_since().is_some_and(|since| now.since(since) >= WHOLE_WITHIN) {
+    if peer.awaiting_message_since().is_some_and(|since| now.since(since) >= WHOLE_WITHIN) {
         return Some(Reason::NotWhole);
     }
-    if peer.is_to_go() {
+    if peer.should_close() {
         return Some(Reason::RoomNeeded);
     }
     if quiet >= QUIET {
         return Some(Reason::Quiet);
     }
-    state.is_done().then_some(Reason::Stopped)
+    state.shutdown.is_complete().then_some(Reason::Stopped)
 }
 
 /// How many bytes went; none when the socket is not ready.
@@ -236,31 +238,33 @@
 }
 
 /// Whether a request may be opened under this id; one that was used before ends the connection.
-fn open(peer: &Peer, id: u32) -> Result<bool, Reason> {
-    match peer.opening(id) {
-        Opening::Open => Ok(true),
-        Opening::TooMany => Ok(false),
-        Opening::UsedTwice => Err(Reason::IdUsedTwice),
+fn open(peer: &ResponseWriter, id: u32) -> Result<bool, Reason> {
+    match peer.record_id(id) {
+        IdCheck::Accepted => Ok(true),
+        IdCheck::TooManyOpen => Ok(false),
+        IdCheck::Reused => Err(Reason::IdUsedTwice),
     }
 }
 
-fn take_messages(state: &Arc<State>, peer: &Arc<Peer>, inbox: &mut Inbox) -> Result<(), Reason> {
+fn take_messages(state: &Arc<State>, peer: &Arc<ResponseWriter>, inbox: &mut Inbox) -> Result<(), Reason> {
     let mut at = 0;
     while let Some((message, length, sent)) = inbox.next(at)? {
         at += length;
         match message {
             Message::Ping(id) => {
                 open(peer, id)?;
-                state.counters.rest(|c| c.pings += 1);
-                peer.say(id, &rpc::Answer::Pong);
+                state.counters.update(|counters| counters.pings += 1);
+                peer.send(id, &rpc::Answer::Pong);
             }
             Message::Abort(ids) => {
-                ids.into_iter().filter_map(|id| peer.abort(id)).for_each(|b| state.facade.leave(b));
+                for request in ids.into_iter().filter_map(|id| peer.cancel(id)) {
+                    state.policy.record_disconnection(request);
+                }
             }
             Message::Unusable(id, why) => {
                 open(peer, id)?;
-                state.counters.rest(|c| c.unusable += 1);
-                peer.say(id, &rpc::Answer::Errored(why));
+                state.counters.update(|counters| counters.unusable += 1);
+                peer.send(id, &rpc::Answer::Errored(why));
             }
             Message::Request(id, client_request) => {
                 if open(peer, id)? {
@@ -272,7 +276,7 @@
         }
     }
     inbox.bytes.drain(..at);
-    peer.awaits(at > 0, !inbox.bytes.is_empty(), state.clock.now());
+    peer.record_read(at > 0, !inbox.bytes.is_empty(), state.clock.now());
     if inbox.bytes.is_empty() {
         inbox.bytes = Vec::new();
     }
@@ -281,17 +285,17 @@
 
 /// A request of this connection: its rows wait here until all have come, since an answer holds them whole.
 struct Whole {
-    peer: Arc<Peer>,
+    peer: Arc<ResponseWriter>,
     message: u32,
     rows: Mutex<Vec<u8>>,
 }
 
-impl Reader for Whole {
+impl ResultReader for Whole {
     fn has_room(&self) -> bool {
         true
     }
 
-    fn rows(&self, mut rows: Vec<u8>) {
+    fn push_rows(&self, mut rows: Vec<u8>) {
         let mut all = lock(&self.rows);
         if all.is_empty() {
             *all = rows;
@@ -300,36 +304,44 @@
         }
     }
 
-    fn begin_anew(&self) -> bool {
+    fn restart(&self) -> bool {
         *lock(&self.rows) = Vec::new();
         true
     }
 
-    fn end(&self, end: Final) -> bool {
+    fn finish(&self, answer: FinalAnswer) -> bool {
         let rows = std::mem::take(&mut *lock(&self.rows));
-        let answer = match end {
-            Final::Returned => rpc::Answer::Returned(&rows),
-            Final::PushedBack(wait) => rpc::Answer::PushedBack(wait),
-            Final::Errored(why) => rpc::Answer::Errored(why),
+        let answer = match answer {
+            FinalAnswer::Returned => rpc::Answer::Returned(&rows),
+            FinalAnswer::Rejected(retry_after) => rpc::Answer::PushedBack(retry_after),
+            FinalAnswer::Errored(why) => rpc::Answer::Errored(why),
         };
-        self.peer.answer(self.message, &answer)
+        self.peer.respond(self.message, &answer)
     }
 }
 
-fn take(state: &Arc<State>, peer: &Arc<Peer>, message: u32, client_request: &ClientRequest, sent: Timestamp) {
-    let taken = intake::take(state, client_request, sent, |b| {
-        peer.open(message, b);
+fn take(
+    state: &Arc<State>,
+    peer: &Arc<ResponseWriter>,
+    message: u32,
+    client_request: &ClientRequest,
+    sent: Timestamp,
+) {
+    let admitted = admission::admit(state, client_request, sent, |request| {
+        peer.open(message, request);
         Arc::new(Whole { peer: peer.clone(), message, rows: Mutex::default() })
     });
-    match taken {
+    match admitted {
         Ok(()) => {}
-        Err(Refused::Unusable(why)) => peer.say(message, &rpc::Answer::Errored(why)),
-        Err(Refused::NoRoom) => over_limits(state, peer, message),
+        Err(RequestError::Invalid(invalid)) => {
+            peer.send(message, &rpc::Answer::Errored(&invalid.to_string()));
+        }
+        Err(RequestError::TooManyInFlight) => over_limits(state, peer, message),
     }
 }
 
 /// Never taken in, and told when to come back: those who send hundreds at once may do so again at once.
-fn over_limits(state: &State, peer: &Peer, message: u32) {
-    state.counters.rest(|c| c.over_limits += 1);
-    peer.say(message, &rpc::Answer::PushedBack(state.max_retry_after));
+fn over_limits(state: &State, peer: &ResponseWriter, message: u32) {
+    state.counters.update(|counters| counters.over_limits += 1);
+    peer.send(message, &rpc::Answer::PushedBack(state.settings.max_retry_after));
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,96 +1,117 @@
-//! A request in hand: one coroutine each. It asks the facade where to go, has one attempt after the other made,
-//! and reports each outcome, until the request is over.
+//! A request in flight. Its coroutine asks the policy where to go, makes one attempt after the other and records each
+//! outcome, until the request is over.
 
-use crate::engines::attempt::{Attempt, not_sent};
+use crate::engine::attempt::{Attempt, AttemptEnd};
+use crate::request_context::{FinalAnswer, RequestContext};
 use crate::state::State;
-use crate::task::{Ended, Final, Task};
-use larchfall_policy::interface::{AfterAttempt, AttemptResult, Outcome, RoutingDecision};
+use larchfall_policy::interface::{AfterAttempt, AttemptParameters, AttemptResult, Outcome, RoutingDecision};
 use larchfall_policy::time::Duration;
 use slog::warn;
 use std::sync::Arc;
 
-/// Answers and lets go of the request whatever happens to its coroutine.
-struct Holder<'a> {
+/// Answers and releases a request however its coroutine ends.
+struct ReleaseOnDrop<'a> {
     state: &'a State,
-    task: &'a Task,
-    b: usize,
+    context: &'a RequestContext,
+    request: usize,
 }
 
-impl Drop for Holder<'_> {
+impl Drop for ReleaseOnDrop<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // Guards against a request without an answer, and a key that waits for good for an end nobody sees.
-            end(self.state, self.task, Final::Errored("internal error"));
-            self.state.facade.lost(self.b);
+            // Else the request would have no answer, and its key would wait for good for an end that nobody sees.
+            answer(self.state, self.context, FinalAnswer::Errored("internal error"));
+            self.state.policy.record_lost_coroutine(self.request);
         }
-        self.state.facade.release(self.b);
+        self.state.policy.release(self.request);
     }
 }
 
-/// Runs a request to its end, from the first place that was picked for it.
-pub fn run(state: &Arc<State>, task: &Task, b: usize, first: RoutingDecision) {
-    let _holder = Holder { state, task, b };
-    let mut place = first;
+/// Runs a request to its end, beginning with the first routing decision.
+pub fn run(state: &Arc<State>, context: &RequestContext, request: usize, first_decision: RoutingDecision) {
+    let _release = ReleaseOnDrop { state, context, request };
+    let mut decision = first_decision;
     let mut number = 0;
     loop {
-        match place {
-            RoutingDecision::Send(to) => {
-                let attempt = Attempt::new(state, task, b, number, to);
-                let Ended { outcome, report, mut seen, torn, unsettled } =
-                    attempt.as_ref().map_or_else(|| not_sent(Outcome::Moot), Attempt::make);
-                let took =
-                    attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.sent));
-                if let Some(attempt) = attempt.as_ref().filter(|_| unsettled) {
-                    // The answer is due, the end of what is out may come later.
-                    answer(state, task, state.facade.give_up(b));
-                    seen = attempt.settle();
-                }
-                state.counters.outcome(task.class, outcome);
-                if let Some(attempt) = &attempt {
-                    state.facade.saw(to.engine, attempt.home, outcome);
-                }
-                let returned = outcome == Outcome::Returned;
-                if returned {
-                    end(state, task, Final::Returned);
-                } else if torn {
-                    end(state, task, Final::Errored("the result broke off"));
-                }
-                let over = returned || torn || state.facade.left(b).is_some();
-                let told = AttemptResult { outcome, took, over, seen, work: None, report };
-                if state.facade.report(b, number, &told) == AfterAttempt::Finished {
+        match decision {
+            RoutingDecision::Send(parameters) => {
+                let next = run_attempt(state, context, request, number, parameters);
+                if next == AfterAttempt::Finished {
                     return;
                 }
                 number += 1;
             }
             RoutingDecision::Wait | RoutingDecision::CancelAttempt(_) => {
-                state.facade.rest(b);
-                if state.facade.left(b).is_some() {
+                state.policy.wait_for_change(request);
+                if state.policy.disconnection(request).is_some() {
                     return;
                 }
             }
-            RoutingDecision::Reject(_) | RoutingDecision::Fail => return answer(state, task, place),
+            RoutingDecision::Reject(_) | RoutingDecision::Fail => {
+                return answer_decision(state, context, decision);
+            }
         }
-        place = state.facade.pick(b);
+        decision = state.policy.route(request);
     }
 }
 
-/// What the module gives up on is answered.
-fn answer(state: &State, task: &Task, place: RoutingDecision) {
-    match place {
-        RoutingDecision::Reject(wait) => end(state, task, Final::PushedBack(wait)),
-        RoutingDecision::Fail => end(state, task, Final::Errored("given up")),
+/// Makes one attempt and records its outcome; returns what the policy has next for the request.
+fn run_attempt(
+    state: &Arc<State>,
+    context: &RequestContext,
+    request: usize,
+    number: u8,
+    parameters: AttemptParameters,
+) -> AfterAttempt {
+    let attempt = Attempt::new(state, context, request, number, parameters);
+    let mut end = attempt.as_ref().map_or_else(|| AttemptEnd::not_sent(Outcome::Moot), Attempt::run);
+    let took = attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.started));
+    if let Some(attempt) = attempt.as_ref().filter(|_| end.is_unsettled) {
+        // The answer is due now; the end of what is in flight may come later.
+        answer_decision(state, context, state.policy.abandon(request));
+        end.evidence = attempt.settle();
+    }
+    state.counters.record_outcome(context.class, end.outcome);
+    if let Some(attempt) = &attempt {
+        state.policy.record_observation(attempt.instance, end.outcome);
+    }
+    let is_returned = end.outcome == Outcome::Returned;
+    if is_returned {
+        answer(state, context, FinalAnswer::Returned);
+    } else if end.is_truncated {
+        answer(state, context, FinalAnswer::Errored("the result broke off"));
+    }
+    let is_over = is_returned || end.is_truncated || state.policy.disconnection(request).is_some();
+    let result = AttemptResult {
+        outcome: end.outcome,
+        took,
+        over: is_over,
+        seen: end.evidence,
+        work: None,
+        report: end.report,
+    };
+    state.policy.record_outcome(request, number, &result)
+}
+
+/// Answers a request that the policy rejects or gives up on.
+fn answer_decision(state: &State, context: &RequestContext, decision: RoutingDecision) {
+    match decision {
+        RoutingDecision::Reject(retry_after) => answer(state, context, FinalAnswer::Rejected(retry_after)),
+        RoutingDecision::Fail => answer(state, context, FinalAnswer::Errored("given up")),
         RoutingDecision::Send(_) | RoutingDecision::Wait | RoutingDecision::CancelAttempt(_) => {}
     }
 }
 
-/// The one final answer, counted where somebody still waits for it.
-fn end(state: &State, task: &Task, end: Final) {
-    if task.reader.end(end) {
-        let now = state.clock.now();
-        if now > task.limit {
-            warn!(state.log, "answered late"; "id" => &task.id, "late_ms" => now.since(task.limit).micros() / 1000,
-                "class" => &state.names.classes[task.class], "answer" => end.word());
-        }
-        state.counters.ended(task.class, end);
+/// Gives the one final answer, and counts it where somebody still waits for it.
+fn answer(state: &State, context: &RequestContext, final_answer: FinalAnswer) {
+    if !context.reader.finish(final_answer) {
+        return;
+    }
+    let now = state.clock.now();
+    if now > context.deadline {
+        let late = now.since(context.deadline);
+        warn!(state.log, "answered late"; "id" => &context.id, "late_ms" => late.micros() / 1000,
+            "class" => &state.settings.names.classes[context.class], "answer" => final_answer.label());
     }
+    state.counters.record_answer(context.class, final_answer);
 }
--- a/crates/gateway/src/run/reload.rs
+++ b/crates/gateway/src/run/reload.rs
@@ -57,7 +57,7 @@
             }
             info!(state.log, "configuration reloaded"; "discovery" => config.discovery.to_string());
             // A follower of its own, at once: the old discovery service may stay silent and hold its connection open.
-            let era = state.next_discovery();
+            let era = state.discovery.next_client();
             let state = state.clone();
             may::go!(move || discovery::follow(&state, config.discovery, seed, era));
         }
--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -6,17 +6,20 @@
 use crate::cluster::duties::{Duty, Keeper, Shared};
 use crate::cluster::signals::Signals;
 use crate::cluster::{self, Gateways};
-use crate::engines::attempt::RUNS_ON;
+use crate::engine::cancellation::UNOBSERVED_ATTEMPT_LIFETIME;
 use crate::protocols::rest::{self, RestService};
 use crate::protocols::rpc;
 use crate::state::State;
-use crate::state::alarms::Alarms;
+use crate::state::client_connections::ClientConnections;
 use crate::state::clock::Clock;
+use crate::state::connection_pool::ConnectionPool;
 use crate::state::counters::Counters;
-use crate::state::facade::Facade;
-use crate::state::peer::Peers;
-use crate::state::pool::Pool;
-use crate::state::stalls::Stalls;
+use crate::state::discovery_status::DiscoveryStatus;
+use crate::state::policy_handle::PolicyHandle;
+use crate::state::settings::TransportSettings;
+use crate::state::shutdown::Shutdown;
+use crate::state::stall_detector::StallDetector;
+use crate::state::timers::Timers;
 use crate::subset::{self, Subset};
 use crate::{discovery, timer};
 use larchfall_leases::probing::Probing;
@@ -25,14 +28,13 @@
 use larchfall_membership::count::Count;
 use larchfall_membership::members::Members;
 use larchfall_operator_config::{Kinds, Site};
-use larchfall_policy::interface::{Caps, Idempotency, PolicyConfig};
+use larchfall_policy::interface::{Caps, PolicyConfig};
 use larchfall_policy::policy::Policy;
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::capacity::Capacity;
 use may::net::TcpListener;
 use slog::{info, warn};
 use std::net::SocketAddrV4;
-use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, Mutex};
 
 /// Bytes of each coroutine's stack. Only pages that were touched count as memory; see docs/front.md.
@@ -49,16 +51,6 @@
 /// What waited in the listener's queue while nobody was taken in is out of it by so long after.
 const QUEUE_EMPTIES: Duration = Duration::from_millis(100);
 
-/// What was picked longer ago is not sent to an engine that drains by now: its grace runs. Nor is what would begin in
-/// the later part of that grace.
-const PICK_HOLDS: Duration = Duration::from_millis(600);
-const PICK_GRACE: f64 = 0.5;
-/// Answers that wait unread for so long, and for longer than any of them is still owed, have no reader; who only stands
-/// still for a while is owed them.
-const ANSWERS_KEPT: Duration = Duration::from_millis(10_000);
-/// An answer still counts as given for so long after its request's time.
-const LATE_ANSWERS: Duration = Duration::from_millis(500);
-
 /// Runs a gateway to its end; a failure with the exit code for it.
 pub fn run(
     file: String,
@@ -81,12 +73,12 @@
         }
         None => None,
     };
-    let limits = config.limits.share(rest.as_ref().map_or(0, |(_, _, site)| site.connections));
+    let limits = config.limits.reserve_clients(rest.as_ref().map_or(0, |(_, _, site)| site.connections));
     let limits = limits.ok_or((2, "rest.connections: none are left for MessagePack-RPC".to_owned()))?;
-    if rest.as_ref().is_some_and(|(_, _, site)| site.caps.making > limits.engine_links / 2) {
+    if rest.as_ref().is_some_and(|(_, _, site)| site.caps.making > limits.engine_connections / 2) {
         return Err((
             2,
-            format!("rest.in-hand: more than half of {} connections to engines", limits.engine_links),
+            format!("rest.in-hand: more than half of {} connections to engines", limits.engine_connections),
         ));
     }
     let (log, _writes_the_rest) = log::start(&config.name);
@@ -105,13 +97,13 @@
     let clock = Clock::start((parts.wall)());
     let state = Arc::new(start(config.settings, limits, seed, log, probing, clock));
     // The configuration's list is as good as the discovery service's, now.
-    state.facade.heard(state.clock.now());
+    state.policy.confirm_endpoints(state.clock.now());
     for event in &known {
         discovery::take(&state, event);
     }
-    let looks = timer::Looks::open().map_err(|e| (1, format!("a pair of sockets: {e}")))?;
+    let looks = timer::EventPollProbe::open().map_err(|e| (1, format!("a pair of sockets: {e}")))?;
     let mut signals = stop::Signals::listen(caught).map_err(|e| (1, format!("signals: {e}")))?;
-    info!(state.log, "listening"; "clients" => state.limits.clients, "engine_connections" => state.limits.engine_links,
+    info!(state.log, "listening"; "clients" => state.limits.client_connections, "engine_connections" => state.limits.engine_connections,
         "requests" => state.limits.requests, "address" => listener.local_addr().unwrap_or(address.into()).to_string());
     if let Some((_, listener, site)) = &rest {
         info!(state.log, "listening for paged REST"; "connections" => site.connections, "results" => site.caps.results,
@@ -144,7 +136,7 @@
             }
             let (s2, s3) = (state.clone(), state.clone());
             let service = rest.as_ref().map(|(service, ..)| service.clone());
-            let era = s2.next_discovery();
+            let era = s2.discovery.next_client();
             may::go!(move || discovery::follow(&s2, discovery_address, seed, era));
             if let Some(asked) = signals.reload.take() {
                 let (state, service, gateways) = (state.clone(), service.clone(), gateways.clone());
@@ -158,7 +150,7 @@
                 ));
             }
             let looker = state.clone();
-            may::go!(move || timer::look_for_events(&looker, looks));
+            may::go!(move || timer::record_event_polls(&looker, looks));
             may::go!(move || accept(&s3, &listener));
             if let Some((service, listener, _)) = rest {
                 let state = state.clone();
@@ -215,47 +207,30 @@
     probing: Option<larchfall_leases::probing::Settings>,
     clock: Clock,
 ) -> State {
-    let in_order = s.given.classes.iter().map(|g| g.in_order).collect();
-    let referenced =
-        s.given.classes.iter().map(|g| matches!(g.effect, Idempotency::IdempotentWithKey { .. })).collect();
-    let max_retry_after = s.given.caps.max_retry_after;
-    let longest = s.limits.iter().max().copied().unwrap_or_default();
-    let endpoint_list_lifetime = Some(discovery::TOLD_WITHIN + s.drain_grace);
-    let idle_connection_lifetime = Pool::kept(s.idle_close);
-    let (unobserved_attempt_lifetime, single_attempt) = (Some(RUNS_ON), s.single_attempt);
+    let settings = TransportSettings::new(&s);
     let caps = Caps {
-        unobserved_attempt_lifetime,
-        idle_connection_lifetime,
-        endpoint_list_lifetime,
-        single_attempt,
+        unobserved_attempt_lifetime: Some(UNOBSERVED_ATTEMPT_LIFETIME),
+        idle_connection_lifetime: ConnectionPool::idle_lifetime(s.idle_close),
+        endpoint_list_lifetime: Some(discovery::TOLD_WITHIN + s.drain_grace),
+        single_attempt: s.single_attempt,
         ..s.given.caps
     };
-    let alarms = Arc::new(Alarms::new(clock));
+    let timers = Arc::new(Timers::new(clock));
     let policy = Policy::new(seed, PolicyConfig { caps, ..s.given });
     State {
         clock,
-        counters: Counters::new(s.names.classes.len()),
-        names: s.names,
-        class_limits: s.limits,
-        in_order,
-        single_attempt,
-        referenced,
-        max_retry_after,
-        connect_within: s.connect_within,
-        pick_holds: PICK_HOLDS.min(s.drain_grace * PICK_GRACE),
-        answers_kept: ANSWERS_KEPT.max(longest + LATE_ANSWERS),
-        facade: Facade::new(policy, clock, limits.requests, alarms.clone()),
-        alarms,
-        peers: Peers::new(limits.unread),
-        pool: Pool::new(limits.engine_links, s.idle_close),
-        stalls: Stalls::start(clock.now()),
-        limits,
+        stall_detector: StallDetector::start(clock.now()),
         log,
-        ends: Mutex::new(None),
-        done: AtomicBool::new(false),
-        discovery: AtomicU64::new(0),
-        discovery_heard: AtomicU64::new(clock.now().micros()),
-        probing: probing.map(|settings| Mutex::new(Probing::new(settings, clock.now()))),
+        counters: Counters::new(settings.classes.len()),
+        settings,
+        limits,
+        policy: PolicyHandle::new(policy, clock, limits.requests, timers.clone()),
+        timers,
+        client_connections: ClientConnections::new(limits.unread_bytes),
+        engine_connections: Arc::new(ConnectionPool::new(limits.engine_connections, s.idle_close)),
+        shutdown: Shutdown::default(),
+        discovery: DiscoveryStatus::new(clock.now()),
+        shared_load_reports: probing.map(|settings| Mutex::new(Probing::new(settings, clock.now()))),
     }
 }
 
@@ -263,16 +238,16 @@
 /// taken all the same, and a request in it would be overtaken by later ones of its key: so the last places are
 /// kept free by ending connections that nobody uses.
 fn accept(state: &Arc<State>, listener: &TcpListener) {
-    let most = state.limits.clients;
+    let most = state.limits.client_connections;
     let spare = most / SPARE + 1;
     // Since when nobody was taken in, and when that was over.
     let mut held_up: Option<(Timestamp, Timestamp)> = None;
     loop {
         let called = state.clock.now();
-        if state.peers.len() + spare >= most {
-            state.peers.make_room(spare, called - FRESH);
+        if state.client_connections.len() + spare >= most {
+            state.client_connections.close_idle(spare, called - FRESH);
         }
-        if state.peers.len() >= most || state.stalls.starves_events(called) {
+        if state.client_connections.len() >= most || state.stall_detector.is_event_poll_overdue(called) {
             state.sleep(PAUSE);
             held_up = Some((held_up.map_or(called, |(since, _)| since), state.clock.now()));
             continue;
--- a/crates/gateway/src/run/stop.rs
+++ b/crates/gateway/src/run/stop.rs
@@ -12,7 +12,6 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 
 /// New connections come for 0.4 s after SIGTERM, requests on open ones for 0.2 s more.
 const CLIENTS_COME: Duration = Duration::from_millis(800);
@@ -83,10 +82,10 @@
     if let Some(gateways) = &gateways {
         gateways.leave(state);
     }
-    let longest = state.class_limits.iter().max().copied().unwrap_or_default().min(LONGEST_WAIT);
+    let longest = state.settings.longest_deadline().min(LONGEST_WAIT);
     let ends = told + (longest + KILL_AFTER).saturating_sub(LAST_ANSWERS);
-    state.end_at(ends);
-    info!(state.log, "shutdown requested"; "in_flight" => state.facade.in_hand(), "clients" => state.peers.len());
+    state.begin_shutdown(ends);
+    info!(state.log, "shutdown requested"; "in_flight" => state.policy.in_flight(), "clients" => state.client_connections.len());
     let killed = ends + LAST_ANSWERS;
     loop {
         state.sleep(LOOK);
@@ -94,17 +93,17 @@
         // Half-read results go on until then.
         let read = service.is_none_or(|service| service.pages.unread() == 0);
         // A gateway that stood still has come here before it heard its sockets: what clients wrote meanwhile is unread.
-        let heard = state.stalls.looked_since(told + CLIENTS_COME);
+        let heard = state.stall_detector.has_polled_since(told + CLIENTS_COME);
         if (!is_owed(state) && read && heard) || now >= killed {
             break;
         }
     }
-    info!(state.log, "shutdown complete"; "in_flight" => state.facade.in_hand(), "clients" => state.peers.len());
+    info!(state.log, "shutdown complete"; "in_flight" => state.policy.in_flight(), "clients" => state.client_connections.len());
     // Each connection that is still open leaves its own line.
-    state.done.store(true, Ordering::Relaxed);
-    state.peers.wake_quiet(state.clock.now(), state.clock.now());
+    state.shutdown.complete();
+    state.client_connections.wake_overdue(state.clock.now(), state.clock.now());
     let until = state.clock.now() + LAST_LINES;
-    let open = || state.peers.len() + service.map_or(0, |service| service.clients());
+    let open = || state.client_connections.len() + service.map_or(0, |service| service.clients());
     // What was read between the last look and here was taken, and gets its answer as all else did.
     let goes_on = |now| (is_owed(state) && now < killed) || (open() > 0 && now < until);
     while goes_on(state.clock.now()) {
@@ -113,5 +112,5 @@
 }
 
 fn is_owed(state: &State) -> bool {
-    state.facade.in_hand() > 0 || !state.peers.are_idle()
+    state.policy.in_flight() > 0 || !state.client_connections.are_idle()
 }
--- a/crates/gateway/src/run/survey.rs
+++ b/crates/gateway/src/run/survey.rs
@@ -2,7 +2,7 @@
 
 use super::config::Config;
 use crate::cluster::ask::table;
-use crate::state::engines::Engines;
+use crate::state::engine_table::EngineTable;
 use larchfall_operator_config::Subsets;
 use larchfall_subsetting::survey::{Survey, survey};
 use larchfall_subsetting::{Gateway, Listed};
@@ -14,11 +14,12 @@
 
 /// The engines that the configuration names, and gateways by number, spread over the zones that it names.
 pub fn of(config: &Config, site: &Subsets, gateways: usize) -> (Vec<Listed>, Survey) {
-    let mut engines = Engines::default();
+    let mut engines = EngineTable::default();
     for event in &config.known {
-        engines.follow(event);
+        engines.apply(event);
     }
-    let engines: Vec<Listed> = engines.ready().into_iter().map(|(_, id, told)| Listed { id, told }).collect();
+    let engines: Vec<Listed> =
+        engines.ready().into_iter().map(|ready| Listed { id: ready.id, told: ready.engine }).collect();
     let zones = config.settings.names.zones.len().max(1);
     let gateway =
         |i: usize| Gateway { number: xxh3_64(format!("front {i}").as_bytes()), zone: Some(i % zones) };
--- a/crates/gateway/src/state/clock.rs
+++ b/crates/gateway/src/state/clock.rs
@@ -1,33 +1,36 @@
-//! A steady clock, set once against the Unix clock: a step of that one moves no time limit.
+//! A monotonic clock that reads as Unix time. It is set once, at the start, so a step of the system clock moves no
+//! deadline.
 
 use larchfall_policy::time::{Duration, Timestamp};
 use std::time::{Duration as StdDuration, Instant};
 
+/// The gateway's clock; copies read the same time.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    from: Instant,
-    unix: Duration,
+    started: Instant,
+    unix_at_start: Duration,
 }
 
 impl Clock {
-    /// `unix` is what that clock says now, since 1970.
-    pub fn start(unix: Duration) -> Clock {
-        Clock { from: Instant::now(), unix }
+    /// Starts the clock at `unix_now`, the time since 1970.
+    pub fn start(unix_now: Duration) -> Clock {
+        Clock { started: Instant::now(), unix_at_start: unix_now }
     }
 
+    /// The present time.
     pub fn now(&self) -> Timestamp {
-        Timestamp::from_micros(self.unix.micros())
-            + Duration::from_micros(self.from.elapsed().as_micros() as u64)
+        Timestamp::from_micros(self.unix_at_start.micros())
+            + Duration::from_micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// The time left until then, as a wait; zero once it has come.
-    pub fn left(&self, until: Timestamp) -> StdDuration {
-        wait(until.since(self.now()))
+    /// The time left until the deadline, as a timeout; zero once the deadline has passed.
+    pub fn remaining(&self, deadline: Timestamp) -> StdDuration {
+        timeout(deadline.since(self.now()))
     }
 }
 
-/// A span as a wait, in whole milliseconds and never rounded down: the coroutine crate keeps waits as whole
-/// milliseconds, and takes none for a wait without end.
-pub fn wait(duration: Duration) -> StdDuration {
+/// A duration as a timeout of a socket or a thread: whole milliseconds, rounded up. The coroutine crate counts in
+/// whole milliseconds and takes zero for a wait without end.
+pub fn timeout(duration: Duration) -> StdDuration {
     StdDuration::from_millis(duration.micros().div_ceil(1000))
 }
--- a/crates/gateway/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -1,119 +1,170 @@
-//! Counts of what was taken in, sent and answered, by request class and outcome.
+//! Counters of requests and attempts, by request class and outcome, and of the gateway as a whole.
 
 use super::lock;
-use crate::task::Final;
+use crate::request_context::FinalAnswer;
 use larchfall_policy::interface::Outcome;
 use std::sync::Mutex;
 
+/// Counters of one request class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Group {
-    pub taken: u64,
+pub struct ClassCounters {
+    /// Requests that came in good form.
+    pub admitted: u64,
+    /// Attempts that had their outcome.
     pub attempts: u64,
-    pub outcomes: [u64; 8],
+    /// Attempts by outcome, in the order of `OUTCOME_LABELS`.
+    outcomes: [u64; OUTCOME_LABELS.len()],
+    /// Requests whose rows all went to the client.
     pub returned: u64,
-    pub pushed_back: u64,
+    /// Requests that were rejected: trying again is harmless.
+    pub rejected: u64,
+    /// Requests that ended in an error.
     pub errored: u64,
-    /// Clients that left before their answer.
-    pub left: u64,
+    /// Requests whose client disconnected before the answer.
+    pub disconnected: u64,
 }
 
-#[derive(Default)]
-pub struct Counters {
-    classes: Mutex<Vec<Group>>,
-    rest: Mutex<Rest>,
-}
-
-/// What belongs to no request class.
+/// Counters that belong to no request class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Rest {
+pub struct GatewayCounters {
+    /// Client connections accepted.
     pub connections: u64,
+    /// Messages that no request could be made of.
     pub unusable: u64,
-    /// Pushed back by the gateway itself: too many open on a connection, or in hand.
+    /// Requests rejected by the gateway's own limits: too many open on a connection, or in flight.
     pub over_limits: u64,
+    /// Pings of clients.
     pub pings: u64,
-    pub probes: u64,
+    /// Load reports asked for.
+    pub load_probes: u64,
+    /// Events of the discovery service.
     pub discovery_events: u64,
-    /// Paged results whose last page was handed out, and those that their clients left.
+    /// Paged results whose last page was handed out.
     pub results_read: u64,
-    pub results_left: u64,
-    pub most_in_hand: usize,
-    pub most_clients: usize,
-    pub most_links: usize,
-    /// How late the timer came by at worst: the time others kept the core.
-    pub most_lag_ms: u64,
+    /// Paged results that their clients abandoned.
+    pub results_abandoned: u64,
+    /// Most requests in flight at a time.
+    pub max_in_flight: usize,
+    /// Most client connections at a time.
+    pub max_clients: usize,
+    /// Most connections to engines at a time.
+    pub max_engine_connections: usize,
+    /// The longest delay of the timer thread: the time for which others kept the core.
+    pub max_timer_lag_ms: u64,
+}
+
+/// All counters of a gateway.
+#[derive(Default)]
+pub struct Counters {
+    classes: Mutex<Vec<ClassCounters>>,
+    gateway: Mutex<GatewayCounters>,
+}
+
+struct OutcomeLabel {
+    outcome: Outcome,
+    label: &'static str,
+}
+
+const fn labelled(outcome: Outcome, label: &'static str) -> OutcomeLabel {
+    OutcomeLabel { outcome, label }
 }
 
-const OUTCOMES: [(Outcome, &str); 8] = [
-    (Outcome::Returned, "returned"),
-    (Outcome::Errored, "errored"),
-    (Outcome::Full, "full"),
-    (Outcome::TimedOut, "timed_out"),
-    (Outcome::ConnectFailed, "connect_failed"),
-    (Outcome::Reset, "reset"),
-    (Outcome::Cancelled, "cancelled"),
-    (Outcome::Moot, "not_sent"),
+const OUTCOME_LABELS: [OutcomeLabel; 8] = [
+    labelled(Outcome::Returned, "returned"),
+    labelled(Outcome::Errored, "errored"),
+    labelled(Outcome::Full, "full"),
+    labelled(Outcome::TimedOut, "timed_out"),
+    labelled(Outcome::ConnectFailed, "connect_failed"),
+    labelled(Outcome::Reset, "reset"),
+    labelled(Outcome::Cancelled, "cancelled"),
+    labelled(Outcome::Moot, "not_sent"),
 ];
 
 impl Counters {
+    /// Zero for so many request classes.
     pub fn new(classes: usize) -> Counters {
-        Counters { classes: Mutex::new(vec![Group::default(); classes]), rest: Mutex::default() }
+        Counters { classes: Mutex::new(vec![ClassCounters::default(); classes]), gateway: Mutex::default() }
     }
 
-    pub fn class(&self, g: usize, count: impl FnOnce(&mut Group)) {
-        if let Some(class) = lock(&self.classes).get_mut(g) {
-            count(class);
+    /// Updates the counters of a request class, if there is one of that index.
+    pub fn update_class(&self, class: usize, update: impl FnOnce(&mut ClassCounters)) {
+        if let Some(counters) = lock(&self.classes).get_mut(class) {
+            update(counters);
         }
     }
 
-    /// A request whose client was still there.
-    pub fn ended(&self, g: usize, end: Final) {
-        self.class(g, |c| match end {
-            Final::Returned => c.returned += 1,
-            Final::PushedBack(_) => c.pushed_back += 1,
-            Final::Errored(_) => c.errored += 1,
-        });
+    /// Updates the counters that belong to no class.
+    pub fn update(&self, update: impl FnOnce(&mut GatewayCounters)) {
+        update(&mut lock(&self.gateway));
     }
 
-    pub fn outcome(&self, g: usize, outcome: Outcome) {
-        let at = OUTCOMES.iter().position(|(o, _)| *o == outcome).unwrap_or(0);
-        self.class(g, |c| {
-            c.attempts += 1;
-            c.outcomes[at] += 1;
+    /// Counts a final answer that somebody still waited for.
+    pub fn record_answer(&self, class: usize, answer: FinalAnswer) {
+        self.update_class(class, |counters| match answer {
+            FinalAnswer::Returned => counters.returned += 1,
+            FinalAnswer::Rejected(_) => counters.rejected += 1,
+            FinalAnswer::Errored(_) => counters.errored += 1,
         });
     }
 
-    pub fn rest(&self, count: impl FnOnce(&mut Rest)) {
-        count(&mut lock(&self.rest));
+    /// Counts an attempt by its outcome.
+    pub fn record_outcome(&self, class: usize, outcome: Outcome) {
+        let position = OUTCOME_LABELS.iter().position(|label| label.outcome == outcome).unwrap_or(0);
+        self.update_class(class, |counters| {
+            counters.attempts += 1;
+            counters.outcomes[position] += 1;
+        });
     }
 
-    /// One line a request class, and one for the rest.
-    pub fn lines(&self, names: &[String]) -> Vec<String> {
+    /// One log line for each request class, and one for the gateway.
+    pub fn log_lines(&self, class_names: &[String]) -> Vec<String> {
         let classes = lock(&self.classes);
-        let mut lines: Vec<String> = classes
+        let mut lines: Vec<String> =
+            classes.iter().zip(class_names).map(|(counters, name)| counters.log_line(name)).collect();
+        lines.push(lock(&self.gateway).log_line());
+        lines
+    }
+}
+
+impl ClassCounters {
+    fn log_line(&self, name: &str) -> String {
+        let outcomes: Vec<String> = OUTCOME_LABELS
             .iter()
-            .zip(names)
-            .map(|(g, name)| {
-                let outcomes: Vec<String> =
-                    OUTCOMES.iter().zip(g.outcomes).map(|((_, word), n)| format!("attempts_{word}: {n}")).collect();
-                format!(
-                    "request class counters, class: {name}, admitted: {}, returned: {}, rejected: {}, errored: {}, disconnected: {}, attempts: {}, {}",
-                    g.taken,
-                    g.returned,
-                    g.pushed_back,
-                    g.errored,
-                    g.left,
-                    g.attempts,
-                    outcomes.join(", ")
-                )
-            })
+            .zip(self.outcomes)
+            .map(|(OutcomeLabel { label, .. }, count)| format!("attempts_{label}: {count}"))
             .collect();
-        let r = lock(&self.rest);
-        lines.push(format!(
-            "gateway counters, connections: {}, unusable: {}, over_limits: {}, pings: {}, load_probes: {}, discovery_events: {}, results_read: {}, results_abandoned: {}, most_in_flight: {}, most_clients: {}, most_engine_connections: {}, most_lag_ms: {}",
-            r.connections, r.unusable,
-            r.over_limits, r.pings, r.probes, r.discovery_events, r.results_read, r.results_left, r.most_in_hand, r.most_clients, r.most_links,
-            r.most_lag_ms
-        ));
-        lines
+        format!(
+            "request class counters, class: {name}, admitted: {}, returned: {}, rejected: {}, errored: {}, \
+             disconnected: {}, attempts: {}, {}",
+            self.admitted,
+            self.returned,
+            self.rejected,
+            self.errored,
+            self.disconnected,
+            self.attempts,
+            outcomes.join(", ")
+        )
+    }
+}
+
+impl GatewayCounters {
+    fn log_line(&self) -> String {
+        format!(
+            "gateway counters, connections: {}, unusable: {}, over_limits: {}, pings: {}, load_probes: {}, \
+             discovery_events: {}, results_read: {}, results_abandoned: {}, most_in_flight: {}, most_clients: {}, \
+             most_engine_connections: {}, most_lag_ms: {}",
+            self.connections,
+            self.unusable,
+            self.over_limits,
+            self.pings,
+            self.load_probes,
+            self.discovery_events,
+            self.results_read,
+            self.results_abandoned,
+            self.max_in_flight,
+            self.max_clients,
+            self.max_engine_connections,
+            self.max_timer_lag_ms
+        )
     }
 }
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -1,43 +1,58 @@
-//! Limits of the transport, worked out once from what the machine allows.
+//! Limits of the transport, worked out once from the machine's memory and descriptors.
 
-/// Clients hold a third of the descriptors at most; what crosses a close comes on top.
-const CLIENTS: (usize, usize) = (2, 5);
-const ENGINES: (usize, usize) = (1, 2);
-/// Listener, discovery service, signals, log, epoll, standard streams, probes.
-const REST: usize = 24;
-/// Memory that answers on their way out may take, of all there is.
-const ANSWERS: usize = 4;
-/// A request in hand costs a stack and its statement; this much of the memory may go there, at this much each.
-const REQUESTS: usize = 3;
-const REQUEST_BYTES: usize = 24 * 1024;
+/// Clients hold two fifths of the descriptors and engines half: what crosses a close comes on top.
+const CLIENT_DESCRIPTORS: Fraction = Fraction { numerator: 2, denominator: 5 };
+const ENGINE_DESCRIPTORS: Fraction = Fraction { numerator: 1, denominator: 2 };
+/// Listener, discovery service, signals, log, epoll, standard streams, load reports.
+const OTHER_DESCRIPTORS: usize = 24;
+/// One part in so many of the memory may hold responses on their way out.
+const RESPONSE_MEMORY_DIVISOR: usize = 4;
+/// One part in so many of the memory may hold requests in flight: a stack and a statement each.
+const REQUEST_MEMORY_DIVISOR: usize = 3;
+const BYTES_PER_REQUEST: usize = 24 * 1024;
 
+struct Fraction {
+    numerator: usize,
+    denominator: usize,
+}
+
+impl Fraction {
+    fn of(&self, whole: usize) -> usize {
+        whole * self.numerator / self.denominator
+    }
+}
+
+/// How much of everything there may be at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    pub clients: usize,
-    pub engine_links: usize,
-    /// Requests in hand of all clients together.
+    /// Client connections.
+    pub client_connections: usize,
+    /// Connections to engines.
+    pub engine_connections: usize,
+    /// Requests in flight, of all clients together.
     pub requests: usize,
-    /// Bytes of answers that clients have not read.
-    pub unread: usize,
+    /// Bytes of responses that clients have not read.
+    pub unread_bytes: usize,
 }
 
 impl Limits {
-    /// With so many of the clients' connections left to another protocol; `None` when too few stay.
-    pub fn share(self, others: usize) -> Option<Limits> {
-        let clients = self.clients.checked_sub(others).filter(|left| *left > 0)?;
-        Some(Limits { clients, ..self })
-    }
-
     /// `None` when the machine is too small to serve anybody.
     pub fn new(memory_mb: usize, sockets: usize) -> Option<Limits> {
-        let open = sockets.checked_sub(REST)?;
+        let descriptors = sockets.checked_sub(OTHER_DESCRIPTORS)?;
         let memory = memory_mb << 20;
         let limits = Limits {
-            clients: open * CLIENTS.0 / CLIENTS.1,
-            engine_links: open * ENGINES.0 / ENGINES.1,
-            requests: memory / REQUESTS / REQUEST_BYTES,
-            unread: memory / ANSWERS,
+            client_connections: CLIENT_DESCRIPTORS.of(descriptors),
+            engine_connections: ENGINE_DESCRIPTORS.of(descriptors),
+            requests: memory / REQUEST_MEMORY_DIVISOR / BYTES_PER_REQUEST,
+            unread_bytes: memory / RESPONSE_MEMORY_DIVISOR,
         };
-        (limits.clients > 0 && limits.engine_links > 0 && limits.requests > 0).then_some(limits)
+        let is_usable = limits.client_connections > 0 && limits.engine_connections > 0 && limits.requests > 0;
+        is_usable.then_some(limits)
+    }
+
+    /// The limits with so many client connections reserved for another protocol; `None` when none are left.
+    pub fn reserve_clients(self, reserved: usize) -> Option<Limits> {
+        let left = self.client_connections.checked_sub(reserved).filter(|left| *left > 0)?;
+        Some(Limits { client_connections: left, ..self })
     }
 }
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -1,130 +1,112 @@
-//! What one gateway keeps in memory. Nothing here does input or output on its own; no lock is held across a wait.
+//! What one gateway keeps in memory. Nothing here does input or output, and no lock is held across a wait.
+//!
+//! Each part has one owner: what several coroutines share lies behind a lock of its own, private to the part's module.
+//! `PolicyHandle` is the only one that calls the policy.
 
-pub mod alarms;
+pub mod client_connections;
 pub mod clock;
+pub mod connection_permits;
+pub mod connection_pool;
 pub mod counters;
-pub mod due;
-pub mod engines;
-pub mod facade;
+pub mod deadline_queue;
+pub mod discovery_status;
+pub mod engine_table;
 pub mod limits;
-pub mod pages;
-pub mod peer;
-pub mod permits;
-pub mod pool;
-pub mod stalls;
+pub mod policy_handle;
+pub mod response_writer;
+pub mod result_pages;
+pub mod settings;
+pub mod shutdown;
+pub mod stall_detector;
+pub mod timers;
 
-use alarms::Alarms;
+use client_connections::ClientConnections;
 use clock::Clock;
+use connection_pool::ConnectionPool;
 use counters::Counters;
-use facade::Facade;
-use larchfall_config::Names;
+use discovery_status::DiscoveryStatus;
 use larchfall_leases::probing::Probing;
 use larchfall_policy::time::{Duration, Timestamp};
 use limits::Limits;
-use peer::Peers;
-use pool::Pool;
+use policy_handle::PolicyHandle;
+use settings::TransportSettings;
+use shutdown::Shutdown;
 use slog::{Logger, info};
-use stalls::Stalls;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use stall_detector::StallDetector;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use timers::Timers;
 
 /// All parts of a gateway, shared by its coroutines.
 pub struct State {
+    /// The clock that all times are read on.
     pub clock: Clock,
-    pub names: Names,
-    /// How long clients of each request class wait at most.
-    pub class_limits: Vec<Duration>,
-    /// Request classes whose requests of one key go one after the other.
-    pub in_order: Vec<bool>,
-    /// No request may have two attempts out.
-    pub single_attempt: bool,
-    /// Request classes whose requests carry a mark by which a repeat is known.
-    pub referenced: Vec<bool>,
-    /// When to come back, for what the gateway itself pushes back.
-    pub max_retry_after: Option<Duration>,
-    /// A connection to an engine that is not up by then counts as failed.
-    pub connect_within: Duration,
-    /// An engine that drains by now is sent what was picked for it no longer ago than this.
-    pub pick_holds: Duration,
-    /// Answers that wait unread for so long have no reader.
-    pub answers_kept: Duration,
-    pub limits: Limits,
-    pub stalls: Stalls,
-    pub alarms: Arc<Alarms>,
-    pub facade: Facade,
-    pub peers: Peers,
-    pub pool: Pool,
-    pub counters: Counters,
+    /// Coroutines that wait with a deadline.
+    pub timers: Arc<Timers>,
+    /// Whether this process was kept from running.
+    pub stall_detector: StallDetector,
+    /// Where log lines go.
     pub log: Logger,
-    /// When this gateway ends, once it was told to.
-    pub ends: Mutex<Option<Timestamp>>,
-    /// All is answered: connections may end.
-    pub done: AtomicBool,
-    /// Which follower of the discovery service is the present one.
-    pub discovery: AtomicU64,
-    /// When the discovery service last said anything, in microseconds of the clock.
-    pub discovery_heard: AtomicU64,
-    /// What the holders of probing duties tell, where there are such duties.
-    pub probing: Option<Mutex<Probing>>,
+    /// Counters of requests and connections.
+    pub counters: Counters,
+    /// Settings of the transport.
+    pub settings: TransportSettings,
+    /// Limits of the transport.
+    pub limits: Limits,
+    /// The policy, the endpoint list and the requests in flight.
+    pub policy: PolicyHandle,
+    /// Clients of MessagePack-RPC.
+    pub client_connections: ClientConnections,
+    /// Connections to engines.
+    pub engine_connections: Arc<ConnectionPool>,
+    /// Whether this gateway is to end.
+    pub shutdown: Shutdown,
+    /// The connection to the discovery service.
+    pub discovery: DiscoveryStatus,
+    /// Load reports that members share, where there are leases for asking engines.
+    pub shared_load_reports: Option<Mutex<Probing>>,
 }
 
 impl State {
-    pub fn ends(&self) -> Option<Timestamp> {
-        *lock(&self.ends)
-    }
-
-    /// Rests for so long.
+    /// Blocks for this long.
     pub fn sleep(&self, duration: Duration) {
         if duration > Duration::ZERO {
-            self.alarms.sleep(duration);
+            self.timers.sleep(duration);
         }
     }
 
-    /// Whether this gateway stood still for long and has not heard since what the discovery service told meanwhile.
-    pub fn is_deaf(&self) -> bool {
-        let heard = Timestamp::from_micros(self.discovery_heard.load(Ordering::Relaxed));
-        self.stalls.deaf_for(self.clock.now(), heard) > Duration::ZERO
-    }
-
-    /// Whether what clients, engines and the discovery service said a while ago may still be unread.
-    pub fn hears_nothing(&self) -> bool {
-        self.is_deaf() || self.stalls.starves_events(self.clock.now())
-    }
-
-    pub fn is_done(&self) -> bool {
-        self.done.load(Ordering::Relaxed)
-    }
-
-    /// Whether this gateway is to ask that engine for its load by itself: nobody who asks for all has told it lately.
-    pub fn is_to_ask(&self, e: usize) -> bool {
-        let Some(probing) = &self.probing else { return true };
-        let id = self.facade.id(e).map(u64::from);
-        id.is_none_or(|id| !lock(probing).is_fresh(id, self.clock.now()))
+    /// Whether this gateway stalled for long and has not yet read what the discovery service sent meanwhile.
+    pub fn is_behind_discovery(&self) -> bool {
+        let heard = self.discovery.last_heard();
+        self.stall_detector.discovery_catch_up(self.clock.now(), heard) > Duration::ZERO
     }
 
-    /// The number of a new follower; the ones before it end.
-    pub fn next_discovery(&self) -> u64 {
-        self.discovery.fetch_add(1, Ordering::Relaxed) + 1
+    /// Whether what clients, engines and the discovery service sent a while ago may still be unread.
+    pub fn may_have_unread_input(&self) -> bool {
+        self.is_behind_discovery() || self.stall_detector.is_event_poll_overdue(self.clock.now())
     }
 
-    pub fn is_current_discovery(&self, era: u64) -> bool {
-        self.discovery.load(Ordering::Relaxed) == era
+    /// Whether this gateway is to ask that engine for a load report: no member that asks for all has sent one lately.
+    pub fn needs_load_report(&self, engine: usize) -> bool {
+        let Some(reports) = &self.shared_load_reports else { return true };
+        let id = self.policy.engine_id(engine).map(u64::from);
+        id.is_none_or(|id| !lock(reports).is_fresh(id, self.clock.now()))
     }
 
+    /// Writes all counters to the log.
     pub fn log_counters(&self) {
-        for line in self.counters.lines(&self.names.classes) {
+        for line in self.counters.log_lines(&self.settings.names.classes) {
             info!(self.log, "{}", line);
         }
     }
 
     /// From now on nothing is promised beyond this time.
-    pub fn end_at(&self, at: Timestamp) {
-        *lock(&self.ends) = Some(at);
-        self.facade.end_by(at);
+    pub fn begin_shutdown(&self, deadline: Timestamp) {
+        self.shutdown.set_deadline(deadline);
+        self.policy.set_shutdown_deadline(deadline);
     }
 }
 
-/// A part that panicked while it held a lock left plain values behind: the others go on.
+/// Locks a mutex even if another holder panicked: what it left behind are plain values, and the others go on.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- /dev/null
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -0,0 +1,72 @@
+//! What this gateway observed of engines, for its members, and what they observed.
+
+use super::{Decisions, PolicyHandle};
+use crate::state::engine_table::EngineInstance;
+use larchfall_health_gossip::sights::{Saw, Sights};
+use larchfall_health_gossip::{Counts, Process};
+use larchfall_policy::interface::Outcome;
+
+/// The next report to members.
+#[derive(Clone, Debug)]
+pub struct ObservationReport {
+    /// Its number among this gateway's reports.
+    pub number: u64,
+    /// Observations by process; never empty.
+    pub observations: Vec<(Process, Counts)>,
+}
+
+impl PolicyHandle {
+    /// From now on observations are kept, of at most so many processes.
+    pub fn enable_observations(&self, max_processes: usize) {
+        self.lock().observations = Some(Sights::new(max_processes));
+    }
+
+    /// Keeps what the outcome of an attempt tells of the process it was sent to, unless that was replaced meanwhile.
+    pub fn record_observation(&self, instance: EngineInstance, outcome: Outcome) {
+        let mut guard = self.lock();
+        let Decisions { engines, observations, .. } = &mut *guard;
+        let Some(observations) = observations else { return };
+        let Some(observation) = Saw::of(outcome) else { return };
+        let is_current = engines.instance(instance.engine) == Some(instance);
+        if let Some(process) = engines.process(instance.engine).filter(|_| is_current) {
+            observations.see(process, observation, self.clock.now());
+        }
+    }
+
+    /// The next report to members, with at most so many observations; `None` where there is nothing to report.
+    pub fn next_observation_report(&self, max_observations: usize) -> Option<ObservationReport> {
+        let mut guard = self.lock();
+        let Decisions { engines, observations, .. } = &mut *guard;
+        let own = observations.as_mut()?;
+        own.keep(|process| engines.index_of_process(process).is_some());
+        let (number, observations) = own.to_tell(max_observations, self.clock.now());
+        (!observations.is_empty()).then_some(ObservationReport { number, observations })
+    }
+
+    /// All observations of this gateway.
+    pub fn own_observations(&self) -> Vec<(Process, Counts)> {
+        self.lock().observations.iter().flat_map(Sights::all).collect()
+    }
+
+    /// An outcome that members observed of a process.
+    pub fn record_peer_outcome(&self, process: Process, is_failure: bool) {
+        let mut decisions = self.lock();
+        if let Some(engine) = decisions.engines.index_of_process(process) {
+            decisions.policy.outcome(self.clock.now(), engine, is_failure, "gossip");
+        }
+    }
+
+    /// Processes that the policy judges unhealthy.
+    pub fn unhealthy_processes(&self) -> Vec<Process> {
+        let statuses = self.engine_statuses();
+        statuses.into_iter().filter(|status| status.health.unhealthy).map(|status| status.process).collect()
+    }
+
+    /// Whether it is this gateway's turn to probe a process that is ejected.
+    pub fn set_probe_slot(&self, process: Process, is_ours: bool) {
+        let mut decisions = self.lock();
+        if let Some(engine) = decisions.engines.index_of_process(process) {
+            decisions.policy.turn(engine, is_ours);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -0,0 +1,104 @@
+//! One request's life: admitted, routed, waiting, attempted, over.
+
+use super::in_flight::{AdmissionError, Disconnection};
+use super::{Decisions, PolicyHandle};
+use crate::state::engine_table::EngineInstance;
+use larchfall_policy::interface::{AfterAttempt, AttemptResult, ProgressUpdate, Request, RoutingDecision};
+use may::sync::Blocker;
+
+impl PolicyHandle {
+    /// Admits a request under the id by which engines will know it; returns its index.
+    pub fn admit(&self, id: u64, request: Request) -> Result<usize, AdmissionError> {
+        let mut decisions = self.lock();
+        let index = decisions.in_flight.insert(id)?;
+        decisions.arrivals.add(request.class, request.tenant);
+        decisions.policy.take(self.clock.now(), index, request);
+        Ok(index)
+    }
+
+    /// Where to send a request, or not yet, or never.
+    pub fn route(&self, request: usize) -> RoutingDecision {
+        self.lock().policy.place(self.clock.now(), request)
+    }
+
+    /// The final answer of a request whose time is up, while the end of its attempts is still waited for.
+    pub fn abandon(&self, request: usize) -> RoutingDecision {
+        self.lock().policy.give_up(request)
+    }
+
+    /// Blocks until it is time to route a request again, or something happened to it.
+    pub fn wait_for_change(&self, request: usize) {
+        let blocker = Blocker::current();
+        let mut decisions = self.lock();
+        let deadline = decisions.policy.wait(self.clock.now(), request);
+        let in_flight = decisions.in_flight.get_mut(request);
+        let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnection.is_none()) else { return };
+        in_flight.waiting = Some(blocker.clone());
+        drop(decisions);
+        self.timers.park_until(&blocker, deadline);
+        if let Some(in_flight) = self.lock().in_flight.get_mut(request) {
+            in_flight.waiting = None;
+        }
+    }
+
+    /// Whether an attempt that was routed to this process may start there now. Where the request was routed recently, an
+    /// engine that drains by now may still have it.
+    pub fn may_start_attempt(
+        &self,
+        request: usize,
+        number: u8,
+        instance: EngineInstance,
+        is_recently_routed: bool,
+    ) -> bool {
+        let decisions = self.lock();
+        decisions.engines.accepts(instance, is_recently_routed)
+            && decisions.policy.may_begin(self.clock.now(), request, number)
+    }
+
+    /// An engine told how far an attempt has come.
+    pub fn record_progress(&self, request: usize, number: u8, update: ProgressUpdate) {
+        self.lock().policy.note(self.clock.now(), request, number, update);
+    }
+
+    /// The outcome of an attempt; returns what to do after it.
+    pub fn record_outcome(&self, request: usize, number: u8, result: &AttemptResult) -> AfterAttempt {
+        self.lock().policy.after(self.clock.now(), request, number, result)
+    }
+
+    /// The coroutine of a request ended without an outcome.
+    pub fn record_lost_coroutine(&self, request: usize) {
+        self.lock().policy.lost(self.clock.now(), request);
+    }
+
+    /// The client of a request disconnected: no answer is owed any more.
+    pub fn record_disconnection(&self, request: usize) {
+        let mut guard = self.lock();
+        let Decisions { policy, in_flight, .. } = &mut *guard;
+        let in_flight = in_flight.get_mut(request);
+        let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnection.is_none()) else { return };
+        let to_cancel = policy.client_left(request);
+        in_flight.disconnection = Some(if to_cancel.is_empty() {
+            Disconnection::LetAttemptsFinish
+        } else {
+            Disconnection::CancelAttempts
+        });
+        if let Some(waiting) = in_flight.waiting.take() {
+            waiting.unpark();
+        }
+    }
+
+    /// What to do after the client of a request has disconnected; `None` while it has not.
+    pub fn disconnection(&self, request: usize) -> Option<Disconnection> {
+        self.lock().in_flight.get(request)?.disconnection
+    }
+
+    /// A request is over, with none of its attempts in flight: its index is free.
+    pub fn release(&self, request: usize) {
+        self.lock().in_flight.remove(request);
+    }
+
+    /// How many requests are in flight.
+    pub fn in_flight(&self) -> usize {
+        self.lock().in_flight.len()
+    }
+}
--- a/crates/gateway/src/subset.rs
+++ b/crates/gateway/src/subset.rs
@@ -43,7 +43,7 @@
             let gateway = |number: usize| Gateway { number: number as u64, zone: None };
             return (gateway(self.fleet.me), (0..self.fleet.gateways.max(1)).map(gateway).collect());
         };
-        let zone = |name: &str| state.names.zones.iter().position(|zone| zone == name);
+        let zone = |name: &str| state.settings.names.zones.iter().position(|zone| zone == name);
         let living = gateways.living();
         let gateway =
             |name: &str, zone_name: &str| Gateway { number: xxh3_64(name.as_bytes()), zone: zone(zone_name) };
@@ -58,9 +58,9 @@
 pub fn run(state: &Arc<State>, gateways: Option<&Gateways>, subset: &Subset) {
     let mut aperture = Aperture::new(subset.site.aperture, state.clock.now());
     let (mut made, mut used) = (Made::default(), BTreeSet::new());
-    while !state.is_done() {
-        let engines: Vec<Listed> =
-            state.facade.listed_ready().into_iter().map(|(id, told)| Listed { id, told }).collect();
+    while !state.shutdown.is_complete() {
+        let ready = state.policy.ready_engines().into_iter();
+        let engines: Vec<Listed> = ready.map(|ready| Listed { id: ready.id, told: ready.engine }).collect();
         let (me, all) = subset.gateways(state, gateways);
         if all != made.gateways || engines != made.engines {
             let plan = Plan::make(subset.site.plan, &all, &engines, &needs(&engines, &subset.classes));
@@ -71,9 +71,10 @@
             let ready: BTreeSet<u32> = made.engines.iter().map(|x| x.id).collect();
             let mut sight = Sight { used: used.len(), ..Sight::default() };
             for id in &used {
-                let (failing, congested) = state.facade.standing(*id).unwrap_or((true, false));
-                sight.bad += usize::from(failing || !ready.contains(id));
-                sight.congested += usize::from(congested);
+                let health = state.policy.engine_health(*id);
+                let unhealthy = health.is_none_or(|health| health.unhealthy);
+                sight.bad += usize::from(unhealthy || !ready.contains(id));
+                sight.congested += usize::from(health.is_some_and(|health| health.congested));
             }
             let planned = made.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
             aperture.look(sight, made.engines.len().saturating_sub(planned), now);
@@ -88,7 +89,7 @@
             used = now_used;
         }
         let parts = used.iter().filter_map(|id| Some((*id, made.plan.part(*id)?))).collect();
-        state.facade.use_engines(&used, parts);
+        state.policy.set_subset(&used, &parts);
         state.sleep(subset.site.look);
     }
 }
@@ -96,6 +97,6 @@
 /// Where it is on: what the next look works with.
 pub fn start(state: &Arc<State>, gateways: Option<Arc<Gateways>>, subset: Subset) {
     let state = state.clone();
-    state.facade.narrow();
+    state.policy.enable_subset();
     may::go!(move || run(&state, gateways.as_deref(), &subset));
 }
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -1,77 +1,92 @@
-//! The one timer: the module's tick, whoever waits for a time, and what is looked at each tick. A thread of its own, which
-//! waits on no socket: it comes by on time however much there is to run.
+//! The timer thread: the policy's periodic work, waits that are due, and what is checked at each tick. It is a thread
+//! of its own and waits on no socket, so it comes by on time however much there is to run.
 
-use crate::engines::attempt;
+use crate::engine::load_report;
 use crate::protocols::rest;
 use crate::protocols::rpc::{QUIET, WHOLE_WITHIN};
 use crate::state::State;
-use crate::state::clock::wait;
-use crate::state::facade::TICK;
-use crate::state::stalls::TIMER_PERIOD;
-use larchfall_policy::time::Duration;
+use crate::state::clock::timeout;
+use crate::state::policy_handle::TICK;
+use crate::state::stall_detector::TIMER_PERIOD;
+use larchfall_policy::time::{Duration, Timestamp};
 use may::os::unix::net::UnixStream;
 use may::sync::Blocker;
 use slog::{info, warn};
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
 
+/// Runs until the process ends.
 pub fn run(state: &Arc<State>, service: Option<&Arc<rest::RestService>>) {
     let blocker = Blocker::current();
     let mut next_tick = state.clock.now() + TICK;
     loop {
-        let next_due = state.alarms.ring(&blocker);
+        let next_deadline = state.timers.wake_due(&blocker);
         let now = state.clock.now();
-        if state.stalls.beat(now) {
+        if state.stall_detector.on_timer(now) {
             warn!(state.log, "process stall detected");
         }
         if now >= next_tick {
-            tick(state);
-            if let Some(service) = service {
-                service.pages.expire(now).iter().for_each(|left| rest::give_up(state, left.request));
-            }
-            // Ticks that a stall left out are not made up for.
+            tick(state, service, now);
+            // Ticks that fell into a stall are not made up for.
             next_tick = (next_tick + TICK).max(now + Duration::from_millis(1));
         }
-        let until = next_due.map_or(next_tick, |due| due.min(next_tick)).min(now + TIMER_PERIOD);
-        let left = state.clock.left(until);
-        if !left.is_zero() {
-            let _ = blocker.park(Some(left));
-            let lag = state.clock.now().since(until).micros() / 1000;
-            state.counters.rest(|c| c.most_lag_ms = c.most_lag_ms.max(lag));
+        let until =
+            next_deadline.map_or(next_tick, |deadline| deadline.min(next_tick)).min(now + TIMER_PERIOD);
+        let remaining = state.clock.remaining(until);
+        if !remaining.is_zero() {
+            let _ = blocker.park(Some(remaining));
+            let lag_ms = state.clock.now().since(until).micros() / 1000;
+            state
+                .counters
+                .update(|counters| counters.max_timer_lag_ms = counters.max_timer_lag_ms.max(lag_ms));
         }
     }
 }
 
-/// Two ends on which nothing is ever said: a wait there ends only when the worker looks for events.
-pub struct Looks(UnixStream, UnixStream);
-
-impl Looks {
-    pub fn open() -> io::Result<Looks> {
-        let (waits, silent) = UnixStream::pair()?;
-        waits.set_read_timeout(Some(wait(TIMER_PERIOD)))?;
-        Ok(Looks(waits, silent))
+fn tick(state: &Arc<State>, service: Option<&Arc<rest::RestService>>, now: Timestamp) {
+    for engine in state.policy.tick() {
+        if state.needs_load_report(engine) {
+            let state = state.clone();
+            may::go!(move || load_report::fetch(&state, engine));
+        }
+    }
+    for line in state.policy.log_lines() {
+        info!(state.log, "{}", line);
+    }
+    close_unused(state);
+    if let Some(service) = service {
+        for abandoned in service.pages.expire(now) {
+            rest::give_up(state, abandoned.request);
+        }
     }
 }
 
-/// Notes for good when the worker looked for events last.
-pub fn look_for_events(state: &Arc<State>, looks: Looks) {
-    let Looks(mut waits, _silent) = looks;
-    // Both ends stay open, so the wait only ever ends by its time.
-    while matches!(waits.read(&mut [0]), Err(e) if e.kind() != ErrorKind::NotConnected) {
-        state.stalls.looked(state.clock.now());
-    }
+/// Closes idle connections to engines, and has client connections end on which nothing came for too long.
+fn close_unused(state: &State) {
+    let now = state.clock.now();
+    state.engine_connections.close_expired(now);
+    state.client_connections.wake_overdue(now - QUIET, now - WHOLE_WITHIN);
+}
+
+/// A pair of sockets on which nothing is ever sent: a wait there ends only when the worker polls for events.
+pub struct EventPollProbe {
+    waiting_end: UnixStream,
+    /// Stays open, so that a wait on the other end only ever ends by its timeout.
+    _silent_end: UnixStream,
 }
 
-fn tick(state: &Arc<State>) {
-    let to_ask = state.facade.tick();
-    for e in to_ask.into_iter().filter(|e| state.is_to_ask(*e)) {
-        let state = state.clone();
-        may::go!(move || attempt::probe(&state, e));
+impl EventPollProbe {
+    /// Opens the pair.
+    pub fn open() -> io::Result<EventPollProbe> {
+        let (waiting_end, silent_end) = UnixStream::pair()?;
+        waiting_end.set_read_timeout(Some(timeout(TIMER_PERIOD)))?;
+        Ok(EventPollProbe { waiting_end, _silent_end: silent_end })
     }
-    for line in state.facade.log_lines() {
-        info!(state.log, "{}", line);
+}
+
+/// Records for good when the worker last polled for events.
+pub fn record_event_polls(state: &Arc<State>, mut probe: EventPollProbe) {
+    while matches!(probe.waiting_end.read(&mut [0]), Err(e) if e.kind() != ErrorKind::NotConnected) {
+        state.stall_detector.record_event_poll(state.clock.now());
     }
-    let now = state.clock.now();
-    state.pool.drop_stale(now);
-    state.peers.wake_quiet(now - QUIET, now - WHOLE_WITHIN);
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,12 +1,16 @@
-//! The gateway's tests: codecs and memory as tables of cases, and the program on loopback sockets.
+//! The gateway's tests: codecs and single parts as tables of cases, and the program on loopback sockets.
 
 mod cluster;
 mod codecs;
 mod combined_faults;
 mod common;
+mod engine_connections;
+mod in_process;
 mod memory;
 mod protocol_cost;
 mod races;
 mod rest;
 mod scripted_engine;
 mod sockets;
+mod state;
+mod timers;
