--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -197,7 +197,7 @@
         let (now, living) = (state.clock.now(), self.living().into_iter().collect());
         let word = |holds: bool, word: &str| if holds { word.to_owned() } else { String::new() };
         let row = |status: EngineStatus| {
-            let health = if status.health.unhealthy { "left out" } else { "sound" };
+            let health = if status.health.ejected { "left out" } else { "sound" };
             let process = status.process;
             let mut row = vec![format!("{:08x}", process.id), format!("{:?}", status.state).to_lowercase()];
             let congested = word(status.health.congested, "congested");
--- a/crates/gateway/src/cluster/signals.rs
+++ b/crates/gateway/src/cluster/signals.rs
@@ -94,7 +94,7 @@
             state.policy.record_peer_outcome(process, bad);
         }
         // After the verdicts: what was just left out waits for its turn from the start.
-        for process in state.policy.unhealthy_processes() {
+        for process in state.policy.ejected_processes() {
             let mine = lock(&self.inner).desk.may_try(&gateways.name, process, &living, now);
             state.policy.set_probe_slot(process, mine);
         }
--- a/crates/gateway/src/engine/attempt.rs
+++ b/crates/gateway/src/engine/attempt.rs
@@ -8,8 +8,8 @@
 use crate::state::connection_pool::ConnectionPermit;
 use crate::state::engine_table::EngineInstance;
 use crate::wire::http::{self, Reply, Start};
+use larchfall_policy::attempt_ledger::proves_end;
 use larchfall_policy::interface::{AttemptEvidence, AttemptParameters, LastObservation, LoadReport, Outcome};
-use larchfall_policy::policy::account::proves_over;
 use larchfall_policy::time::{Duration, Timestamp};
 use slog::info;
 use std::cell::Cell;
@@ -203,7 +203,7 @@
     /// An end with what was last observed of the attempt. What does not prove that nothing runs is logged.
     pub(super) fn end(&self, last: LastObservation, outcome: Outcome) -> AttemptEnd {
         let evidence = AttemptEvidence { last, same_process: self.same_process.get() };
-        if self.context.in_order && !proves_over(evidence) {
+        if self.context.in_order && !proves_end(evidence) {
             info!(self.state.log, "end of attempt not observed"; "last" => format!("{last:?}"),
                 "id" => &self.context.id, "attempt" => self.number, "engine" => self.instance.engine,
                 "address" => self.instance.address.to_string());
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -21,7 +21,7 @@
         if std::thread::panicking() {
             // Else the request would have no answer, and its key would wait for good for an end that nobody sees.
             answer(self.state, self.context, FinalAnswer::Errored("internal error"));
-            self.state.policy.record_lost_coroutine(self.request);
+            self.state.policy.abandon(self.request);
         }
         self.state.policy.release(self.request);
     }
@@ -68,7 +68,7 @@
     let took = attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.started));
     if let Some(attempt) = attempt.as_ref().filter(|_| end.is_unsettled) {
         // The answer is due now; the end of what is in flight may come later.
-        answer_decision(state, context, state.policy.abandon(request));
+        answer_decision(state, context, state.policy.finish_unanswered(request));
         end.evidence = attempt.settle();
     }
     state.counters.record_outcome(context.class, end.outcome);
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -17,13 +17,14 @@
 use capacity::CapacityPlan;
 use in_flight::InFlightRequests;
 use larchfall_health_gossip::sights::Sights;
+use larchfall_policy::event::PolicyEvent;
 use larchfall_policy::policy::Policy;
 use larchfall_policy::time::Timestamp;
 use larchfall_quotas::demand::Came;
 use std::sync::{Arc, Mutex, MutexGuard};
 
 pub use capacity::ReadyForQuota;
-pub use engines::{EndpointSummary, EngineHealth, EngineStatus};
+pub use engines::{EndpointSummary, EngineStatus};
 pub use in_flight::{AdmissionError, Disconnection};
 pub use larchfall_policy::policy::TICK;
 pub use observations::ObservationReport;
@@ -70,26 +71,26 @@
         let now = self.clock.now();
         decisions.policy.tick(now);
         for engine in decisions.engines.gone() {
-            let is_forgotten = decisions.policy.forget(now, engine);
+            let is_forgotten = decisions.policy.forget_engine(now, engine);
             if is_forgotten {
                 decisions.engines.remove(engine);
             }
         }
-        decisions.policy.probes()
+        decisions.policy.health_checks()
     }
 
-    /// The policy's log lines since the last call.
-    pub fn log_lines(&self) -> Vec<String> {
-        self.lock().policy.log_lines()
+    /// What the policy has to log since the last call.
+    pub fn take_events(&self) -> Vec<PolicyEvent> {
+        self.lock().policy.take_events()
     }
 
     /// From now on so many gateways share the engines.
     pub fn set_gateway_count(&self, gateways: usize) {
-        self.lock().policy.count(gateways);
+        self.lock().policy.set_gateway_count(gateways);
     }
 
     /// This gateway ends then.
     pub fn set_shutdown_deadline(&self, deadline: Timestamp) {
-        self.lock().policy.end_by(deadline);
+        self.lock().policy.set_shutdown_deadline(deadline);
     }
 }
--- a/crates/gateway/src/state/policy_handle/capacity.rs
+++ b/crates/gateway/src/state/policy_handle/capacity.rs
@@ -46,10 +46,10 @@
         if self.capacity.slow_start_without_quota.is_some() {
             let slow_start = self.capacity.slow_start_without_quota;
             let threads = id.and_then(|id| self.capacity.fraction(id));
-            self.policy.share(engine, slow_start, threads);
+            self.policy.set_engine_quota(engine, slow_start, threads);
         }
         let is_used = id.is_none_or(|id| self.capacity.uses(id));
-        self.policy.use_engine(engine, is_used);
+        self.policy.set_in_subset(engine, is_used);
     }
 }
 
@@ -73,8 +73,8 @@
         for ready in decisions.engines.ready() {
             let slow_start = decisions.capacity.slow_start_without_quota;
             let threads = fractions.get(&ready.id).copied();
-            decisions.policy.use_engine(ready.index, ids.contains(&ready.id));
-            decisions.policy.share(ready.index, slow_start, threads);
+            decisions.policy.set_in_subset(ready.index, ids.contains(&ready.id));
+            decisions.policy.set_engine_quota(ready.index, slow_start, threads);
         }
     }
 
@@ -83,7 +83,7 @@
         let mut decisions = self.lock();
         decisions.capacity.slow_start_without_quota = Some(slow_start_without_quota);
         for ready in decisions.engines.ready() {
-            decisions.policy.share(ready.index, Some(slow_start_without_quota), None);
+            decisions.policy.set_engine_quota(ready.index, Some(slow_start_without_quota), None);
         }
     }
 
@@ -96,10 +96,10 @@
             let capacity = &decisions.capacity;
             let slow_start = fraction(Capacity::SlowStart(ready.id)).or(capacity.slow_start_without_quota);
             let threads = fraction(Capacity::Threads(ready.id)).or(capacity.fraction(ready.id));
-            decisions.policy.share(ready.index, slow_start, threads);
+            decisions.policy.set_engine_quota(ready.index, slow_start, threads);
         }
         for (tenant, capacity) in tenants.iter().enumerate() {
-            decisions.policy.quota_rate(tenant, fractions.get(capacity).copied());
+            decisions.policy.set_tenant_quota(tenant, fractions.get(capacity).copied());
         }
     }
 
@@ -111,7 +111,7 @@
         used.map(|ready| ReadyForQuota {
             id: ready.id,
             engine: ready.engine,
-            in_slow_start: slow_start.warm_up_factor(ready.engine.started, now) < 1.0,
+            in_slow_start: slow_start.capacity_factor(ready.engine.started, now) < 1.0,
         })
         .collect()
     }
--- a/crates/gateway/src/state/policy_handle/engines.rs
+++ b/crates/gateway/src/state/policy_handle/engines.rs
@@ -1,21 +1,12 @@
 //! What the policy is told of engines, and what it judges of them.
 
-use super::{Decisions, PolicyHandle};
-use crate::state::engine_table::{EngineInstance, EngineUpdate, ReadyEngine};
+use super::PolicyHandle;
+use crate::state::engine_table::{EngineInstance, ReadyEngine};
 use crate::wire::discovery::Event;
 use larchfall_health_gossip::Process;
-use larchfall_policy::interface::{EngineState, LoadReport};
+use larchfall_policy::interface::{EngineHealth, EngineState, LoadReport};
 use larchfall_policy::time::Timestamp;
 
-/// What this gateway judges of an engine.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EngineHealth {
-    /// It is ejected: only probes are sent there.
-    pub unhealthy: bool,
-    /// The last tick read it as congested.
-    pub congested: bool,
-}
-
 /// An engine that is listed and not gone, with what this gateway makes of it.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineStatus {
@@ -38,22 +29,10 @@
     pub ready: Vec<ReadyEngine>,
 }
 
-impl Decisions {
-    pub(super) fn engine_health(&self, engine: usize) -> Option<EngineHealth> {
-        let (unhealthy, congested) = self.policy.standing(engine)?;
-        Some(EngineHealth { unhealthy, congested })
-    }
-
-    /// Tells the policy what the list says of an engine.
-    fn update_engine(&mut self, now: Timestamp, update: &EngineUpdate) {
-        self.policy.engine(now, update.index, update.engine);
-    }
-}
-
 impl PolicyHandle {
     /// The discovery service said something, be it that there is nothing new: the endpoint list holds as of then.
     pub fn confirm_endpoints(&self, as_of: Timestamp) {
-        self.lock().policy.heard(as_of);
+        self.lock().policy.confirm_endpoint_list(as_of);
     }
 
     /// Applies an event of the discovery service; returns the engines to which connections are of no more use.
@@ -62,7 +41,7 @@
         let changes = decisions.engines.apply(event);
         let now = self.clock.now();
         for update in &changes.updated {
-            decisions.update_engine(now, update);
+            decisions.policy.update_engine(now, update.index, update.engine);
             if changes.added.contains(&update.index) {
                 decisions.apply_capacity_to_new(update.index);
             }
@@ -100,7 +79,7 @@
             .map(|engine| EngineStatus {
                 process: engine.process,
                 state: engine.state,
-                health: decisions.engine_health(engine.index).unwrap_or_default(),
+                health: decisions.policy.engine_health(engine.index).unwrap_or_default(),
                 in_subset: decisions.capacity.uses(engine.process.id),
             })
             .collect()
@@ -109,7 +88,7 @@
     /// What this gateway judges of the engine with this id, if it is known.
     pub fn engine_health(&self, id: u32) -> Option<EngineHealth> {
         let decisions = self.lock();
-        decisions.engine_health(decisions.engines.index(id)?)
+        decisions.policy.engine_health(decisions.engines.index(id)?)
     }
 
     /// The id of the engine that has this index.
@@ -126,7 +105,7 @@
     pub fn record_load_report(&self, instance: EngineInstance, report: LoadReport) {
         let mut decisions = self.lock();
         if decisions.engines.instance(instance.engine) == Some(instance) {
-            decisions.policy.probed(self.clock.now(), instance.engine, report);
+            decisions.policy.on_load_report(self.clock.now(), instance.engine, report);
         }
     }
 
@@ -135,7 +114,7 @@
         let mut decisions = self.lock();
         let engine = u32::try_from(id).ok().and_then(|id| decisions.engines.index(id));
         if let Some(engine) = engine {
-            decisions.policy.probed(self.clock.now(), engine, report);
+            decisions.policy.on_load_report(self.clock.now(), engine, report);
         }
     }
 }
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -4,6 +4,7 @@
 use crate::state::engine_table::EngineInstance;
 use larchfall_health_gossip::sights::{Saw, Sights};
 use larchfall_health_gossip::{Counts, Process};
+use larchfall_policy::event::Evidence;
 use larchfall_policy::interface::Outcome;
 
 /// The next report to members.
@@ -52,21 +53,21 @@
     pub fn record_peer_outcome(&self, process: Process, is_failure: bool) {
         let mut decisions = self.lock();
         if let Some(engine) = decisions.engines.index_of_process(process) {
-            decisions.policy.outcome(self.clock.now(), engine, is_failure, "gossip");
+            decisions.policy.record_engine_outcome(self.clock.now(), engine, is_failure, Evidence::Gossip);
         }
     }
 
-    /// Processes that the policy judges unhealthy.
-    pub fn unhealthy_processes(&self) -> Vec<Process> {
+    /// Processes that the policy has ejected.
+    pub fn ejected_processes(&self) -> Vec<Process> {
         let statuses = self.engine_statuses();
-        statuses.into_iter().filter(|status| status.health.unhealthy).map(|status| status.process).collect()
+        statuses.into_iter().filter(|status| status.health.ejected).map(|status| status.process).collect()
     }
 
     /// Whether it is this gateway's turn to probe a process that is ejected.
     pub fn set_probe_slot(&self, process: Process, is_ours: bool) {
         let mut decisions = self.lock();
         if let Some(engine) = decisions.engines.index_of_process(process) {
-            decisions.policy.turn(engine, is_ours);
+            decisions.policy.set_probe_slot(engine, is_ours);
         }
     }
 }
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -12,25 +12,25 @@
         let mut decisions = self.lock();
         let index = decisions.in_flight.insert(id)?;
         decisions.arrivals.add(request.class, request.tenant);
-        decisions.policy.take(self.clock.now(), index, request);
+        decisions.policy.admit(self.clock.now(), index, request);
         Ok(index)
     }
 
     /// Where to send a request, or not yet, or never.
     pub fn route(&self, request: usize) -> RoutingDecision {
-        self.lock().policy.place(self.clock.now(), request)
+        self.lock().policy.route(self.clock.now(), request)
     }
 
     /// The final answer of a request whose time is up, while the end of its attempts is still waited for.
-    pub fn abandon(&self, request: usize) -> RoutingDecision {
-        self.lock().policy.give_up(request)
+    pub fn finish_unanswered(&self, request: usize) -> RoutingDecision {
+        self.lock().policy.finish_unanswered(request)
     }
 
     /// Blocks until it is time to route a request again, or something happened to it.
     pub fn wait_for_change(&self, request: usize) {
         let blocker = Blocker::current();
         let mut decisions = self.lock();
-        let deadline = decisions.policy.wait(self.clock.now(), request);
+        let deadline = decisions.policy.next_check(self.clock.now(), request);
         let in_flight = decisions.in_flight.get_mut(request);
         let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnection.is_none()) else { return };
         in_flight.waiting = Some(blocker.clone());
@@ -57,17 +57,17 @@
 
     /// An engine told how far an attempt has come.
     pub fn record_progress(&self, request: usize, number: u8, update: ProgressUpdate) {
-        self.lock().policy.note(self.clock.now(), request, number, update);
+        self.lock().policy.on_progress(self.clock.now(), request, number, update);
     }
 
     /// The outcome of an attempt; returns what to do after it.
     pub fn record_outcome(&self, request: usize, number: u8, result: &AttemptResult) -> AfterAttempt {
-        self.lock().policy.after(self.clock.now(), request, number, result)
+        self.lock().policy.on_attempt_finished(self.clock.now(), request, number, result)
     }
 
-    /// The coroutine of a request ended without an outcome.
-    pub fn record_lost_coroutine(&self, request: usize) {
-        self.lock().policy.lost(self.clock.now(), request);
+    /// The coroutine of a request ended without recording the outcome of its attempt.
+    pub fn abandon(&self, request: usize) {
+        self.lock().policy.abandon(self.clock.now(), request);
     }
 
     /// The client of a request disconnected: no answer is owed any more.
@@ -76,7 +76,7 @@
         let Decisions { policy, in_flight, .. } = &mut *guard;
         let in_flight = in_flight.get_mut(request);
         let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnection.is_none()) else { return };
-        let to_cancel = policy.client_left(request);
+        let to_cancel = policy.on_client_disconnected(request);
         in_flight.disconnection = Some(if to_cancel.is_empty() {
             Disconnection::LetAttemptsFinish
         } else {
--- a/crates/gateway/src/subset.rs
+++ b/crates/gateway/src/subset.rs
@@ -72,8 +72,8 @@
             let mut sight = Sight { used: used.len(), ..Sight::default() };
             for id in &used {
                 let health = state.policy.engine_health(*id);
-                let unhealthy = health.is_none_or(|health| health.unhealthy);
-                sight.bad += usize::from(unhealthy || !ready.contains(id));
+                let ejected = health.is_none_or(|health| health.ejected);
+                sight.bad += usize::from(ejected || !ready.contains(id));
                 sight.congested += usize::from(health.is_some_and(|health| health.congested));
             }
             let planned = made.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -50,8 +50,8 @@
             may::go!(move || load_report::fetch(&state, engine));
         }
     }
-    for line in state.policy.log_lines() {
-        info!(state.log, "{}", line);
+    for event in state.policy.take_events() {
+        info!(state.log, "{}", event);
     }
     close_unused(state);
     if let Some(service) = service {
