--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -22,8 +22,8 @@
 use crate::state::timers::Timers;
 use crate::subset::{self, Subset};
 use crate::{discovery, timer};
-use larchfall_leases::probing::Probing;
-use larchfall_leases::wire::Who;
+use larchfall_leases::load_sharing::{LoadReportSharing, LoadSharingSettings};
+use larchfall_leases::messages::MemberId;
 use larchfall_membership::claim::About;
 use larchfall_membership::count::Count;
 use larchfall_membership::members::Members;
@@ -180,7 +180,7 @@
     let about = About { address: site.told, zone: site.zone, serves: site.serves };
     let now = state.clock.now();
     let count = site.count.map(|settings| Count::new(settings, shared.gateways, now));
-    let me = Who { name: site.name, generation: now.micros() };
+    let me = MemberId { name: site.name, generation: now.micros() };
     let cluster = site.settings.cluster.clone();
     let members = Members::new(&me.name, me.generation, about, site.settings, seed, now);
     let opened = duties.map(|duties| Duty::open(state, duties, me.clone(), seed, parts, shared));
@@ -204,7 +204,7 @@
     limits: crate::state::limits::Limits,
     seed: u64,
     log: slog::Logger,
-    probing: Option<larchfall_leases::probing::Settings>,
+    probing: Option<LoadSharingSettings>,
     clock: Clock,
 ) -> State {
     let settings = TransportSettings::new(&s);
@@ -230,7 +230,8 @@
         engine_connections: Arc::new(ConnectionPool::new(limits.engine_connections, s.idle_close)),
         shutdown: Shutdown::default(),
         discovery: DiscoveryStatus::new(clock.now()),
-        shared_load_reports: probing.map(|settings| Mutex::new(Probing::new(settings, clock.now()))),
+        shared_load_reports: probing
+            .map(|settings| Mutex::new(LoadReportSharing::new(settings, clock.now()))),
     }
 }
 
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -25,7 +25,7 @@
 use connection_pool::ConnectionPool;
 use counters::Counters;
 use discovery_status::DiscoveryStatus;
-use larchfall_leases::probing::Probing;
+use larchfall_leases::load_sharing::LoadReportSharing;
 use larchfall_policy::time::{Duration, Timestamp};
 use limits::Limits;
 use policy_handle::PolicyHandle;
@@ -63,7 +63,7 @@
     /// The connection to the discovery service.
     pub discovery: DiscoveryStatus,
     /// Load reports that members share, where there are leases for asking engines.
-    pub shared_load_reports: Option<Mutex<Probing>>,
+    pub shared_load_reports: Option<Mutex<LoadReportSharing>>,
 }
 
 impl State {
@@ -89,7 +89,7 @@
     pub fn needs_load_report(&self, engine: usize) -> bool {
         let Some(reports) = &self.shared_load_reports else { return true };
         let id = self.policy.engine_id(engine).map(u64::from);
-        id.is_none_or(|id| !lock(reports).is_fresh(id, self.clock.now()))
+        id.is_none_or(|id| !lock(reports).has_fresh_report(id, self.clock.now()))
     }
 
     /// Writes all counters to the log.
