--- a/crates/fault-tests/examples/simulate.rs
+++ b/crates/fault-tests/examples/simulate.rs
@@ -3,7 +3,7 @@
 
 use hdrhistogram::Histogram;
 use larchfall_fault_tests::fleet::{Fleet, Sight, ms, name};
-use larchfall_membership::claim::Standing;
+use larchfall_membership::member_update::MemberState;
 use larchfall_policy::time::Duration;
 
 const KILLS: usize = 8;
@@ -46,14 +46,14 @@
         fleet.kill(of);
         let know = |f: &Fleet| {
             let mut up = (0..n).filter(|i| f.nodes[*i].up);
-            up.all(|i| f.held(i, of).is_none_or(|s| s == Standing::Dead))
+            up.all(|i| f.held(i, of).is_none_or(|s| s == MemberState::Dead))
         };
         let all = fleet.until(ms(300_000), know).expect("a death is known in the end");
-        let first = |to: Standing| {
+        let first = |to: MemberState| {
             let of_it = |s: &&Sight| s.at >= from && s.change.name == name(of) && s.change.to == to;
             fleet.sights.iter().find(of_it).map(|s| s.at.since(from))
         };
-        [first(Standing::Suspected), first(Standing::Dead), Some(all)]
+        [first(MemberState::Suspected), first(MemberState::Dead), Some(all)]
             .into_iter()
             .zip(&mut times)
             // One that was under suspicion as it died has no first sight of that later.
--- a/crates/fault-tests/src/fleet.rs
+++ b/crates/fault-tests/src/fleet.rs
@@ -1,8 +1,10 @@
 //! A fleet in one process: members, a net between them that loses, delays and cuts, and one queue of what happens when.
 
-use larchfall_membership::claim::{About, Standing};
-use larchfall_membership::members::{Change, Member, Members, Reason, Settings};
-use larchfall_membership::wire::Letter;
+use larchfall_membership::datagram::Datagram;
+use larchfall_membership::member_update::{MemberInfo, MemberState};
+use larchfall_membership::membership::{
+    ChangeReason, Member, MemberChange, Membership, MembershipSettings, Network, OutgoingDatagram,
+};
 use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
@@ -21,16 +23,16 @@
     format!("n{i:04}")
 }
 
-pub fn settings() -> Settings {
-    Settings {
+pub fn settings() -> MembershipSettings {
+    MembershipSettings {
         cluster: "toy".into(),
-        period: ms(500),
-        answer_within: ms(150),
+        probe_interval: ms(500),
+        probe_timeout: ms(150),
         helpers: 3,
-        remembered: ms(60_000),
-        tables_every: ms(3_000),
-        most: 4096,
-        networks: vec![(Ipv4Addr::new(10, 0, 0, 0), 8)],
+        remember_ended: ms(60_000),
+        table_interval: ms(3_000),
+        max_members: 4096,
+        networks: vec![Network { address: Ipv4Addr::new(10, 0, 0, 0), prefix_len: 8 }],
         seeds: vec![address(0), address(1)],
     }
 }
@@ -42,7 +44,7 @@
 }
 
 pub struct Node {
-    pub members: Members,
+    pub members: Membership,
     pub up: bool,
     /// Awake again then, if it stands still.
     pub stopped: Option<Timestamp>,
@@ -55,7 +57,7 @@
 pub struct Sight {
     pub at: Timestamp,
     pub by: usize,
-    pub change: Change,
+    pub change: MemberChange,
 }
 
 pub struct Fleet {
@@ -98,9 +100,9 @@
     }
 
     fn node(&mut self, i: usize, generation: u64) -> Node {
-        let about = About { address: address(i), zone: "east".into(), serves: 20 };
+        let about = MemberInfo { address: address(i), zone: "east".into(), requests_per_second: 20 };
         let members =
-            Members::new(&name(i), generation, about, settings(), self.chance.generate::<u64>(), self.now);
+            Membership::new(&name(i), generation, about, settings(), self.chance.generate::<u64>(), self.now);
         Node { members, up: true, stopped: None, life: generation, woken_for: Timestamp::default() }
     }
 
@@ -151,20 +153,20 @@
                 Event::Wake(_, life) if life != self.nodes[i].life || at < self.nodes[i].woken_for => {
                     continue;
                 }
-                Event::Wake(..) => self.nodes[i].members.wake(at),
+                Event::Wake(..) => self.nodes[i].members.on_timer(at),
                 Event::Letter(_, from, bytes) => {
-                    let letter = Letter::open(&bytes, "toy").expect("what members write can be read");
-                    self.nodes[i].members.hear(address(from), &letter, at).unwrap_or_default()
+                    let datagram = Datagram::decode(&bytes, "toy").expect("what members write can be read");
+                    self.nodes[i].members.on_datagram(address(from), &datagram, at).unwrap_or_default()
                 }
             };
             for change in out.changes {
                 let of = change.name[1..].parse::<usize>().ok().and_then(|of| self.nodes.get(of));
-                if change.to == Standing::Dead || of.is_some_and(|node| !node.up) {
+                if change.to == MemberState::Dead || of.is_some_and(|node| !node.up) {
                     self.sights.push(Sight { at, by: i, change });
                 }
             }
-            for (to, letter) in out.letters {
-                let bytes = letter.seal();
+            for OutgoingDatagram { to, datagram } in out.datagrams {
+                let bytes = datagram.encode();
                 self.letters += 1;
                 self.bytes += bytes.len() as u64;
                 self.longest = self.longest.max(bytes.len());
@@ -175,7 +177,7 @@
                     self.push(at + delay, Event::Letter(to, i, bytes));
                 }
             }
-            let due = self.nodes[i].members.due().max(at + Duration::from_millis(1));
+            let due = self.nodes[i].members.next_timer().max(at + Duration::from_millis(1));
             if due != self.nodes[i].woken_for {
                 self.wake_at(i, due);
             }
@@ -196,23 +198,23 @@
     }
 
     /// What this gateway holds of that one.
-    pub fn held(&self, by: usize, of: usize) -> Option<Standing> {
-        self.nodes[by].members.table().get(&name(of)).map(|m| m.claim.standing)
+    pub fn held(&self, by: usize, of: usize) -> Option<MemberState> {
+        self.nodes[by].members.members().get(&name(of)).map(|m| m.status.state)
     }
 
     /// All that are up hold exactly those for alive.
     pub fn agrees(&self) -> bool {
         let names: Vec<(String, bool)> = (0..self.nodes.len()).map(|i| (name(i), self.nodes[i].up)).collect();
-        let alive = |m: &Member| m.claim.standing == Standing::Alive;
+        let alive = |m: &Member| m.status.state == MemberState::Alive;
         self.nodes.iter().filter(|by| by.up).all(|by| {
-            let table = by.members.table();
+            let table = by.members.members();
             names.iter().all(|(name, up)| table.get(name).is_some_and(alive) == *up)
         })
     }
 
     /// How often a gateway that was up was held for dead.
     pub fn buried_alive(&self, from: Timestamp) -> usize {
-        let unrefuted = |s: &&Sight| s.at >= from && s.change.reason == Reason::Unrefuted;
+        let unrefuted = |s: &&Sight| s.at >= from && s.change.reason == ChangeReason::SuspicionTimeout;
         self.sights
             .iter()
             .filter(unrefuted)
--- a/crates/gateway/src/cluster/duties.rs
+++ b/crates/gateway/src/cluster/duties.rs
@@ -17,7 +17,7 @@
 use larchfall_leases::messages::{Datagram, MemberId, Payload, QuotaDemand, QuotaGrant, paginate};
 use larchfall_leases::voter::VoterLimits;
 use larchfall_leases::voter_record::{DamagedFile, Disk, VoterRecord, load};
-use larchfall_membership::members::Member;
+use larchfall_membership::membership::Member;
 use larchfall_operator_config::{Duties as Site, Keepers, Kinds};
 use larchfall_policy::interface::{LoadReport, RequestClass, SlowStartPolicy};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -397,7 +397,7 @@
     }
 
     fn send(&self, gateways: &Gateways, to: &str, matter: Payload) {
-        let address = lock(&gateways.members).table().get(to).map(|m| m.about.address);
+        let address = lock(&gateways.members).members().get(to).map(|m| m.info.address);
         let Some(address) = address else { return one(&self.counters.unknown) };
         let bytes = Datagram::new(&self.cluster, &self.me, matter).encode();
         if gateways.socket.inner().send_to(&bytes, address).is_ok() {
@@ -450,9 +450,9 @@
         // Who writes is one that membership knows, at the address that it knows it by. A process that was held for dead for
         // a while goes on there under a later generation, and here under that of its start: it is the same one.
         let known = lock(&gateways.members)
-            .table()
+            .members()
             .get(&letter.sender.name)
-            .is_some_and(|m| m.about.address == from && m.claim.generation >= letter.sender.generation);
+            .is_some_and(|m| m.info.address == from && m.status.generation >= letter.sender.generation);
         if !known {
             return one(&self.counters.unknown);
         }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -12,10 +12,12 @@
 use crate::state::facade::Verdict;
 use crate::state::lock;
 use duties::Duty;
-use larchfall_membership::claim::Standing;
-use larchfall_membership::count::Count;
-use larchfall_membership::members::{Members, Out, Refused, Settings};
-use larchfall_membership::wire::{Letter, MOST_BYTES, Unreadable};
+use larchfall_membership::datagram::{Datagram, DatagramError, MAX_DATAGRAM_BYTES};
+use larchfall_membership::fleet_size::FleetSize;
+use larchfall_membership::member_update::MemberState;
+use larchfall_membership::membership::{
+    Member, Membership, MembershipSettings, OutgoingDatagram, Output, Rejection,
+};
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::UdpSocket;
 use signals::Signals;
@@ -49,9 +51,9 @@
 }
 
 pub struct Gateways {
-    members: Mutex<Members>,
+    members: Mutex<Membership>,
     /// How many gateways the module is to count, where it follows the living.
-    count: Option<Mutex<Count>>,
+    count: Option<Mutex<FleetSize>>,
     socket: UdpSocket,
     cluster: String,
     name: String,
@@ -67,9 +69,9 @@
     /// Its generation is the time of its start, so that each process under its name is another than the one before.
     pub fn open(
         bind: SocketAddrV4,
-        members: Members,
+        members: Membership,
         (cluster, name): (String, String),
-        count: Option<Count>,
+        count: Option<FleetSize>,
         duties: Option<Arc<Duty>>,
         signals: Option<Signals>,
     ) -> io::Result<Arc<Gateways>> {
@@ -89,7 +91,7 @@
     }
 
     pub fn address(&self) -> SocketAddrV4 {
-        lock(&self.members).myself().about.address
+        lock(&self.members).myself().info.address
     }
 
     pub fn name(&self) -> &str {
@@ -98,13 +100,19 @@
 
     /// Those that live, this gateway among them, and their zones.
     pub fn living(&self) -> Vec<(String, String)> {
-        lock(&self.members).live().map(|(name, m)| (name.clone(), m.about.zone.clone())).collect()
+        lock(&self.members).live().map(|(name, m)| (name.clone(), m.info.zone.clone())).collect()
     }
 
     /// Seeds, periods and duties from a file that was read again.
-    pub fn set(&self, state: &State, settings: Settings, duties: Option<larchfall_operator_config::Duties>) {
+    pub fn set(
+        &self,
+        state: &State,
+        settings: MembershipSettings,
+        duties: Option<larchfall_operator_config::Duties>,
+    ) {
         // Which fleet it belongs to changes with the next start only.
-        lock(&self.members).set(Settings { cluster: self.cluster.clone(), ..settings });
+        let settings = MembershipSettings { cluster: self.cluster.clone(), ..settings };
+        lock(&self.members).update_settings(settings);
         match (&self.duties, duties) {
             (Some(duties), Some(site)) => duties.set(state, self, site),
             (Some(_), None) | (None, Some(_)) => {
@@ -133,7 +141,7 @@
             "unknown_senders" => n(&c.strangers), "over_budget" => n(&c.over_budget));
         let (table, health, version) = {
             let members = lock(&self.members);
-            (members.table().clone(), members.health().score(), members.version())
+            (members.members().clone(), members.health().score(), members.version())
         };
         if let Some(duties) = &self.duties {
             duties.log(state);
@@ -143,10 +151,10 @@
         }
         info!(state.log, "membership"; "known" => table.len(), "version" => version, "own_health" => health);
         for (name, member) in &table {
-            let heard = member.heard.map_or(-1.0, |at| now.since(at).secs());
-            info!(state.log, "member"; "name" => name, "state" => word(member.claim.standing),
-                "generation" => member.claim.generation, "incarnation" => member.claim.incarnation,
-                "address" => member.about.address.to_string(), "zone" => &member.about.zone,
+            let heard = member.heard_at.map_or(-1.0, |at| now.since(at).secs());
+            info!(state.log, "member"; "name" => name, "state" => word(member.status.state),
+                "generation" => member.status.generation, "incarnation" => member.status.incarnation,
+                "address" => member.info.address.to_string(), "zone" => &member.info.zone,
                 "since_s" => now.since(member.since).secs(), "heard_s_ago" => heard);
         }
     }
@@ -154,8 +162,8 @@
     /// Tells the module when another number of gateways is to be counted.
     fn count(&self, state: &State, now: Timestamp, before: usize) -> usize {
         let Some(count) = &self.count else { return before };
-        let fleet = lock(&self.members).fleet();
-        let counted = lock(count).see(fleet, now);
+        let fleet = lock(&self.members).fleet_view();
+        let counted = lock(count).observe(fleet, now);
         if counted != before {
             state.facade.count(counted);
             info!(state.log, "gateways counted"; "silent" => fleet.silent, "alive" => fleet.live, "count" => counted);
@@ -164,16 +172,16 @@
     }
 
     /// Sends what is to be sent and logs what changed. No lock is held here.
-    fn take(&self, state: &State, out: Out) {
+    fn take(&self, state: &State, out: Output) {
         for change in out.changes {
             let from = change.from.map_or("unknown", word);
             info!(state.log, "member changed"; "generation" => change.generation,
                 "reason" => format!("{:?}", change.reason), "was" => from, "state" => word(change.to),
                 "name" => change.name);
         }
-        for (to, letter) in out.letters {
+        for OutgoingDatagram { to, datagram } in out.datagrams {
             // Straight to the socket: a full buffer loses a datagram, as the net may, and holds nobody up.
-            let sent = self.socket.inner().send_to(&letter.seal(), to);
+            let sent = self.socket.inner().send_to(&datagram.encode(), to);
             one(if sent.is_ok() { &self.counters.sent } else { &self.counters.unsent });
         }
     }
@@ -181,14 +189,14 @@
     /// By gateway: its name, standing, generation, address, zone, since when it stands so and when it was heard, in seconds.
     fn rows(&self, now: Timestamp) -> Vec<Vec<String>> {
         let members = lock(&self.members);
-        let row = |(name, m): (&String, &larchfall_membership::members::Member)| {
-            let heard = m.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
+        let row = |(name, m): (&String, &Member)| {
+            let heard = m.heard_at.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
             let since = format!("{:.1}", now.since(m.since).secs());
-            let (generation, address) = (m.claim.generation.to_string(), m.about.address.to_string());
-            let standing = word(m.claim.standing).to_owned();
-            vec![name.clone(), standing, generation, address, m.about.zone.clone(), since, heard]
+            let (generation, address) = (m.status.generation.to_string(), m.info.address.to_string());
+            let standing = word(m.status.state).to_owned();
+            vec![name.clone(), standing, generation, address, m.info.zone.clone(), since, heard]
         };
-        members.table().iter().map(row).collect()
+        members.members().iter().map(row).collect()
     }
 
     /// By engine: its id, state, what this gateway makes of it, and what it and others saw there, where that is told.
@@ -239,21 +247,23 @@
             (Some(&ask::VERSION), _) => return self.answer(state, bytes, from),
             _ => {}
         }
-        let letter = match Letter::open(bytes, &self.cluster) {
+        let letter = match Datagram::decode(bytes, &self.cluster) {
             Ok(letter) => letter,
             Err(why) => {
                 return one(match why {
-                    Unreadable::Version(_) => &self.counters.other_version,
-                    Unreadable::OtherCluster => &self.counters.other_cluster,
-                    Unreadable::TooLong | Unreadable::Spoilt | Unreadable::Unsound => &self.counters.spoilt,
+                    DatagramError::Version(_) => &self.counters.other_version,
+                    DatagramError::OtherCluster => &self.counters.other_cluster,
+                    DatagramError::TooLong | DatagramError::Corrupt | DatagramError::Malformed => {
+                        &self.counters.spoilt
+                    }
                 });
             }
         };
-        let heard = lock(&self.members).hear(from, &letter, state.clock.now());
+        let heard = lock(&self.members).on_datagram(from, &letter, state.clock.now());
         match heard {
             Ok(out) => self.take(state, out),
-            Err(Refused::Stranger) => one(&self.counters.strangers),
-            Err(Refused::NameTaken) => {
+            Err(Rejection::UnknownSender) => one(&self.counters.strangers),
+            Err(Rejection::NameTaken) => {
                 warn!(
                     state.log,
                     "fronts: another process has this name, and was started later: no member any more"
@@ -266,18 +276,18 @@
     }
 }
 
-fn word(standing: Standing) -> &'static str {
+fn word(standing: MemberState) -> &'static str {
     match standing {
-        Standing::Alive => "alive",
-        Standing::Suspected => "suspected",
-        Standing::Dead => "dead",
-        Standing::Left => "left",
+        MemberState::Alive => "alive",
+        MemberState::Suspected => "suspected",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
     }
 }
 
 /// Hears and asks until this gateway leaves.
 pub fn run(state: &Arc<State>, gateways: &Arc<Gateways>) {
-    let mut bytes = [0; MOST_BYTES + 1];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     let (mut taken, mut window) = (0, state.clock.now());
     let mut counted = 0;
     let done = || gateways.duties.as_ref().is_none_or(|duties| duties.is_done());
@@ -285,8 +295,8 @@
         let now = state.clock.now();
         let (due, out) = {
             let mut members = lock(&gateways.members);
-            let out = (members.due() <= now).then(|| members.wake(now));
-            (members.due(), out)
+            let out = (members.next_timer() <= now).then(|| members.on_timer(now));
+            (members.next_timer(), out)
         };
         if let Some(out) = out {
             gateways.take(state, out);
--- a/crates/gateway/src/cluster/signals.rs
+++ b/crates/gateway/src/cluster/signals.rs
@@ -70,9 +70,9 @@
             let others: Vec<SocketAddrV4> = members
                 .live()
                 .filter(|(name, _)| **name != gateways.name)
-                .map(|(_, m)| m.about.address)
+                .map(|(_, m)| m.info.address)
                 .collect();
-            (members.myself().claim.generation, others)
+            (members.myself().status.generation, others)
         };
         lock(&self.inner).chance.shuffle(&mut others);
         let bytes = Letter::new(&gateways.cluster, &gateways.name, me, number, saw).seal();
@@ -105,10 +105,10 @@
         let letter = Letter::open(bytes, &gateways.cluster);
         let known = letter.and_then(|letter| {
             let members = lock(&gateways.members);
-            let member = members.table().get(&letter.name).filter(|m| m.about.address == from)?;
+            let member = members.members().get(&letter.name).filter(|m| m.info.address == from)?;
             // One that was held for dead for a while goes on under a later generation; an older one is another process.
-            let now = !member.claim.is_final() && letter.generation >= member.claim.generation;
-            now.then(|| (member.about.zone.clone(), letter))
+            let now = !member.status.is_final() && letter.generation >= member.status.generation;
+            now.then(|| (member.info.zone.clone(), letter))
         });
         let Some((zone, letter)) = known else {
             self.passed_over.fetch_add(1, Ordering::Relaxed);
--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -21,9 +21,9 @@
 use crate::{discovery, timer};
 use larchfall_leases::load_sharing::{LoadReportSharing, LoadSharingSettings};
 use larchfall_leases::messages::MemberId;
-use larchfall_membership::claim::About;
-use larchfall_membership::count::Count;
-use larchfall_membership::members::Members;
+use larchfall_membership::fleet_size::FleetSize;
+use larchfall_membership::member_update::MemberInfo;
+use larchfall_membership::membership::Membership;
 use larchfall_operator_config::{Kinds, Site};
 use larchfall_policy::interface::{Caps, Idempotency, PolicyConfig};
 use larchfall_policy::policy::Policy;
@@ -185,12 +185,12 @@
     seed: u64,
     parts: Parts,
 ) -> Result<(Arc<Gateways>, Option<Keeper>), (u8, String)> {
-    let about = About { address: site.told, zone: site.zone, serves: site.serves };
+    let about = MemberInfo { address: site.told, zone: site.zone, requests_per_second: site.serves };
     let now = state.clock.now();
-    let count = site.count.map(|settings| Count::new(settings, shared.gateways, now));
+    let count = site.count.map(|settings| FleetSize::new(settings, shared.gateways, now));
     let me = MemberId { name: site.name, generation: now.micros() };
     let cluster = site.settings.cluster.clone();
-    let members = Members::new(&me.name, me.generation, about, site.settings, seed, now);
+    let members = Membership::new(&me.name, me.generation, about, site.settings, seed, now);
     let opened = duties.map(|duties| Duty::open(state, duties, me.clone(), seed, parts, shared));
     let opened = opened.transpose().map_err(|e| (1, format!("duties: {e}")))?;
     let (duties, keeper) = opened.map_or((None, None), |(duties, keeper)| (Some(duties), keeper));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,14 @@
-//! Who of the gateways lives, as this gateway knows it. Nothing here opens a socket, reads a clock or draws its own
-//! chance: points in time, datagrams and a seed come in, datagrams and events go out. The options weighed, and what
-//! is kept and changed of the sources, stand in docs/members.md.
+//! Which gateways of a fleet are alive, as one of them knows it: SWIM with Lifeguard's extensions.
+//!
+//! The crate does no I/O: points in time, datagrams and a random seed come in, datagrams and changes go out. The options
+//! weighed, and what is kept and changed of the sources, stand in docs/membership.md.
 
-pub mod claim;
-pub mod count;
-pub mod health;
-pub mod members;
-pub mod rumours;
+#![deny(missing_docs)]
+
+pub mod datagram;
+pub mod fleet_size;
+pub mod gossip_queue;
+pub mod local_health;
+pub mod member_update;
+pub mod membership;
 pub mod suspicion;
-pub mod wire;
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,53 +1,56 @@
-//! How long a suspected gateway has to refute it, after Lifeguard (section IV.B): long while one gateway alone finds it
-//! silent, which may be that one's own fault, and shorter with each further one that does.
+//! How long a suspected member has to refute it, after Lifeguard (section IV.B): long while one gateway alone had no
+//! answer, which may be that one's own fault, and shorter with each further reporter.
 
 use larchfall_policy::time::{Duration, Timestamp};
 
-/// So many that find it silent on their own bring the time down to the least.
-const ENOUGH: usize = 3;
-/// Rounds of rumours that a refutation may need, times the logarithm of how many pass them on.
-const LEAST_ROUNDS: f64 = 3.0;
-/// How much longer a single gateway's suspicion waits.
-const ALONE: f64 = 4.0;
+/// Further reporters that bring the timeout down to the shortest.
+const MAX_CONFIRMATIONS: usize = 3;
+/// Rounds of gossip that a refutation may need, times the logarithm of how many pass it on.
+const MIN_TIMEOUT_ROUNDS: f64 = 3.0;
+/// How much longer the timeout is with a single reporter.
+const MAX_TIMEOUT_MULTIPLE: f64 = 4.0;
 
+/// The suspicion of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Suspicion {
     since: Timestamp,
-    by: Vec<String>,
-    least: Duration,
+    /// The first is the one whose report began it.
+    reporters: Vec<String>,
+    min_timeout: Duration,
 }
 
 impl Suspicion {
-    /// `members` are those who pass rumours on; `period` is this gateway's own, as its health stretches it.
-    pub fn new(by: String, members: usize, period: Duration, now: Timestamp) -> Suspicion {
-        let rounds = LEAST_ROUNDS * ((members + 1) as f64).log2().max(1.0);
-        Suspicion { since: now, by: vec![by], least: period * rounds }
+    /// `members` are those who pass updates on; `period` is this gateway's own, as its health stretches it.
+    pub fn new(reporter: String, members: usize, period: Duration, now: Timestamp) -> Suspicion {
+        let rounds = MIN_TIMEOUT_ROUNDS * ((members + 1) as f64).log2().max(1.0);
+        Suspicion { since: now, reporters: vec![reporter], min_timeout: period * rounds }
     }
 
-    /// Another finds it silent as well; the same one counts once.
-    pub fn confirm(&mut self, by: String) -> bool {
-        let new = self.by.len() <= ENOUGH && !self.by.contains(&by);
-        if new {
-            self.by.push(by);
+    /// Another gateway had no answer either; the same one counts once. Returns whether it is a new reporter.
+    pub fn confirm(&mut self, reporter: String) -> bool {
+        let is_new = self.reporters.len() <= MAX_CONFIRMATIONS && !self.reporters.contains(&reporter);
+        if is_new {
+            self.reporters.push(reporter);
         }
-        new
+        is_new
     }
 
-    /// Who to name when it is passed on: this gateway, where it found the silence itself, else the first who did. A voice
-    /// that only passes on what it heard is no further one.
-    pub fn voice(&self, me: &str) -> &str {
-        self.by.iter().find(|by| *by == me).unwrap_or(&self.by[0])
+    /// Whom to name when it is passed on: this gateway where it reported it itself, else the first who did. A gateway that
+    /// only passes on what it heard is no further reporter.
+    pub fn reporter(&self, me: &str) -> &str {
+        self.reporters.iter().find(|reporter| *reporter == me).unwrap_or(&self.reporters[0])
     }
 
-    /// When it counts as dead.
-    pub fn ends(&self) -> Timestamp {
-        let others = (self.by.len() - 1).min(ENOUGH) as f64;
-        let part = (others + 1.0).ln() / ((ENOUGH + 1) as f64).ln();
-        self.since + self.least * (ALONE - (ALONE - 1.0) * part)
+    /// When the member counts as dead.
+    pub fn deadline(&self) -> Timestamp {
+        let confirmations = (self.reporters.len() - 1).min(MAX_CONFIRMATIONS) as f64;
+        let progress = (confirmations + 1.0).ln() / ((MAX_CONFIRMATIONS + 1) as f64).ln();
+        let multiple = MAX_TIMEOUT_MULTIPLE - (MAX_TIMEOUT_MULTIPLE - 1.0) * progress;
+        self.since + self.min_timeout * multiple
     }
 
-    /// Time in which this gateway stood still is nobody's silence.
-    pub fn put_off(&mut self, by: Duration) {
+    /// Time in which this gateway did not run is nobody's silence.
+    pub fn postpone(&mut self, by: Duration) {
         self.since = self.since + by;
     }
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,21 +1,29 @@
-//! Fleets of members in one process, by seed: joins, deaths, stalls, splits, loss. Each failure names its seed.
+//! Fleets of members in one process, by seed: joins, deaths, stalls, partitions, loss. Each failure names its seed.
 
 use larchfall_fault_tests::fleet::{self as sim, Fleet, ms, name};
-use larchfall_membership::claim::{About, Standing};
-use larchfall_membership::members::{Members, Refused, Settings};
+use larchfall_membership::datagram::Datagram;
+use larchfall_membership::member_update::{MemberInfo, MemberState};
+use larchfall_membership::membership::{Membership, MembershipSettings, OutgoingDatagram, Rejection};
 use larchfall_policy::time::Timestamp;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
+/// The first datagram that a new process sends.
+fn first_datagram(name: &str, address: std::net::SocketAddrV4, now: Timestamp) -> Datagram {
+    let info = MemberInfo { address, zone: "east".into(), requests_per_second: 1 };
+    let mut process = Membership::new(name, 1, info, sim::settings(), 1, now);
+    process.on_timer(now).datagrams.remove(0).datagram
+}
+
 fn joined(n: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::start(n, seed);
     let took = fleet.until(ms(60_000), Fleet::agrees);
-    assert!(took.is_some(), "seed {seed}: {n} fronts did not find each other");
+    assert!(took.is_some(), "seed {seed}: {n} gateways did not find each other");
     fleet
 }
 
 #[test]
-fn gateways_find_each_other_through_two_seeds_and_letters_stay_short() {
+fn gateways_find_each_other_through_two_seeds_and_datagrams_stay_short() {
     for (n, seed) in [(2, 1), (12, 2), (100, 3)] {
         let fleet = joined(n, seed);
         assert!(fleet.longest <= 1200, "seed {seed}: {}", fleet.longest);
@@ -28,26 +36,26 @@
     for seed in SEEDS {
         let mut fleet = joined(12, seed);
         fleet.kill(5);
-        let dead = |f: &Fleet| (0..12).filter(|i| *i != 5).all(|i| f.held(i, 5) == Some(Standing::Dead));
+        let dead = |f: &Fleet| (0..12).filter(|i| *i != 5).all(|i| f.held(i, 5) == Some(MemberState::Dead));
         assert!(fleet.until(ms(60_000), dead).is_some(), "seed {seed}: not all know");
         // Back under its name: another generation, taken in though the one before is dead.
         fleet.restart(5);
         assert!(fleet.until(ms(60_000), Fleet::agrees).is_some(), "seed {seed}: not back");
         let now = fleet.now;
         let out = fleet.nodes[7].members.leave(now);
-        assert!(out.letters.len() >= 3, "seed {seed}: told {}", out.letters.len());
-        for (to, letter) in &out.letters {
+        assert!(out.datagrams.len() >= 3, "seed {seed}: told {}", out.datagrams.len());
+        for OutgoingDatagram { to, datagram } in &out.datagrams {
             let i = usize::from(to.ip().octets()[3]);
-            fleet.nodes[i].members.hear(sim::address(7), letter, now).unwrap();
+            fleet.nodes[i].members.on_datagram(sim::address(7), datagram, now).unwrap();
         }
         fleet.kill(7);
-        let left = |f: &Fleet| (0..12).filter(|i| *i != 7).all(|i| f.held(i, 7) == Some(Standing::Left));
+        let left = |f: &Fleet| (0..12).filter(|i| *i != 7).all(|i| f.held(i, 7) == Some(MemberState::Left));
         assert!(fleet.until(ms(60_000), left).is_some(), "seed {seed}: not all know that it left");
     }
 }
 
 #[test]
-fn half_of_all_letters_lost_or_one_link_one_way_only_bury_nobody() {
+fn with_half_of_all_datagrams_lost_or_a_link_one_way_only_no_live_member_is_declared_dead() {
     // (share lost, whether 9 does not hear 2, which hears 9)
     for (loss, one_way) in [(0.5, false), (0.0, true)] {
         for seed in SEEDS {
@@ -64,20 +72,21 @@
 }
 
 #[test]
-fn who_stood_still_buries_nobody_and_is_back() {
+fn a_gateway_that_stalled_declares_nobody_dead_and_is_back() {
     for seed in SEEDS {
         let mut fleet = joined(12, seed);
         let from = fleet.now;
         fleet.stop(3, ms(1_700));
         fleet.run(ms(20_000));
-        let by_it = fleet.sights.iter().filter(|s| s.at > from && s.by == 3 && s.change.to == Standing::Dead);
+        let by_it =
+            fleet.sights.iter().filter(|s| s.at > from && s.by == 3 && s.change.to == MemberState::Dead);
         assert_eq!(by_it.count(), 0, "seed {seed}: it held others for dead");
         assert!(fleet.until(ms(60_000), Fleet::agrees).is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn sides_of_a_split_bury_each_other_and_agree_again_once_it_heals() {
+fn sides_of_a_partition_declare_each_other_dead_and_agree_again_once_it_heals() {
     // (how many islands, how long they last)
     for (seed, islands, lasts) in [(1, 2, 5_000), (2, 2, 60_000), (3, 3, 60_000), (4, 12, 30_000)] {
         let mut fleet = joined(12, seed);
@@ -85,7 +94,7 @@
         fleet.run(ms(lasts));
         // One that hears nobody at all takes that for its own fault, and waits far longer.
         assert!(
-            islands == 12 || fleet.held(0, 1) != Some(Standing::Alive),
+            islands == 12 || fleet.held(0, 1) != Some(MemberState::Alive),
             "seed {seed}: the split is not seen"
         );
         fleet.link = Box::new(|_, _| true);
@@ -110,39 +119,35 @@
     fleet.restart(4);
     fleet.run(ms(10_000));
     // Another of that name, started before this one, wakes at another address and asks the seeds.
-    let about = About { address: sim::address(40), zone: "east".into(), serves: 20 };
-    let mut older = Members::new(&name(4), 1, about, sim::settings(), 1, fleet.now);
-    let asked = older.wake(fleet.now).letters;
-    assert!(!asked.is_empty());
-    for (to, letter) in asked {
+    let info = MemberInfo { address: sim::address(40), zone: "east".into(), requests_per_second: 20 };
+    let mut older = Membership::new(&name(4), 1, info, sim::settings(), 1, fleet.now);
+    let sent = older.on_timer(fleet.now).datagrams;
+    assert!(!sent.is_empty());
+    for OutgoingDatagram { to, datagram } in sent {
         let i = usize::from(to.ip().octets()[3]);
-        let reply = fleet.nodes[i].members.hear(sim::address(40), &letter, fleet.now).unwrap();
+        let reply = fleet.nodes[i].members.on_datagram(sim::address(40), &datagram, fleet.now).unwrap();
         assert!(reply.changes.is_empty(), "an older generation changes nothing: {:?}", reply.changes);
-        for (_, letter) in reply.letters {
-            let _ = older.hear(to, &letter, fleet.now);
+        for answer in reply.datagrams {
+            let _ = older.on_datagram(to, &answer.datagram, fleet.now);
         }
     }
-    assert!(older.name_taken());
-    assert!(older.wake(fleet.now + ms(10_000)).letters.is_empty(), "it keeps quiet from then on");
+    assert!(older.is_name_taken());
+    assert!(older.on_timer(fleet.now + ms(10_000)).datagrams.is_empty(), "it keeps quiet from then on");
     // The later one keeps its name, whatever the older one writes to it.
-    assert!(!fleet.nodes[4].members.name_taken());
+    assert!(!fleet.nodes[4].members.is_name_taken());
 }
 
 #[test]
-fn strangers_and_letters_under_another_address_are_not_believed() {
+fn unknown_senders_and_datagrams_from_another_address_are_rejected() {
     let mut fleet = joined(3, 4);
     let (now, outside) = (fleet.now, "192.0.2.1:7400".parse().unwrap());
-    let other = |address| {
-        let about = About { address, zone: "east".into(), serves: 1 };
-        Members::new("stranger", 1, about, sim::settings(), 1, now).wake(now).letters.remove(0).1
-    };
     // (what it says its address is, where it comes from)
     for (says, from) in [(outside, outside), (sim::address(50), sim::address(51))] {
-        let letter = other(says);
+        let datagram = first_datagram("stranger", says, now);
         let before = fleet.nodes[0].members.version();
         assert_eq!(
-            fleet.nodes[0].members.hear(from, &letter, now),
-            Err(Refused::Stranger),
+            fleet.nodes[0].members.on_datagram(from, &datagram, now),
+            Err(Rejection::UnknownSender),
             "{says} from {from}"
         );
         assert_eq!(fleet.nodes[0].members.version(), before);
@@ -153,13 +158,12 @@
 fn a_flood_of_new_names_stays_within_the_bound() {
     let mut fleet = joined(3, 4);
     let now = fleet.now;
-    let settings = Settings { most: 40, ..sim::settings() };
-    fleet.nodes[0].members.set(settings);
+    let settings = MembershipSettings { max_members: 40, ..sim::settings() };
+    fleet.nodes[0].members.update_settings(settings);
     for i in 0..500 {
-        let about = About { address: sim::address(1000 + i), zone: "east".into(), serves: 1 };
-        let letter =
-            Members::new(&format!("x{i}"), 1, about, sim::settings(), 1, now).wake(now).letters.remove(0).1;
-        let _ = fleet.nodes[0].members.hear(sim::address(1000 + i), &letter, now);
+        let address = sim::address(1000 + i);
+        let datagram = first_datagram(&format!("x{i}"), address, now);
+        let _ = fleet.nodes[0].members.on_datagram(address, &datagram, now);
     }
-    assert_eq!(fleet.nodes[0].members.table().len(), 40);
+    assert_eq!(fleet.nodes[0].members.members().len(), 40);
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,27 +1,27 @@
-//! Every order in which a few gateways suspect, bury, refute, start anew and tell each other, over a net that loses,
-//! doubles and reorders.
+//! Every order in which a few gateways suspect each other, declare each other dead, refute, restart and gossip, over a
+//! network that loses, doubles and reorders.
 
-use larchfall_membership::claim::{Claim, Standing, refuted};
+use larchfall_membership::member_update::{MemberState, MemberStatus, refutation};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// How claims are weighed: as the package does, or in a way that is wrong.
+/// Which claim supersedes another: by the crate's rule, or by one that is wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Weighing {
-    Sound,
+enum Rule {
+    Correct,
     /// Whatever was heard last counts.
-    LastWord,
+    LastHeard,
     /// A dead one is back with the next incarnation.
-    DeathIsNoEnd,
+    DeathIsNotFinal,
 }
 
-impl Weighing {
-    fn beats(self, new: Claim, old: Claim) -> bool {
+impl Rule {
+    fn supersedes(self, new: MemberStatus, old: MemberStatus) -> bool {
         match self {
-            Weighing::Sound => new.beats(old),
-            Weighing::LastWord => new != old,
-            Weighing::DeathIsNoEnd => {
-                let key = |c: Claim| (c.generation, c.incarnation, c.standing);
+            Rule::Correct => new.supersedes(old),
+            Rule::LastHeard => new != old,
+            Rule::DeathIsNotFinal => {
+                let key = |status: MemberStatus| (status.generation, status.incarnation, status.state);
                 key(new) > key(old)
             }
         }
@@ -33,57 +33,67 @@
     gateways: usize,
     incarnations: u32,
     generations: u64,
-    on_the_way: usize,
-    weighing: Weighing,
+    in_flight: usize,
+    rule: Rule,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct Message {
+    to: usize,
+    about: usize,
+    generation: u64,
+    incarnation: u32,
+    state: MemberState,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     /// By gateway, of each.
-    tables: Vec<Vec<Option<Claim>>>,
-    /// To whom, of whom, what: any number of times, in any order, or never.
-    net: BTreeSet<(usize, usize, u64, u32, Standing)>,
-    /// The strongest that each had of each since its own start.
-    best: Vec<Vec<Option<Claim>>>,
+    tables: Vec<Vec<Option<MemberStatus>>>,
+    /// Delivered any number of times, in any order, or never.
+    network: BTreeSet<Message>,
+    /// The highest claim that each had of each since its own start.
+    highest: Vec<Vec<Option<MemberStatus>>>,
     broken: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Act {
-    Suspect(usize, usize),
-    Bury(usize, usize),
-    Tell(usize, usize, usize),
-    Hear(usize, usize, Claim),
+    Suspect { by: usize, member: usize },
+    DeclareDead { by: usize, member: usize },
+    Send { from: usize, to: usize, about: usize },
+    Deliver { to: usize, about: usize, status: MemberStatus },
     Restart(usize),
 }
 
 impl World {
     /// `i` takes in what is claimed of `j`.
-    fn believe(&mut self, i: usize, j: usize, claim: Claim, x: &Bounds) {
+    fn believe(&mut self, i: usize, j: usize, status: MemberStatus, x: &Bounds) {
         if i == j {
-            let mine = self.tables[i][i].unwrap();
-            // Its own is refuted by the package's own rule, whichever way claims of others are weighed.
-            if let Some(next) = refuted(mine, claim) {
+            let own = self.tables[i][i].unwrap();
+            // Claims of itself are refuted by the crate's own rule, whichever rule is used for others.
+            if let Some(next) = refutation(own, status) {
                 self.tables[i][i] = Some(next);
             }
             return;
         }
         let was = self.tables[i][j];
-        if was.is_none_or(|was| x.weighing.beats(claim, was)) && !(was.is_none() && claim.is_final()) {
-            self.tables[i][j] = Some(claim);
+        if was.is_none_or(|was| x.rule.supersedes(status, was)) && !(was.is_none() && status.is_final()) {
+            self.tables[i][j] = Some(status);
         }
-        let (now, best) = (self.tables[i][j], self.best[i][j]);
-        if let (Some(now), Some(best)) = (now, best)
-            && now.generation == best.generation
+        let now = self.tables[i][j];
+        let highest = self.highest[i][j];
+        if let (Some(now), Some(highest)) = (now, highest)
+            && now.generation == highest.generation
         {
-            if best.is_final() && !now.is_final() {
+            if highest.is_final() && !now.is_final() {
                 self.broken = Some("a dead generation is back");
-            } else if !now.is_final() && now.incarnation < best.incarnation {
+            } else if !now.is_final() && now.incarnation < highest.incarnation {
                 self.broken = Some("an old suspicion won over a newer incarnation");
             }
         }
-        if now.is_some_and(|now| best.is_none_or(|best| now.beats(best))) {
-            self.best[i][j] = now;
+        if now.is_some_and(|now| highest.is_none_or(|highest| now.supersedes(highest))) {
+            self.highest[i][j] = now;
         }
     }
 
@@ -93,8 +103,8 @@
         for _ in 0..20 {
             let before = world.tables.clone();
             for (i, k, j) in triples(x.gateways) {
-                if let Some(claim) = world.tables[i][j] {
-                    world.believe(k, j, claim, x);
+                if let Some(status) = world.tables[i][j] {
+                    world.believe(k, j, status, x);
                 }
             }
             if world.tables == before {
@@ -123,31 +133,31 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let known = vec![Some(Claim::alive(0, 0)); self.gateways];
+        let known = vec![Some(MemberStatus::alive(0, 0)); self.gateways];
         let tables = vec![known; self.gateways];
-        vec![World { best: tables.clone(), tables, net: BTreeSet::new(), broken: None }]
+        vec![World { highest: tables.clone(), tables, network: BTreeSet::new(), broken: None }]
     }
 
     fn actions(&self, world: &World, acts: &mut Vec<Act>) {
         if world.broken.is_some() {
             return;
         }
-        let standing = |i: usize, j: usize| world.tables[i][j].map(|c| c.standing);
+        let state = |i: usize, j: usize| world.tables[i][j].map(|status| status.state);
         for (i, k, j) in triples(self.gateways) {
             if j == k {
-                match standing(i, j) {
-                    Some(Standing::Alive) => acts.push(Act::Suspect(i, j)),
-                    Some(Standing::Suspected) => acts.push(Act::Bury(i, j)),
+                match state(i, j) {
+                    Some(MemberState::Alive) => acts.push(Act::Suspect { by: i, member: j }),
+                    Some(MemberState::Suspected) => acts.push(Act::DeclareDead { by: i, member: j }),
                     _ => {}
                 }
             }
-            if world.net.len() < self.on_the_way && world.tables[i][j].is_some() {
-                acts.push(Act::Tell(i, k, j));
+            if world.network.len() < self.in_flight && world.tables[i][j].is_some() {
+                acts.push(Act::Send { from: i, to: k, about: j });
             }
         }
-        for (to, of, generation, incarnation, standing) in &world.net {
-            let claim = Claim { generation: *generation, incarnation: *incarnation, standing: *standing };
-            acts.push(Act::Hear(*to, *of, claim));
+        for Message { to, about, generation, incarnation, state } in world.network.iter().cloned() {
+            let status = MemberStatus { generation, incarnation, state };
+            acts.push(Act::Deliver { to, about, status });
         }
         acts.extend((0..self.gateways).map(Act::Restart));
     }
@@ -155,24 +165,24 @@
     fn next_state(&self, world: &World, act: Act) -> Option<World> {
         let mut next = world.clone();
         match act {
-            Act::Suspect(i, j) => {
-                let claim = next.tables[i][j]?.with(Standing::Suspected);
-                next.believe(i, j, claim, self);
+            Act::Suspect { by, member } => {
+                let status = next.tables[by][member]?.with(MemberState::Suspected);
+                next.believe(by, member, status, self);
             }
-            Act::Bury(i, j) => {
-                let claim = next.tables[i][j]?.with(Standing::Dead);
-                next.believe(i, j, claim, self);
+            Act::DeclareDead { by, member } => {
+                let status = next.tables[by][member]?.with(MemberState::Dead);
+                next.believe(by, member, status, self);
             }
-            Act::Tell(i, k, j) => {
-                let c = next.tables[i][j]?;
-                next.net.insert((k, j, c.generation, c.incarnation, c.standing));
+            Act::Send { from, to, about } => {
+                let MemberStatus { generation, incarnation, state } = next.tables[from][about]?;
+                next.network.insert(Message { to, about, generation, incarnation, state });
             }
-            Act::Hear(to, of, claim) => next.believe(to, of, claim, self),
+            Act::Deliver { to, about, status } => next.believe(to, about, status, self),
             Act::Restart(i) => {
                 let generation = next.tables[i][i]?.generation + 1;
                 next.tables[i] = vec![None; self.gateways];
-                next.best[i] = vec![None; self.gateways];
-                next.tables[i][i] = Some(Claim::alive(generation, 0));
+                next.highest[i] = vec![None; self.gateways];
+                next.tables[i][i] = Some(MemberStatus::alive(generation, 0));
             }
         }
         Some(next)
@@ -193,40 +203,40 @@
             Property::always("all agree in the end", |x: &Bounds, w: &World| {
                 w.broken.is_some() || w.agrees(x)
             }),
-            // Else a net that carries nothing would pass.
-            Property::sometimes("a living one was held for dead", |_: &Bounds, w: &World| {
-                w.tables.iter().flatten().flatten().any(|c| c.standing == Standing::Dead)
+            // Else a network that carries nothing would pass.
+            Property::sometimes("a live member was declared dead", |_: &Bounds, w: &World| {
+                w.tables.iter().flatten().flatten().any(|c| c.state == MemberState::Dead)
             }),
         ]
     }
 }
 
 const THREE: Bounds =
-    Bounds { gateways: 3, incarnations: 1, generations: 1, on_the_way: 1, weighing: Weighing::Sound };
+    Bounds { gateways: 3, incarnations: 1, generations: 1, in_flight: 1, rule: Rule::Correct };
 
 #[test]
 fn two_to_four_gateways_in_every_order() {
-    let two = Bounds { gateways: 2, incarnations: 2, generations: 2, on_the_way: 2, ..THREE };
+    let two = Bounds { gateways: 2, incarnations: 2, generations: 2, in_flight: 2, ..THREE };
     let four = Bounds { gateways: 4, ..THREE };
     // (the gateways, steps, states at least)
     for (bounds, depth, least) in [(two, 12, 1_000), (THREE, 8, 10_000), (four, 5, 1_000)] {
         let (gateways, checker) =
             (bounds.gateways, bounds.checker().threads(4).target_max_depth(depth).spawn_bfs().join());
         let states = checker.unique_state_count();
-        println!("{gateways} fronts: {states} states");
+        println!("{gateways} gateways: {states} states");
         checker.assert_properties();
-        assert!(states > least, "{gateways} fronts: {states}");
+        assert!(states > least, "{gateways} gateways: {states}");
     }
 }
 
 #[test]
-fn wrong_ways_to_weigh_claims_are_caught() {
-    for weighing in [Weighing::LastWord, Weighing::DeathIsNoEnd] {
-        let wrong = Bounds { gateways: 2, incarnations: 2, generations: 1, on_the_way: 2, weighing };
+fn wrong_rules_of_precedence_are_caught() {
+    for rule in [Rule::LastHeard, Rule::DeathIsNotFinal] {
+        let wrong = Bounds { gateways: 2, incarnations: 2, generations: 1, in_flight: 2, rule };
         let checker = wrong.checker().threads(4).target_max_depth(10).spawn_bfs().join();
         assert!(
             checker.discovery("claims only grow").is_some(),
-            "{weighing:?}: {}",
+            "{rule:?}: {}",
             checker.unique_state_count()
         );
     }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -9,9 +9,9 @@
 use larchfall_leases::manager::LeaseSettings as DutySettings;
 use larchfall_leases::quorum::VoterSet;
 use larchfall_leases::voter::VoterLimits;
-use larchfall_membership::claim::LONGEST;
-use larchfall_membership::count::Settings as Count;
-use larchfall_membership::members::Settings as Members;
+use larchfall_membership::fleet_size::FleetSizeSettings;
+use larchfall_membership::member_update::MAX_NAME_BYTES;
+use larchfall_membership::membership::{MembershipSettings, Network};
 use larchfall_paged_rest::cursor::Window;
 use larchfall_paged_rest::results::Caps;
 use larchfall_paged_rest::words::{Family, Source, Sources};
@@ -107,9 +107,9 @@
     pub zone: String,
     /// Requests a second that this gateway is meant to take, as others are told.
     pub serves: u32,
-    pub settings: Members,
+    pub settings: MembershipSettings,
     /// The module counts the gateways that live, by these bounds; none: those that the settings name.
-    pub count: Option<Count>,
+    pub count: Option<FleetSizeSettings>,
 }
 
 /// The paged REST protocol for clients.
@@ -452,8 +452,8 @@
     let table = Table { text, name: "fronts" };
     let fault = |at: usize, field: &str, why: &str| table.fault(at, field, why);
     let name = |value: &Spanned<String>, field: &str| {
-        let why = format!("wanted 1 to {LONGEST} bytes");
-        let fits = (1..=LONGEST).contains(&value.get_ref().len());
+        let why = format!("wanted 1 to {MAX_NAME_BYTES} bytes");
+        let fits = (1..=MAX_NAME_BYTES).contains(&value.get_ref().len());
         fits.then(|| value.get_ref().clone()).ok_or_else(|| fault(value.span().start, field, &why))
     };
     let time = |value: &Spanned<u64>, field: &str, from, to| table.time(value, field, from, to);
@@ -464,7 +464,7 @@
     let network = |value: &Spanned<String>| {
         let (at, bits) = value.get_ref().split_once('/').unwrap_or((value.get_ref(), "32"));
         let read = at.parse().ok().zip(bits.parse().ok().filter(|bits| *bits <= 32));
-        read.ok_or_else(|| {
+        read.map(|(address, prefix_len)| Network { address, prefix_len }).ok_or_else(|| {
             fault(value.span().start, "networks", "wanted an address and its bits, as 10.0.0.0/24")
         })
     };
@@ -474,21 +474,21 @@
         let why = "others that are asked to help need as long again within a period";
         return Err(fault(raw.answer_ms.span().start, "answer-ms", why));
     }
-    let settings = Members {
+    let settings = MembershipSettings {
         cluster: name(&raw.cluster, "cluster")?,
-        period,
-        answer_within,
+        probe_interval: period,
+        probe_timeout: answer_within,
         helpers: 3,
-        remembered: time(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
-        tables_every: time(&raw.table_ms, "table-ms", 100, 600_000)?,
-        most: table.number(&raw.most, "most", 2, 65_536)?,
+        remember_ended: time(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
+        table_interval: time(&raw.table_ms, "table-ms", 100, 600_000)?,
+        max_members: table.number(&raw.most, "most", 2, 65_536)?,
         networks: raw.networks.iter().map(network).collect::<Result<_, _>>()?,
         seeds: raw.seeds.iter().map(|seed| address(seed, "seeds")).collect::<Result<_, _>>()?,
     };
-    let count = Count {
-        within: time(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
+    let count = FleetSizeSettings {
+        window: time(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
         step: time(&raw.count_step_ms, "count-step-ms", 10, 600_000)?,
-        least: table.number(&raw.count_least, "count-least", 1, 65_536)?,
+        min: table.number(&raw.count_least, "count-least", 1, 65_536)?,
     };
     let listens = address(&raw.address, "address")?;
     let told = raw.told.as_ref().map(|told| address(told, "told")).transpose()?.unwrap_or(listens);
@@ -543,7 +543,7 @@
     let list = |list: &Spanned<Vec<Spanned<String>>>, field: &str| {
         let names: BTreeSet<String> = list.get_ref().iter().map(|name| name.get_ref().clone()).collect();
         let fits = matches!(names.len(), 3 | 5 | 7) && names.len() == list.get_ref().len();
-        let short = names.iter().all(|name| (1..=LONGEST).contains(&name.len()));
+        let short = names.iter().all(|name| (1..=MAX_NAME_BYTES).contains(&name.len()));
         (fits && short)
             .then_some(names)
             .ok_or_else(|| table.fault(list.span().start, field, "wanted the names of 3, 5 or 7 fronts"))
@@ -579,8 +579,8 @@
     let mut taken = Vec::new();
     for program in programs {
         let (name, at) = (program.name.get_ref().clone(), program.name.span().start);
-        if !(1..=LONGEST).contains(&name.len()) || !names.insert(name.clone()) {
-            let why = format!("wanted 1 to {LONGEST} bytes that no other duty has");
+        if !(1..=MAX_NAME_BYTES).contains(&name.len()) || !names.insert(name.clone()) {
+            let why = format!("wanted 1 to {MAX_NAME_BYTES} bytes that no other duty has");
             return Err(of_program.fault(at, "name", &why));
         }
         let command = program.command.get_ref().clone();
--- a/crates/operator-config/tests/site.rs
+++ b/crates/operator-config/tests/site.rs
@@ -24,15 +24,18 @@
     let example = parse(include_str!("../../../deploy/site-example.toml"), &names()).unwrap();
     let (rest, gateways) = (example.rest.unwrap(), example.gateways.unwrap());
     assert_eq!((rest.headers, rest.request.class.len()), (Family::Both, 2));
-    assert_eq!((gateways.told, gateways.settings.networks[0].1), (gateways.address, 8));
+    assert_eq!((gateways.told, gateways.settings.networks[0].prefix_len), (gateways.address, 8));
     let duties = example.duties.unwrap();
     assert_eq!((duties.settings.roles.len(), duties.programs.len(), duties.keepers), (5, 1, None));
     assert_eq!(duties.probing.map(|p| p.max_age), Some(Duration::from_millis(1500)));
     assert!(parse(LEAST, &names()).unwrap().gateways.is_none());
     assert!(parse(GATEWAYS, &names()).unwrap().duties.is_none());
     let least = parse(GATEWAYS, &names()).unwrap().gateways.unwrap();
-    assert!(least.count.is_none() && gateways.count.is_some_and(|c| c.least == 3));
-    assert_eq!((least.settings.period, least.settings.most), (Duration::from_millis(500), 1024));
+    assert!(least.count.is_none() && gateways.count.is_some_and(|c| c.min == 3));
+    assert_eq!(
+        (least.settings.probe_interval, least.settings.max_members),
+        (Duration::from_millis(500), 1024)
+    );
 }
 
 #[test]
