--- a/crates/gateway/src/cli/subsets.rs
+++ b/crates/gateway/src/cli/subsets.rs
@@ -5,7 +5,7 @@
 use super::arguments::FilePaths;
 use super::table::format_table;
 use crate::config::Config;
-use crate::state::engines::Engines;
+use crate::state::engine_table::EngineTable;
 use larchfall_operator_config::Subsets;
 use larchfall_subsetting::survey::{Survey, survey};
 use larchfall_subsetting::{Gateway, Listed};
@@ -55,11 +55,11 @@
 
 /// The engines that the configuration names.
 fn listed_engines(config: &Config) -> Vec<Listed> {
-    let mut engines = Engines::default();
+    let mut engines = EngineTable::default();
     for event in &config.known {
-        engines.follow(event);
+        engines.apply(event);
     }
-    engines.ready().into_iter().map(|(_, id, told)| Listed { id, told }).collect()
+    engines.ready().into_iter().map(|ready| Listed { id: ready.id, told: ready.engine }).collect()
 }
 
 /// Gateways by number, spread over the zones that the configuration names.
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -35,15 +35,15 @@
 /// listener's queue all the same, and a request in it would be overtaken by later ones of its key: so the last places
 /// are kept free by closing connections that nobody uses.
 pub fn accept(state: &Arc<State>, listener: &TcpListener) {
-    let max_clients = state.limits.clients;
+    let max_clients = state.limits.client_connections;
     let spare = max_clients / SPARE + 1;
     let mut held: Option<Held> = None;
     loop {
         let now = state.clock.now();
-        if state.peers.len() + spare >= max_clients {
-            state.peers.make_room(spare, now - FRESH);
+        if state.client_connections.len() + spare >= max_clients {
+            state.client_connections.close_idle(spare, now - FRESH);
         }
-        if state.peers.len() >= max_clients || state.stalls.starves_events(now) {
+        if state.client_connections.len() >= max_clients || state.stall_detector.is_event_poll_overdue(now) {
             state.sleep(PAUSE);
             held = Some(Held { since: held.map_or(now, |held| held.since), until: state.clock.now() });
             continue;
--- a/crates/gateway/src/cluster/event_loop.rs
+++ b/crates/gateway/src/cluster/event_loop.rs
@@ -2,9 +2,9 @@
 
 use super::Cluster;
 use super::counters::increment;
-use crate::state::clock::wait;
+use crate::state::clock::timeout;
 use crate::state::{State, lock};
-use larchfall_membership::wire::MOST_BYTES;
+use larchfall_membership::datagram::MAX_DATAGRAM_BYTES;
 use larchfall_policy::time::{Duration, Timestamp};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 impl Cluster {
     /// Receives and sends until this gateway has left.
     pub fn run(self: &Arc<Cluster>, state: &Arc<State>) {
-        let mut bytes = [0; MOST_BYTES + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let mut budget = DatagramBudget { window_start: state.clock.now(), received: 0 };
         let mut gateway_count = 0;
         while !self.is_done() {
@@ -52,8 +52,8 @@
                 state.sleep(pause);
                 continue;
             }
-            let timeout = self.time_to_next_timer(state, membership_due);
-            if self.socket.set_read_timeout(Some(wait(timeout))).is_err() {
+            let due_in = self.time_to_next_timer(state, membership_due);
+            if self.socket.set_read_timeout(Some(timeout(due_in))).is_err() {
                 return;
             }
             match self.socket.recv_from(&mut bytes) {
@@ -82,8 +82,8 @@
         gateway_count: &mut usize,
     ) -> Timestamp {
         let mut members = lock(&self.members);
-        let effects = (members.due() <= now).then(|| members.wake(now));
-        let due = members.due();
+        let effects = (members.next_timer() <= now).then(|| members.on_timer(now));
+        let due = members.next_timer();
         drop(members);
         if let Some(effects) = effects {
             self.apply_membership(state, effects);
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -44,7 +44,7 @@
 impl HealthGossip {
     /// Has the policy note from now on what it observes.
     pub fn new(state: &State, settings: Settings, seed: u64, now: Timestamp) -> HealthGossip {
-        state.facade.notes_sights(BOUNDS.processes);
+        state.policy.enable_observations(BOUNDS.processes);
         let inner = Inner {
             observations: Desk::new(BOUNDS, settings.weigh, settings.turn),
             due: now,
@@ -72,18 +72,24 @@
     }
 
     fn send_observations(&self, state: &State, cluster: &Cluster) {
-        let Some((number, observed)) = state.facade.sights_to_tell(MOST_ENGINES) else { return };
+        let Some(report) = state.policy.next_observation_report(MOST_ENGINES) else { return };
         let (generation, mut others) = {
             let members = lock(&cluster.members);
             let others: Vec<SocketAddrV4> = members
                 .live()
                 .filter(|(name, _)| **name != cluster.member_name)
-                .map(|(_, member)| member.about.address)
+                .map(|(_, member)| member.info.address)
                 .collect();
-            (members.myself().claim.generation, others)
+            (members.myself().status.generation, others)
         };
         lock(&self.inner).random.shuffle(&mut others);
-        let message = Letter::new(&cluster.cluster_name, &cluster.member_name, generation, number, observed);
+        let message = Letter::new(
+            &cluster.cluster_name,
+            &cluster.member_name,
+            generation,
+            report.number,
+            report.observations,
+        );
         let bytes = message.seal();
         for to in others.into_iter().take(self.settings.fanout) {
             if cluster.socket.inner().send_to(&bytes, to).is_ok() {
@@ -93,19 +99,20 @@
     }
 
     fn count_observations(&self, state: &State, cluster: &Cluster, now: Timestamp) {
-        let listed: HashSet<Process> = state.facade.processes().into_iter().collect();
+        let listed: HashSet<Process> = state.policy.processes().into_iter().collect();
         let alive = cluster.alive_zones();
         let is_listed = |process: Process| listed.contains(&process);
-        let outcomes = lock(&self.inner).observations.look(state.facade.own_sights(), &alive, is_listed, now);
+        let outcomes =
+            lock(&self.inner).observations.look(state.policy.own_observations(), &alive, is_listed, now);
         for (process, is_bad) in outcomes {
             increment(&self.counters.counted);
-            state.facade.told_of(process, is_bad);
+            state.policy.record_peer_outcome(process, is_bad);
         }
         // After the outcomes: an engine that they had ejected just now waits for its probe slot from the start.
-        for process in state.facade.failing() {
+        for process in state.policy.ejected_processes() {
             let is_own_slot =
                 lock(&self.inner).observations.may_try(&cluster.member_name, process, &alive, now);
-            state.facade.turn(process, is_own_slot);
+            state.policy.set_probe_slot(process, is_own_slot);
         }
     }
 
@@ -114,10 +121,10 @@
         let message = Letter::open(bytes, &cluster.cluster_name);
         let known = message.and_then(|message| {
             let members = lock(&cluster.members);
-            let sender = members.table().get(&message.name).filter(|member| member.about.address == from)?;
+            let sender = members.members().get(&message.name).filter(|member| member.info.address == from)?;
             // One that was taken for dead for a while goes on under a later generation; an older one is another process.
-            let is_current = !sender.claim.is_final() && message.generation >= sender.claim.generation;
-            is_current.then(|| (sender.about.zone.clone(), message))
+            let is_current = !sender.status.is_final() && message.generation >= sender.status.generation;
+            is_current.then(|| (sender.info.zone.clone(), message))
         });
         let Some((zone, message)) = known else {
             return increment(&self.counters.ignored);
--- a/crates/gateway/src/cluster/leases/load_reports.rs
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -4,7 +4,8 @@
 use super::{LIST_BYTES, LeaseService};
 use crate::cluster::Cluster;
 use crate::cluster::counters::increment;
-use crate::engines::attempt;
+use crate::engine::load_report;
+use crate::state::engine_table::ReadyEngine;
 use crate::state::{State, lock};
 use larchfall_leases::fencing::Fenced;
 use larchfall_leases::load_sharing::{HealthCheck, SharedLoadReport, health_check_role, role_index};
@@ -16,23 +17,26 @@
 
 impl LeaseService {
     /// Where it is time, asks the engines of each lease held here for their load, and sends the reports to all members once
-    /// the last engine has answered. `ready` are engines by index and id.
+    /// the last engine has answered.
     pub(super) fn request_load_reports(
         &self,
         state: &Arc<State>,
         cluster: &Arc<Cluster>,
-        ready: &[(usize, u32)],
+        ready: &[ReadyEngine],
     ) {
-        let Some(probing) = &state.probing else { return };
+        let Some(sharing) = &state.shared_load_reports else { return };
         let roles = {
-            let mut probing = lock(probing);
-            if probing.start_round(state.clock.now()) { probing.roles() } else { 0 }
+            let mut sharing = lock(sharing);
+            if sharing.start_round(state.clock.now()) { sharing.roles() } else { 0 }
         };
         for number in 0..roles {
-            let engines: Vec<(usize, u32)> =
-                ready.iter().copied().filter(|(_, id)| role_index(u64::from(*id), roles) == number).collect();
+            let engines: Vec<ReadyEngine> = ready
+                .iter()
+                .copied()
+                .filter(|engine| role_index(u64::from(engine.id), roles) == number)
+                .collect();
             let outstanding = Arc::new(AtomicUsize::new(engines.len()));
-            for (index, id) in engines {
+            for ReadyEngine { index, id, .. } in engines {
                 let permit = lock(&self.leases)
                     .permit(&health_check_role(number), self.now())
                     .map(|permit| permit.allow(HealthCheck { engine: index }));
@@ -41,9 +45,9 @@
                 let cluster = cluster.clone();
                 let outstanding = outstanding.clone();
                 may::go!(move || {
-                    let report = attempt::probe(&state, allowed.into_action().engine);
-                    if let (Some(report), Some(probing)) = (report, &state.probing) {
-                        lock(probing).record_own(encode_report(id, report), state.clock.now());
+                    let report = load_report::fetch(&state, allowed.into_action().engine);
+                    if let (Some(report), Some(sharing)) = (report, &state.shared_load_reports) {
+                        lock(sharing).record_own(encode_report(id, report), state.clock.now());
                     }
                     let is_last = outstanding.fetch_sub(1, Ordering::Relaxed) == 1;
                     if let Some(leases) = cluster.leases.as_ref().filter(|_| is_last) {
@@ -56,8 +60,8 @@
 
     /// Sends what was reported under a lease to all members, with its token, while it still lasts.
     fn send_load_reports(&self, state: &State, cluster: &Cluster, number: usize) {
-        let Some(probing) = &state.probing else { return };
-        let reports = lock(probing).take_unsent(number, state.clock.now());
+        let Some(sharing) = &state.shared_load_reports else { return };
+        let reports = lock(sharing).take_unsent(number, state.clock.now());
         let lease = health_check_role(number);
         for page in paginate(reports, LIST_BYTES) {
             let fenced = lock(&self.leases).permit(&lease, self.now()).map(|permit| permit.fence(page));
@@ -75,8 +79,8 @@
     }
 
     pub(super) fn on_load_reports(&self, state: &State, reports: &Fenced<Vec<SharedLoadReport>>) {
-        let Some(probing) = &state.probing else { return };
-        let accepted: Option<Vec<SharedLoadReport>> = lock(probing)
+        let Some(sharing) = &state.shared_load_reports else { return };
+        let accepted: Option<Vec<SharedLoadReport>> = lock(sharing)
             .on_reports(reports, state.clock.now())
             .map(|accepted| accepted.into_iter().copied().collect());
         let Some(accepted) = accepted else {
@@ -87,7 +91,7 @@
             increment(&self.counters.load_reports);
             let report =
                 LoadReport { in_hand: reading.in_flight.map(f64::from), busy: reading.busy.map(f64::from) };
-            state.facade.told(reading.engine, report);
+            state.policy.record_shared_load_report(reading.engine, report);
         }
     }
 }
--- a/crates/gateway/src/cluster/leases/messages.rs
+++ b/crates/gateway/src/cluster/leases/messages.rs
@@ -38,7 +38,7 @@
     }
 
     pub(super) fn send(&self, cluster: &Cluster, to: &str, payload: Payload) {
-        let address = lock(&cluster.members).table().get(to).map(|member| member.about.address);
+        let address = lock(&cluster.members).members().get(to).map(|member| member.info.address);
         let Some(address) = address else {
             return increment(&self.counters.unknown);
         };
@@ -94,7 +94,7 @@
 /// while goes on there under a later generation, and here under that of its start: it is the same one.
 fn is_known(cluster: &Cluster, sender: &MemberId, from: SocketAddrV4) -> bool {
     lock(&cluster.members)
-        .table()
+        .members()
         .get(&sender.name)
-        .is_some_and(|member| member.about.address == from && member.claim.generation >= sender.generation)
+        .is_some_and(|member| member.info.address == from && member.status.generation >= sender.generation)
 }
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -19,7 +19,7 @@
 use larchfall_leases::messages::MemberId;
 use larchfall_leases::voter::VoterLimits;
 use larchfall_leases::voter_record::{DamagedFile, Disk, VoterRecord, load};
-use larchfall_membership::members::Member;
+use larchfall_membership::membership::Member;
 use larchfall_operator_config::Duties as OperatorSettings;
 use larchfall_policy::time::{Duration, Timestamp};
 use quota_exchange::{QuotaExchange, QuotaInputs};
@@ -182,12 +182,11 @@
         let alive_since: BTreeMap<String, Timestamp> =
             members.live().map(|(name, member)| (name.clone(), since(member))).collect();
         drop(members);
-        let (listed, ready) = state.facade.listed();
-        let heard = Timestamp::from_micros(state.discovery_heard.load(Ordering::Relaxed));
+        let endpoints = state.policy.endpoints();
         let inputs = FitnessInputs {
-            listed_engines: listed,
-            ready_engines: ready.len(),
-            discovery_silence: state_now.since(heard),
+            listed_engines: endpoints.present,
+            ready_engines: endpoints.ready.len(),
+            discovery_silence: state_now.since(state.discovery.last_heard()),
             health_score: own_health,
         };
         let thresholds = *lock(&self.fitness_thresholds);
@@ -200,7 +199,7 @@
         };
         self.apply(state, cluster, effects);
         self.update_programs(state, cluster);
-        self.request_load_reports(state, cluster, &ready);
+        self.request_load_reports(state, cluster, &endpoints.ready);
         self.request_quotas(state, cluster);
     }
 }
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -73,7 +73,7 @@
         let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
         let quotas = Shares::new(shares::Settings { strict, soft, keepers, most: MAX_CAPACITIES }, now);
         if kinds.slow_start {
-            state.facade.careful(quotas.careful());
+            state.policy.enable_quotas(quotas.careful());
         }
         QuotaExchange { quotas: Mutex::new(quotas), kinds, inputs }
     }
@@ -85,13 +85,13 @@
     /// How much this gateway wants of each capacity that is allocated.
     fn wanted(&self, state: &State, demand: &Demand) -> Vec<Wanted> {
         let mut wanted = Vec::new();
-        for (id, engine, is_in_slow_start) in state.facade.ready(&self.inputs.slow_start) {
-            let weight = demand.of_engine(&engine, &self.inputs.classes);
-            if self.kinds.slow_start && is_in_slow_start {
-                wanted.push((Capacity::SlowStart(id), weight));
+        for ready in state.policy.ready_for_quotas(&self.inputs.slow_start) {
+            let weight = demand.of_engine(&ready.engine, &self.inputs.classes);
+            if self.kinds.slow_start && ready.in_slow_start {
+                wanted.push((Capacity::SlowStart(ready.id), weight));
             }
             if self.kinds.threads {
-                wanted.push((Capacity::Threads(id), weight));
+                wanted.push((Capacity::Threads(ready.id), weight));
             }
         }
         if self.kinds.tenants {
@@ -106,7 +106,7 @@
         let capacity = |(key, fraction, _)| Capacity::of(key).map(|capacity| (capacity, fraction));
         let fractions: BTreeMap<Capacity, f64> = lock(&self.quotas).parts(now).filter_map(capacity).collect();
         let tenants: Vec<Capacity> = self.inputs.tenants.iter().map(|tenant| tenant.capacity).collect();
-        state.facade.share(&tenants, &fractions);
+        state.policy.set_quotas(&tenants, &fractions);
     }
 
     /// What a capacity is called in the log and by `larchfall quotas`.
@@ -133,7 +133,7 @@
             let allocators = quotas.keepers();
             let wanted = |demand: &Demand| exchange.wanted(state, demand);
             let allocator_of = |capacity| role_index(capacity, allocators);
-            let requests = quotas.asks(|| state.facade.came(), wanted, allocator_of, now);
+            let requests = quotas.asks(|| state.policy.arrivals(), wanted, allocator_of, now);
             (requests, quotas.terms())
         };
         exchange.apply(state, now);
--- a/crates/gateway/src/cluster/leases/status.rs
+++ b/crates/gateway/src/cluster/leases/status.rs
@@ -81,11 +81,11 @@
         let counters = &self.counters;
         let mut rejected = 0;
         let mut ages = ReportAges::default();
-        if let Some(probing) = &state.probing {
-            let ids = state.facade.listed().1.into_iter().map(|(_, id)| u64::from(id));
-            let probing = lock(probing);
-            rejected = probing.rejected();
-            ages = probing.report_ages(ids, state.clock.now());
+        if let Some(sharing) = &state.shared_load_reports {
+            let ids = state.policy.ready_engines().into_iter().map(|engine| u64::from(engine.id));
+            let sharing = lock(sharing);
+            rejected = sharing.rejected();
+            ages = sharing.report_ages(ids, state.clock.now());
         }
         info!(state.log, "lease counters"; "received" => count(&counters.received), "sent" => count(&counters.sent),
             "unknown" => count(&counters.unknown), "corrupt" => count(&counters.corrupt),
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -13,8 +13,8 @@
 use crate::state::{State, lock};
 use counters::{DatagramCounters, increment};
 use health_gossip::HealthGossip;
-use larchfall_membership::count::Count;
-use larchfall_membership::members::{Members, Settings};
+use larchfall_membership::fleet_size::FleetSize;
+use larchfall_membership::membership::{Membership, MembershipSettings};
 use larchfall_operator_config::Duties;
 use leases::LeaseService;
 use may::net::UdpSocket;
@@ -27,9 +27,9 @@
 
 /// This gateway as a member of its cluster.
 pub struct Cluster {
-    members: Mutex<Members>,
+    members: Mutex<Membership>,
     /// How many gateways the policy is to count, where that follows those that are alive.
-    gateway_count: Option<Mutex<Count>>,
+    gateway_count: Option<Mutex<FleetSize>>,
     socket: UdpSocket,
     /// Datagrams of other clusters are ignored.
     cluster_name: String,
@@ -49,13 +49,13 @@
     /// Address to bind.
     pub address: SocketAddrV4,
     /// Membership, in which this gateway knows itself only.
-    pub members: Members,
+    pub members: Membership,
     /// Name of the cluster, as datagrams carry it.
     pub cluster_name: String,
     /// This gateway's own name.
     pub member_name: String,
     /// Bounds of the number of gateways, where it follows those that are alive.
-    pub gateway_count: Option<Count>,
+    pub gateway_count: Option<FleetSize>,
     /// Leased roles, where they are on.
     pub leases: Option<Arc<LeaseService>>,
     /// Observations of engines shared with others, where that is on.
@@ -80,7 +80,7 @@
 
     /// Where other members are told that this gateway listens.
     pub fn address(&self) -> SocketAddrV4 {
-        lock(&self.members).myself().about.address
+        lock(&self.members).myself().info.address
     }
 
     /// This gateway's own name.
@@ -90,13 +90,14 @@
 
     /// Zones by the names of the members that are alive, this gateway among them.
     pub fn alive_zones(&self) -> BTreeMap<String, String> {
-        lock(&self.members).live().map(|(name, member)| (name.clone(), member.about.zone.clone())).collect()
+        lock(&self.members).live().map(|(name, member)| (name.clone(), member.info.zone.clone())).collect()
     }
 
     /// Takes over seeds, periods and leases from a file that was read again.
-    pub fn reload(&self, state: &State, settings: Settings, leases: Option<Duties>) {
+    pub fn reload(&self, state: &State, settings: MembershipSettings, leases: Option<Duties>) {
         // Which cluster it belongs to changes with the next start only.
-        lock(&self.members).set(Settings { cluster: self.cluster_name.clone(), ..settings });
+        let settings = MembershipSettings { cluster: self.cluster_name.clone(), ..settings };
+        lock(&self.members).update_settings(settings);
         match (&self.leases, leases) {
             (Some(service), Some(leases)) => service.reload(state, self, leases),
             (Some(_), None) | (None, Some(_)) => {
--- a/crates/gateway/src/cluster/status_pages.rs
+++ b/crates/gateway/src/cluster/status_pages.rs
@@ -5,9 +5,9 @@
 use super::counters::increment;
 use super::membership::state_word;
 use super::status_query::{self, Topic};
-use crate::state::facade::Verdict;
+use crate::state::policy_handle::EngineStatus;
 use crate::state::{State, lock};
-use larchfall_membership::members::Member;
+use larchfall_membership::membership::Member;
 use larchfall_policy::time::Timestamp;
 use std::net::SocketAddrV4;
 
@@ -32,18 +32,18 @@
     /// was heard, in seconds.
     fn member_rows(&self, now: Timestamp) -> Vec<Vec<String>> {
         let row = |(name, member): (&String, &Member)| {
-            let heard = member.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
+            let heard = member.heard_at.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
             vec![
                 name.clone(),
-                state_word(member.claim.standing).to_owned(),
-                member.claim.generation.to_string(),
-                member.about.address.to_string(),
-                member.about.zone.clone(),
+                state_word(member.status.state).to_owned(),
+                member.status.generation.to_string(),
+                member.info.address.to_string(),
+                member.info.zone.clone(),
                 format!("{:.1}", now.since(member.since).secs()),
                 heard,
             ]
         };
-        lock(&self.members).table().iter().map(row).collect()
+        lock(&self.members).members().iter().map(row).collect()
     }
 
     /// By engine: its id, listed state, health, whether it is used and congested, and what this gateway and others
@@ -53,7 +53,7 @@
         // Once for all engines: there may be many gateways.
         let alive = self.alive_zones();
         let mut rows: Vec<Vec<String>> = Vec::new();
-        for engine in state.facade.verdicts() {
+        for engine in state.policy.engine_statuses() {
             let mut row = engine_cells(&engine);
             if let Some(gossip) = &self.health_gossip {
                 row.extend(gossip.row(&self.member_name, &alive, engine.process, now));
@@ -65,13 +65,13 @@
     }
 }
 
-fn engine_cells(engine: &Verdict) -> Vec<String> {
+fn engine_cells(engine: &EngineStatus) -> Vec<String> {
     let word_if = |holds: bool, word: &str| if holds { word.to_owned() } else { String::new() };
     vec![
         format!("{:08x}", engine.process.id),
         format!("{:?}", engine.state).to_lowercase(),
-        if engine.failing { "left out" } else { "sound" }.to_owned(),
-        word_if(engine.used, "used"),
-        word_if(engine.congested, "congested"),
+        if engine.health.ejected { "left out" } else { "sound" }.to_owned(),
+        word_if(engine.in_subset, "used"),
+        word_if(engine.health.congested, "congested"),
     ]
 }
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! Client of the discovery service: connected for as long as the service speaks, connected again when it does not.
 
 use crate::state::State;
-use crate::state::clock::wait;
+use crate::state::clock::timeout;
 use crate::wire::discovery::{self, Event, Frame};
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
@@ -11,7 +11,6 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 
 /// A change of the list counts as known so long after it happened, whether or not its event has come.
 pub const REPORTED_WITHIN: Duration = Duration::from_millis(7000);
@@ -54,23 +53,23 @@
 
 /// Follows the service at this address from now on, in place of the one that was followed before.
 pub fn start(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
-    let era = state.next_discovery();
+    let era = state.discovery.next_client();
     let state = state.clone();
     may::go!(move || follow(&state, address, seed, era));
 }
 
 /// Applies a watch event, and drops connections to engines that are gone.
 pub fn apply(state: &State, event: &Event) {
-    for engine in state.facade.follow(event) {
-        state.pool.forget(engine);
+    for engine in state.policy.apply_discovery_event(event) {
+        state.engine_connections.close_idle(engine);
     }
-    state.counters.rest(|counters| counters.discovery_events += 1);
+    state.counters.update(|counters| counters.discovery_events += 1);
 }
 
 fn follow(state: &State, address: SocketAddrV4, seed: u64, era: u64) {
     let mut random = WyRand::new_seed(seed);
     let mut pause = FIRST_PAUSE;
-    while state.is_current_discovery(era) {
+    while state.discovery.is_current_client(era) {
         let mut connection = Connection { state, era, frames: 0, input: Vec::new() };
         let reason = connection.run(address);
         info!(state.log, "discovery connection ended"; "reason" => reason.to_string(), "frames" => connection.frames);
@@ -93,11 +92,11 @@
     /// Receives until the connection ends.
     fn run(&mut self, address: SocketAddrV4) -> Disconnect {
         let address = SocketAddr::V4(address);
-        let Ok(mut stream) = TcpStream::connect_timeout(&address, wait(CONNECT_TIMEOUT)) else {
+        let Ok(mut stream) = TcpStream::connect_timeout(&address, timeout(CONNECT_TIMEOUT)) else {
             return Disconnect::NotConnected;
         };
-        let _ = stream.set_read_timeout(Some(wait(SILENCE)));
-        if stream.write_all(&discovery::since(self.state.facade.seen())).is_err() {
+        let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
+        if stream.write_all(&discovery::since(self.state.policy.discovery_revision())).is_err() {
             return Disconnect::NotWritten;
         }
         let mut is_last_read = false;
@@ -109,12 +108,12 @@
             let read_from = self.state.clock.now();
             let received = self.receive(&mut stream);
             // What is read after a stall may be as old as that.
-            sent = self.state.stalls.may_be_from(read_from, self.state.clock.now());
+            sent = self.state.stall_detector.earliest_send_time(read_from, self.state.clock.now());
             match received {
                 Ok(0) => return Disconnect::Closed,
                 Ok(_) if is_last_read => {
                     is_last_read = false;
-                    let _ = stream.set_read_timeout(Some(wait(SILENCE)));
+                    let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
                 }
                 Ok(_) => {}
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) if is_last_read => {
@@ -122,7 +121,7 @@
                 }
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
                     is_last_read = true;
-                    let _ = stream.set_read_timeout(Some(wait(LAST_READ)));
+                    let _ = stream.set_read_timeout(Some(timeout(LAST_READ)));
                 }
                 Err(_) => return Disconnect::Reset,
             }
@@ -141,15 +140,15 @@
     fn apply_received(&mut self, sent: Timestamp) -> Result<(), Disconnect> {
         let state = self.state;
         // A service that was replaced may use revisions that the new one has yet to reach.
-        if !state.is_current_discovery(self.era) {
+        if !state.discovery.is_current_client(self.era) {
             return Err(Disconnect::Replaced);
         }
         loop {
             match discovery::decode(&self.input) {
                 Ok(Some((frame, used))) => {
                     self.frames += 1;
-                    state.discovery_heard.store(state.clock.now().micros(), Ordering::Relaxed);
-                    state.facade.heard(sent);
+                    state.discovery.record_heard(state.clock.now());
+                    state.policy.confirm_endpoints(sent);
                     if let Frame::News(event) = frame {
                         apply(state, &event);
                     }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -8,7 +8,6 @@
 use larchfall_policy::time::{Duration, Timestamp};
 use slog::info;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 
 /// New connections come for 0.4 s after SIGTERM, requests on open ones for 0.2 s more.
 const CLIENTS_COME: Duration = Duration::from_millis(800);
@@ -34,17 +33,17 @@
         cluster.leave(state);
     }
     let ends = end_of_service(state, requested);
-    state.end_at(ends);
-    info!(state.log, "shutdown requested"; "in_flight" => state.facade.in_hand(), "clients" => state.peers.len());
+    state.begin_shutdown(ends);
+    info!(state.log, "shutdown requested"; "in_flight" => state.policy.in_flight(), "clients" => state.client_connections.len());
     let killed = ends + LAST_ANSWERS;
     wait_until_all_answered(state, service, requested, killed);
-    info!(state.log, "shutdown complete"; "in_flight" => state.facade.in_hand(), "clients" => state.peers.len());
+    info!(state.log, "shutdown complete"; "in_flight" => state.policy.in_flight(), "clients" => state.client_connections.len());
     close_connections(state, service, killed);
 }
 
 /// When what is still unanswered has to be answered, before SIGKILL.
 fn end_of_service(state: &State, requested: Timestamp) -> Timestamp {
-    let longest = state.class_limits.iter().max().copied().unwrap_or_default().min(LONGEST_DEADLINE);
+    let longest = state.settings.longest_deadline().min(LONGEST_DEADLINE);
     requested + (longest + KILL_AFTER).saturating_sub(LAST_ANSWERS)
 }
 
@@ -60,7 +59,7 @@
         // Half-read results go on until then.
         let results_are_read = service.is_none_or(|service| service.pages.unread() == 0);
         // After a stall the sockets may not have been read since SIGTERM: what clients wrote meanwhile is unread.
-        let sockets_are_read = state.stalls.looked_since(requested + CLIENTS_COME);
+        let sockets_are_read = state.stall_detector.has_polled_since(requested + CLIENTS_COME);
         if (!owes_answers(state) && results_are_read && sockets_are_read) || now >= killed {
             return;
         }
@@ -69,10 +68,10 @@
 
 /// Lets each connection that is still open log its own last line.
 fn close_connections(state: &State, service: Option<&Arc<RestService>>, killed: Timestamp) {
-    state.done.store(true, Ordering::Relaxed);
-    state.peers.wake_quiet(state.clock.now(), state.clock.now());
+    state.shutdown.complete();
+    state.client_connections.wake_overdue(state.clock.now(), state.clock.now());
     let until = state.clock.now() + LAST_LOG_LINES;
-    let open_connections = || state.peers.len() + service.map_or(0, |service| service.clients());
+    let open_connections = || state.client_connections.len() + service.map_or(0, |service| service.clients());
     // A request that was read between the last poll and here was admitted, and gets its answer as all others did.
     let goes_on = |now| (owes_answers(state) && now < killed) || (open_connections() > 0 && now < until);
     while goes_on(state.clock.now()) {
@@ -81,5 +80,5 @@
 }
 
 fn owes_answers(state: &State) -> bool {
-    state.facade.in_hand() > 0 || !state.peers.are_idle()
+    state.policy.in_flight() > 0 || !state.client_connections.are_idle()
 }
--- a/crates/gateway/src/startup/cluster.rs
+++ b/crates/gateway/src/startup/cluster.rs
@@ -8,9 +8,9 @@
 use crate::platform::Platform;
 use crate::state::State;
 use larchfall_leases::messages::MemberId;
-use larchfall_membership::claim::About;
-use larchfall_membership::count::Count;
-use larchfall_membership::members::Members;
+use larchfall_membership::fleet_size::FleetSize;
+use larchfall_membership::member_update::MemberInfo;
+use larchfall_membership::membership::Membership;
 use larchfall_operator_config::{Duties, Gateways, Signals};
 use slog::info;
 use std::sync::Arc;
@@ -38,13 +38,14 @@
     platform: Platform,
 ) -> Result<JoinedCluster, StartupError> {
     let ClusterSettings { gateways, leases, health_gossip } = settings;
-    let about = About { address: gateways.told, zone: gateways.zone, serves: gateways.serves };
+    let info =
+        MemberInfo { address: gateways.told, zone: gateways.zone, requests_per_second: gateways.serves };
     let now = state.clock.now();
-    let gateway_count = gateways.count.map(|count| Count::new(count, quota_inputs.gateways, now));
+    let gateway_count = gateways.count.map(|count| FleetSize::new(count, quota_inputs.gateways, now));
     // The time of its start, so that each process under this name is another one than the one before.
     let me = MemberId { name: gateways.name, generation: now.micros() };
     let cluster_name = gateways.settings.cluster.clone();
-    let members = Members::new(&me.name, me.generation, about, gateways.settings, seed, now);
+    let members = Membership::new(&me.name, me.generation, info, gateways.settings, seed, now);
     let member_name = me.name.clone();
     let opened = leases
         .map(|settings| LeaseService::open(state, LeaseSetup { settings, me, seed, platform, quota_inputs }))
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -67,15 +67,15 @@
         limits,
         seed,
         log: logger,
-        probing: site.duties.as_ref().and_then(|leases| leases.probing),
+        load_sharing: site.duties.as_ref().and_then(|leases| leases.probing),
         clock: Clock::start((platform.unix_clock)()),
     }));
     // The configuration's endpoint list counts as if the discovery service had just sent it.
-    state.facade.heard(state.clock.now());
+    state.policy.confirm_endpoints(state.clock.now());
     for event in &known {
         discovery::apply(&state, event);
     }
-    let event_wait = timer::Looks::open().map_err(StartupError::SocketPair)?;
+    let event_poll_probe = timer::EventPollProbe::open().map_err(StartupError::SocketPair)?;
     let signals = caught_signals.into_streams().map_err(StartupError::Signals)?;
     log_addresses(&state, &listener, listen, paged_rest.as_ref());
     let cluster = join_cluster(&state, site, quota_inputs, seed, platform)?;
@@ -85,7 +85,7 @@
         paged_rest,
         cluster,
         subsetting,
-        event_wait,
+        event_poll_probe,
         signals,
         files,
         discovery,
@@ -104,7 +104,7 @@
     paged_rest: Option<&PagedRest>,
 ) {
     let address = listener.local_addr().unwrap_or(configured.into());
-    info!(state.log, "listening"; "clients" => state.limits.clients, "engine_connections" => state.limits.engine_links,
+    info!(state.log, "listening"; "clients" => state.limits.client_connections, "engine_connections" => state.limits.engine_connections,
         "requests" => state.limits.requests, "address" => address.to_string());
     if let Some(paged_rest) = paged_rest {
         paged_rest.log_address(&state.log);
@@ -138,7 +138,7 @@
     paged_rest: Option<PagedRest>,
     cluster: Option<Arc<Cluster>>,
     subsetting: Option<Subsetting>,
-    event_wait: timer::Looks,
+    event_poll_probe: timer::EventPollProbe,
     signals: Signals,
     files: Files,
     discovery: SocketAddrV4,
@@ -181,7 +181,7 @@
         };
         may::go!(move || reloader.run(signals.reload));
         let watching = state.clone();
-        may::go!(move || timer::look_for_events(&watching, self.event_wait));
+        may::go!(move || timer::record_event_polls(&watching, self.event_poll_probe));
         let accepting = state.clone();
         may::go!(move || client_listener::accept(&accepting, &self.listener));
         if let Some(PagedRest { service, listener, .. }) = self.paged_rest {
--- a/crates/gateway/src/startup/paged_rest.rs
+++ b/crates/gateway/src/startup/paged_rest.rs
@@ -38,8 +38,8 @@
     paged_rest: Option<&PagedRest>,
 ) -> Result<Limits, StartupError> {
     let connections = paged_rest.map_or(0, |rest| rest.settings.connections);
-    let limits = limits.share(connections).ok_or(StartupError::NoConnectionsLeft)?;
-    let engine_connections = limits.engine_links;
+    let limits = limits.reserve_clients(connections).ok_or(StartupError::NoConnectionsLeft)?;
+    let engine_connections = limits.engine_connections;
     if paged_rest.is_some_and(|rest| rest.settings.caps.making > engine_connections / 2) {
         return Err(StartupError::TooManyQueries { engine_connections });
     }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -12,7 +12,7 @@
 use larchfall_subsetting::plan::Plan;
 use larchfall_subsetting::{Gateway, Listed, needs};
 use slog::info;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -45,7 +45,7 @@
                 alive: (0..self.fleet.gateways.max(1)).map(numbered).collect(),
             };
         };
-        let zone_index = |zone: &str| state.names.zones.iter().position(|known| known == zone);
+        let zone_index = |zone: &str| state.settings.names.zones.iter().position(|known| known == zone);
         let alive_zones = cluster.alive_zones();
         let named = |name: &str, zone: Option<&String>| Gateway {
             number: xxh3_64(name.as_bytes()),
@@ -75,7 +75,7 @@
 /// Starts the coroutine, and has the policy use no engine until it is told of some.
 pub fn start(state: &Arc<State>, cluster: Option<Arc<Cluster>>, subsetting: Subsetting) {
     let state = state.clone();
-    state.facade.narrow();
+    state.policy.enable_subset();
     may::go!(move || run(&state, cluster.as_deref(), &subsetting));
 }
 
@@ -83,9 +83,13 @@
     let mut aperture = Aperture::new(subsetting.settings.aperture, state.clock.now());
     let mut assignment = Assignment::default();
     let mut used = BTreeSet::new();
-    while !state.is_done() {
-        let engines: Vec<Listed> =
-            state.facade.listed_ready().into_iter().map(|(id, told)| Listed { id, told }).collect();
+    while !state.shutdown.is_complete() {
+        let engines: Vec<Listed> = state
+            .policy
+            .ready_engines()
+            .into_iter()
+            .map(|ready| Listed { id: ready.id, told: ready.engine })
+            .collect();
         let Members { me, alive } = subsetting.members(state, cluster);
         if alive != assignment.gateways || engines != assignment.engines {
             let needs = needs(&engines, &subsetting.classes);
@@ -101,8 +105,9 @@
             log_change(state, &assignment, &aperture, &used, &now_used);
             used = now_used;
         }
-        let fractions = used.iter().filter_map(|id| Some((*id, assignment.plan.part(*id)?))).collect();
-        state.facade.use_engines(&used, fractions);
+        let fractions: BTreeMap<u32, f64> =
+            used.iter().filter_map(|id| Some((*id, assignment.plan.part(*id)?))).collect();
+        state.policy.set_subset(&used, &fractions);
         state.sleep(subsetting.settings.look);
     }
 }
@@ -119,7 +124,7 @@
     let ready: BTreeSet<u32> = assignment.engines.iter().map(|engine| engine.id).collect();
     let mut sight = Sight { used: used.len(), ..Sight::default() };
     for id in used {
-        let health = state.facade.engine_health(*id).unwrap_or(UNKNOWN);
+        let health = state.policy.engine_health(*id).unwrap_or(UNKNOWN);
         sight.bad += usize::from(health.ejected || !ready.contains(id));
         sight.congested += usize::from(health.congested);
     }
