--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -30,7 +30,7 @@
                 Ok(reply) if reply.status == 500 || reply.is_declined() => {
                     return self.on_failure_reply(connection, &reply, cut_offs);
                 }
-                // The attempt's own time ran out, not the engine's: the reply that is owed still comes on this connection.
+                // The attempt's own time ran out, not the engine's: the reply that is owed still comes here.
                 Err(CallError::TimedOut)
                     if connection.as_ref().is_some_and(Connection::awaits_reply)
                         && self.is_past_deadline() => {}
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the transport, worked out once from the machine's memory and descriptors.
 
-/// Clients hold two fifths of the descriptors and engines half: what crosses a close comes on top.
+/// Clients hold a third of the descriptors at most; connections that cross a close come on top.
 const CLIENT_DESCRIPTORS: Fraction = Fraction { numerator: 2, denominator: 5 };
 const ENGINE_DESCRIPTORS: Fraction = Fraction { numerator: 1, denominator: 2 };
 /// Listener, discovery service, signals, log, epoll, standard streams, load reports.
