--- a/crates/gateway/src/client/message_pack/connection.rs
+++ b/crates/gateway/src/client/message_pack/connection.rs
@@ -4,7 +4,8 @@
 use super::requests;
 use crate::client::CloseReason;
 use crate::state::State;
-use crate::state::peer::Peer;
+use crate::state::client_connections::RegisteredConnection;
+use crate::state::response_writer::ResponseWriter;
 use larchfall_policy::time::{Duration, Timestamp};
 use may::io::WaitIo;
 use may::net::TcpStream;
@@ -29,8 +30,8 @@
 pub struct Connection {
     stream: TcpStream,
     from: SocketAddr,
-    slot: usize,
-    peer: Arc<Peer>,
+    number: usize,
+    writer: Arc<ResponseWriter>,
     /// Since when it may have waited in the listener's queue, where it may have.
     queued_since: Option<Timestamp>,
 }
@@ -44,28 +45,29 @@
     queued_since: Option<Timestamp>,
 ) -> Connection {
     let _ = stream.set_nodelay(true);
-    let (slot, peer) = state.peers.join(stream.waker(), state.clock.now());
-    Connection { stream, from, slot, peer, queued_since }
+    let registered = state.client_connections.register(stream.waker(), state.clock.now());
+    let RegisteredConnection { number, writer } = registered;
+    Connection { stream, from, number, writer, queued_since }
 }
 
 /// Serves one connection to its end.
 pub fn serve(state: &Arc<State>, connection: Connection) {
-    let Connection { stream, from, slot, peer, queued_since } = connection;
-    state.counters.rest(|c| {
-        c.connections += 1;
-        c.most_clients = c.most_clients.max(state.peers.len());
+    let Connection { stream, from, number, writer, queued_since } = connection;
+    state.counters.update(|counters| {
+        counters.connections += 1;
+        counters.max_clients = counters.max_clients.max(state.client_connections.len());
     });
-    let reason = Conversation::new(state, &stream, &peer, queued_since).run();
-    for request in peer.abort_all() {
-        state.facade.leave(request);
+    let reason = Conversation::new(state, &stream, &writer, queued_since).run();
+    for request in writer.cancel_all() {
+        state.policy.record_disconnection(request);
     }
     // A client that sent no message waits for no response.
-    if !reason.is_by_client() && peer.has_spoken() {
+    if !reason.is_by_client() && writer.has_sent_message() {
         linger(state, &stream);
     }
-    // The descriptor is free before its slot is.
+    // The descriptor is free before another connection may take its place.
     drop(stream);
-    state.peers.part(slot);
+    state.client_connections.unregister(number);
     info!(state.log, "client connection ended";
         "from" => from.to_string(), "reason" => reason.code(), "detail" => reason.detail());
 }
@@ -85,7 +87,7 @@
 struct Conversation<'a> {
     state: &'a Arc<State>,
     stream: &'a TcpStream,
-    peer: &'a Arc<Peer>,
+    writer: &'a Arc<ResponseWriter>,
     inbox: Inbox,
     queued_since: Option<Timestamp>,
     /// A client that broke the protocol is read no further, and still gets the responses that it is owed.
@@ -101,13 +103,13 @@
     fn new(
         state: &'a Arc<State>,
         stream: &'a TcpStream,
-        peer: &'a Arc<Peer>,
+        writer: &'a Arc<ResponseWriter>,
         queued_since: Option<Timestamp>,
     ) -> Conversation<'a> {
         Conversation {
             state,
             stream,
-            peer,
+            writer,
             inbox: Inbox::default(),
             queued_since,
             protocol_error: None,
@@ -126,18 +128,18 @@
 
     /// Writes and reads what the socket is ready for, and waits for the socket where that was nothing.
     fn turn(&mut self) -> Result<(), CloseReason> {
-        let written = self.peer.write(|bytes| if_ready(self.stream.inner().write(bytes)))?;
-        let reads_too_slowly = self.peer.reads_too_slowly();
-        let read = if reads_too_slowly { 0 } else { self.read()? };
-        let has_input = !reads_too_slowly && (read > 0 || self.inbox.may_hold_more());
+        let written = self.writer.write(|bytes| if_ready(self.stream.inner().write(bytes)))?;
+        let is_backlogged = self.writer.is_backlogged();
+        let read = if is_backlogged { 0 } else { self.read()? };
+        let has_input = !is_backlogged && (read > 0 || self.inbox.may_hold_more());
         if self.protocol_error.is_some() {
             self.inbox = Inbox::default();
         } else if has_input {
-            self.protocol_error = requests::handle_messages(self.state, self.peer, &mut self.inbox).err();
+            self.protocol_error = requests::handle_messages(self.state, self.writer, &mut self.inbox).err();
         }
         let now = self.state.clock.now();
         if written + read > 0 || has_input {
-            self.peer.stirred(now);
+            self.writer.record_activity(now);
             self.let_others_run();
             return Ok(());
         }
@@ -154,7 +156,8 @@
         let starts_message = self.inbox.is_empty();
         let read = self.inbox.read(self.stream)?;
         if read > 0 {
-            let sent = self.state.stalls.may_be_from(self.waited_since, self.state.clock.now());
+            let sent =
+                self.state.stall_detector.earliest_send_time(self.waited_since, self.state.clock.now());
             let sent = self.queued_since.take().map_or(sent, |queued| queued.min(sent));
             self.inbox.note_sent(sent, starts_message);
         }
@@ -169,7 +172,9 @@
         }
         // While any coroutine is ready the worker does not poll for events: connections that always have something to
         // send would keep all others waiting.
-        while self.turns >= MAX_TURNS || self.state.stalls.starves_events(self.state.clock.now()) {
+        while self.turns >= MAX_TURNS
+            || self.state.stall_detector.is_event_poll_overdue(self.state.clock.now())
+        {
             self.turns = 0;
             self.state.sleep(PAUSE);
         }
@@ -178,26 +183,26 @@
     /// Why this gateway closes a connection on which nothing happens, if it does: never while it owes a response there
     /// that the client may still read.
     fn close_reason(&self, now: Timestamp) -> Option<CloseReason> {
-        let idle = now.since(self.peer.quiet_since());
-        if self.peer.is_unread() && idle >= self.state.answers_kept {
+        let idle = now.since(self.writer.last_activity());
+        if self.writer.has_only_unread_responses() && idle >= self.state.settings.unread_response_timeout {
             return Some(CloseReason::ResponsesUnread);
         }
-        if !self.peer.is_idle() {
+        if !self.writer.is_idle() {
             return None;
         }
         if self.protocol_error.is_some() {
             return self.protocol_error;
         }
-        if self.peer.awaits_since().is_some_and(|since| now.since(since) >= MESSAGE_TIMEOUT) {
+        if self.writer.awaiting_message_since().is_some_and(|since| now.since(since) >= MESSAGE_TIMEOUT) {
             return Some(CloseReason::IncompleteMessage);
         }
-        if self.peer.is_to_go() {
+        if self.writer.should_close() {
             return Some(CloseReason::Evicted);
         }
         if idle >= IDLE_TIMEOUT {
             return Some(CloseReason::Idle);
         }
-        self.state.is_done().then_some(CloseReason::ShuttingDown)
+        self.state.shutdown.is_complete().then_some(CloseReason::ShuttingDown)
     }
 }
 
--- a/crates/gateway/src/client/paged_rest/connection.rs
+++ b/crates/gateway/src/client/paged_rest/connection.rs
@@ -5,7 +5,7 @@
 use super::service::{CountedConnection, RestService};
 use crate::client::CloseReason;
 use crate::state::State;
-use crate::state::clock::wait;
+use crate::state::clock::timeout;
 use larchfall_paged_rest::call::{self, Call, CallError, Method, Progress};
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
@@ -84,7 +84,7 @@
     }
 
     fn respond(&mut self, call: &Call) -> Result<(), CloseReason> {
-        let closes = call.closes || self.state.is_done();
+        let closes = call.closes || self.state.shutdown.is_complete();
         let response = calls::handle(self.state, self.service, call);
         self.write(&response.encode(closes, call.method))?;
         if closes {
@@ -106,15 +106,15 @@
 
     /// Waits for more input, at most for a moment.
     fn read(&mut self) -> Result<(), CloseReason> {
-        if self.state.is_done() {
+        if self.state.shutdown.is_complete() {
             return Err(CloseReason::ShuttingDown);
         }
-        let remaining = self.state.clock.left(self.deadline);
+        let remaining = self.state.clock.remaining(self.deadline);
         if remaining.is_zero() {
             let idle = self.input.is_empty();
             return Err(if idle { CloseReason::Idle } else { CloseReason::IncompleteMessage });
         }
-        let _ = self.stream.set_read_timeout(Some(remaining.min(wait(SHUTDOWN_POLL))));
+        let _ = self.stream.set_read_timeout(Some(remaining.min(timeout(SHUTDOWN_POLL))));
         let starts_call = self.input.is_empty();
         let mut chunk = [0; CHUNK_BYTES];
         match self.stream.read(&mut chunk) {
@@ -133,7 +133,7 @@
     }
 
     fn write(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
-        let _ = self.stream.set_write_timeout(Some(wait(WRITE_TIMEOUT)));
+        let _ = self.stream.set_write_timeout(Some(timeout(WRITE_TIMEOUT)));
         self.stream.write_all(bytes).map_err(|e| match e.kind() {
             ErrorKind::TimedOut | ErrorKind::WouldBlock => CloseReason::ResponsesUnread,
             _ => CloseReason::ClientReset,
@@ -143,7 +143,7 @@
     /// While any coroutine is ready the worker does not poll for events: a client that never pauses would keep all
     /// others waiting.
     fn let_others_run(&self) {
-        while self.state.stalls.starves_events(self.state.clock.now()) {
+        while self.state.stall_detector.is_event_poll_overdue(self.state.clock.now()) {
             self.state.sleep(PAUSE);
         }
     }
--- a/crates/gateway/src/client/paged_rest/listener.rs
+++ b/crates/gateway/src/client/paged_rest/listener.rs
@@ -13,7 +13,7 @@
 /// Accepts connections for good, each with a coroutine of its own.
 pub fn accept(state: &Arc<State>, listener: &TcpListener, service: &Arc<RestService>) {
     loop {
-        if service.is_full() || state.stalls.starves_events(state.clock.now()) {
+        if service.is_full() || state.stall_detector.is_event_poll_overdue(state.clock.now()) {
             state.sleep(PAUSE);
             continue;
         }
--- a/crates/gateway/src/client/paged_rest/pages.rs
+++ b/crates/gateway/src/client/paged_rest/pages.rs
@@ -3,7 +3,7 @@
 use super::responses;
 use super::service::RestService;
 use crate::state::State;
-use crate::state::pages::Found;
+use crate::state::result_pages::PageLookup;
 use larchfall_paged_rest::call::{Call, Response};
 use larchfall_paged_rest::cursor::{FinalAnswer, Page};
 use larchfall_paged_rest::document::{self, PageContent, PageLinks};
@@ -17,12 +17,17 @@
 }
 
 /// Looks a page up, and waits for it as long as the settings allow.
-pub(super) fn find(state: &State, service: &RestService, address: PageAddress, since: Timestamp) -> Found {
+pub(super) fn find(
+    state: &State,
+    service: &RestService,
+    address: PageAddress,
+    since: Timestamp,
+) -> PageLookup {
     let empty = || PageContent {
         elapsed_ms: state.clock.now().since(since).micros() / 1000,
         ..PageContent::default()
     };
-    service.pages.ask(address, (&state.clock, &state.alarms), service.settings().poll, empty)
+    service.pages.wait_for_page(address, &state.timers, service.settings().poll, empty)
 }
 
 /// The response with what was found at a page's address.
@@ -31,15 +36,15 @@
     service: &RestService,
     call: &Call,
     address: PageAddress,
-    found: Found,
+    found: PageLookup,
 ) -> Response {
     match found {
-        Found::Page(page, final_answer) => {
+        PageLookup::Page(page, final_answer) => {
             count_delivered(state, final_answer);
             responses::ok(page_document(service, call, address, &page))
         }
         // The address is one that this gateway made, so the page was there once.
-        Found::Gone | Found::Unknown => responses::unusable(410, "this page is gone"),
+        PageLookup::Gone | PageLookup::Unknown => responses::unusable(410, "this page is gone"),
     }
 }
 
@@ -67,21 +72,21 @@
 /// Counts a result whose last page was handed out.
 pub(super) fn count_delivered(state: &State, final_answer: Option<FinalAnswer>) {
     if let Some(FinalAnswer::Delivered(_)) = final_answer {
-        state.counters.rest(|c| c.results_read += 1);
+        state.counters.update(|counters| counters.results_read += 1);
     }
 }
 
 /// Ends a result for its client.
 pub(super) fn cancel(state: &State, service: &RestService, address: PageAddress) {
-    if let Some(abandoned) = service.pages.leave(address.result) {
+    if let Some(abandoned) = service.pages.abandon(address.result) {
         abandon_request(state, abandoned.request);
     }
 }
 
 /// Counts a result that its client abandoned, and ends the request that makes it, if that still runs.
 pub fn abandon_request(state: &State, request: Option<usize>) {
-    state.counters.rest(|c| c.results_left += 1);
+    state.counters.update(|counters| counters.results_abandoned += 1);
     if let Some(request) = request {
-        state.facade.leave(request);
+        state.policy.record_disconnection(request);
     }
 }
--- a/crates/gateway/src/client/paged_rest/request_fields.rs
+++ b/crates/gateway/src/client/paged_rest/request_fields.rs
@@ -1,5 +1,6 @@
 //! The fields of a request as the operator's sources name them, checked and turned into the gateway's own.
 
+use crate::admission::InvalidRequest;
 use crate::codec::client_request::{self, ClientRequest};
 use larchfall_paged_rest::request_fields::RequestFields;
 
@@ -12,12 +13,12 @@
     Invalid { field: &'static str },
 }
 
-/// Admission names a missing field as MessagePack-RPC does; this service has other names for them.
-pub(super) fn in_service_terms(why: &'static str) -> &'static str {
-    match why {
-        "opkey is missing" => "reference is missing",
-        "subject is missing" => "key is missing",
-        other => other,
+/// The text for a request that was not admitted. The fields have other names here than in MessagePack-RPC.
+pub(super) fn invalid_request_text(invalid: InvalidRequest) -> String {
+    match invalid {
+        InvalidRequest::MissingIdempotencyKey => FieldError::Missing { field: "reference" }.to_string(),
+        InvalidRequest::MissingOrderKey => FieldError::Missing { field: "key" }.to_string(),
+        other => other.to_string(),
     }
 }
 
--- a/crates/gateway/src/client/paged_rest/result_reader.rs
+++ b/crates/gateway/src/client/paged_rest/result_reader.rs
@@ -1,8 +1,8 @@
 //! Takes in the rows of one result and turns them into pages.
 
 use super::service::RestService;
+use crate::request_context::{FinalAnswer, ResultReader};
 use crate::state::{State, lock};
-use crate::task::{Final, Reader};
 use larchfall_paged_rest::cursor::ResultEnd;
 use larchfall_paged_rest::document::{PageContent, QueryError};
 use larchfall_paged_rest::results::ResultId;
@@ -35,31 +35,31 @@
     }
 }
 
-impl Reader for PagedResult {
+impl ResultReader for PagedResult {
     fn has_room(&self) -> bool {
         self.service.pages.has_room(self.id)
     }
 
-    fn rows(&self, rows: Vec<u8>) {
+    fn push_rows(&self, rows: Vec<u8>) {
         if let Some(before) = lock(&self.pending).replace(rows) {
             self.service.pages.push(self.id, self.page(before, None), None);
         }
     }
 
-    fn begin_anew(&self) -> bool {
+    fn restart(&self) -> bool {
         *lock(&self.pending) = None;
-        self.service.pages.begin_anew(self.id)
+        self.service.pages.restart(self.id)
     }
 
-    fn end(&self, end: Final) -> bool {
+    fn finish(&self, answer: FinalAnswer) -> bool {
         let rows = lock(&self.pending).take().unwrap_or_default();
-        let (page, end) = match end {
-            Final::Returned => (self.page(rows, None), ResultEnd::Returned),
-            Final::PushedBack(retry_after) => {
+        let (page, end) = match answer {
+            FinalAnswer::Returned => (self.page(rows, None), ResultEnd::Returned),
+            FinalAnswer::Rejected(retry_after) => {
                 let milliseconds = retry_after.map(|retry_after| retry_after.micros() / 1000);
                 (self.page(Vec::new(), Some(QueryError::rejected(milliseconds))), ResultEnd::Rejected)
             }
-            Final::Errored(why) => {
+            FinalAnswer::Errored(why) => {
                 (self.page(Vec::new(), Some(QueryError::internal(why))), ResultEnd::Errored)
             }
         };
--- a/crates/gateway/src/client/paged_rest/service.rs
+++ b/crates/gateway/src/client/paged_rest/service.rs
@@ -1,7 +1,7 @@
 //! What the service keeps beside its connections.
 
 use crate::state::lock;
-use crate::state::pages::Pages;
+use crate::state::result_pages::ResultPages;
 use larchfall_operator_config::Rest;
 use larchfall_paged_rest::page_address::AddressKey;
 use nanorand::{Rng, WyRand};
@@ -13,7 +13,7 @@
     settings: Mutex<Arc<Rest>>,
     /// As at the start: a reload does not change the limits of what is open.
     max_connections: usize,
-    pub pages: Pages,
+    pub pages: ResultPages,
     pub(super) address_key: AddressKey,
     ids: Mutex<WyRand>,
     connections: AtomicUsize,
@@ -26,7 +26,7 @@
         getrandom::fill(&mut secret)?;
         Ok(RestService {
             max_connections: settings.connections,
-            pages: Pages::new(settings.limits),
+            pages: ResultPages::new(settings.limits),
             address_key: AddressKey::new(&secret),
             ids: Mutex::new(WyRand::new_seed(!seed)),
             connections: AtomicUsize::new(0),
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -5,9 +5,9 @@
 use super::responses;
 use super::result_reader::PagedResult;
 use super::service::RestService;
-use crate::intake::{self, Refused};
+use crate::admission::{self, RequestError};
 use crate::state::State;
-use crate::state::pages::Found;
+use crate::state::result_pages::PageLookup;
 use larchfall_paged_rest::call::{Call, Response};
 use larchfall_paged_rest::cursor::{Page, ResultEnd};
 use larchfall_paged_rest::page_address::PageAddress;
@@ -33,12 +33,12 @@
     call: &Call,
     received: Timestamp,
 ) -> Result<PageAddress, Response> {
-    if state.ends().is_some() {
+    if state.shutdown.deadline().is_some() {
         let headers = vec![("Retry-After", SHUTDOWN_RETRY_SECONDS.to_string())];
         return Err(Response { headers, ..responses::unusable(503, "this front ends") });
     }
     let unusable = |why: &str| {
-        state.counters.rest(|c| c.unusable += 1);
+        state.counters.update(|counters| counters.unusable += 1);
         responses::unusable(400, why)
     };
     if call.body.is_empty() {
@@ -51,21 +51,23 @@
     let id = format!("{id_number:016x}");
     let request = request_fields::client_request(&fields, id_number, &id, &call.body)
         .map_err(|error| unusable(&error.to_string()))?;
-    let Some(result) = service.pages.begin(received) else {
-        state.counters.rest(|c| c.over_limits += 1);
-        return Err(responses::rejected(state.max_retry_after));
+    let Some(result) = service.pages.open(received) else {
+        state.counters.update(|counters| counters.over_limits += 1);
+        return Err(responses::rejected(state.settings.max_retry_after));
     };
-    let admitted = intake::take(state, &request, received, |index| {
-        service.pages.is_made_by(result, index);
+    let admitted = admission::admit(state, &request, received, |index| {
+        service.pages.set_request(result, index);
         Arc::new(PagedResult::new(state, service, result, received))
     });
     match admitted {
         Ok(()) => Ok(PageAddress { result, token: 0 }),
-        Err(refused) => {
-            service.pages.leave(result);
-            Err(match refused {
-                Refused::Unusable(why) => responses::unusable(400, request_fields::in_service_terms(why)),
-                Refused::NoRoom => responses::rejected(state.max_retry_after),
+        Err(error) => {
+            service.pages.abandon(result);
+            Err(match error {
+                RequestError::Invalid(invalid) => {
+                    responses::unusable(400, &request_fields::invalid_request_text(invalid))
+                }
+                RequestError::TooManyInFlight => responses::rejected(state.settings.max_retry_after),
             })
         }
     }
@@ -80,9 +82,9 @@
 ) -> Response {
     match pages::find(state, service, first_page, received) {
         // No address was given out yet: a client that tries again does so with the statement.
-        Found::Page(Page { end: Some(ResultEnd::Rejected), content, .. }, final_answer) => {
+        PageLookup::Page(Page { end: Some(ResultEnd::Rejected), content, .. }, final_answer) => {
             pages::count_delivered(state, final_answer);
-            service.pages.leave(first_page.result);
+            service.pages.abandon(first_page.result);
             let retry_after = content.error.and_then(|error| error.retry_after_millis);
             responses::rejected(retry_after.map(Duration::from_millis))
         }
--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -15,7 +15,7 @@
 
 /// One engine as the discovery service lists it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Endpoint {
+pub struct EndpointEntry {
     pub id: u32,
     pub address: SocketAddrV4,
     pub state: EngineState,
@@ -30,9 +30,9 @@
 #[derive(Debug, PartialEq)]
 pub struct WatchEvent {
     pub revision: u64,
-    /// All endpoints there are; otherwise only those that changed.
+    /// All entries there are; otherwise only those that changed.
     pub full_list: bool,
-    pub endpoints: Vec<Endpoint>,
+    pub entries: Vec<EndpointEntry>,
 }
 
 /// What the discovery service sends.
@@ -91,8 +91,8 @@
     if records.len() % RECORD_BYTES != 0 {
         return Err(DiscoveryError::RecordsLength { bytes: records.len() });
     }
-    let endpoints = records.chunks_exact(RECORD_BYTES).map(endpoint).collect::<Result<_, _>>()?;
-    decoded(Frame::Event(WatchEvent { revision, full_list, endpoints }))
+    let entries = records.chunks_exact(RECORD_BYTES).map(entry).collect::<Result<_, _>>()?;
+    decoded(Frame::Event(WatchEvent { revision, full_list, entries }))
 }
 
 fn array_at<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
@@ -101,14 +101,14 @@
     out
 }
 
-fn endpoint(record: &[u8]) -> Result<Endpoint, DiscoveryError> {
+fn entry(record: &[u8]) -> Result<EndpointEntry, DiscoveryError> {
     let state = match record[10] {
         0 => EngineState::Ready,
         1 => EngineState::Draining,
         2 => EngineState::Gone,
         state => return Err(DiscoveryError::EndpointState { state }),
     };
-    Ok(Endpoint {
+    Ok(EndpointEntry {
         id: u32::from_be_bytes(array_at(record, 0)),
         address: SocketAddrV4::new(
             Ipv4Addr::from(array_at::<4>(record, 4)),
@@ -178,16 +178,16 @@
 
 fn known_event(event: &KnownEvent, names: &Names) -> Result<WatchEvent, DiscoveryError> {
     let revision = event.revision;
-    let endpoints = event.list.endpoints.iter().map(|endpoint| known_endpoint(endpoint, names));
-    let endpoints = endpoints
+    let entries = event.list.endpoints.iter().map(|endpoint| known_endpoint(endpoint, names));
+    let entries = entries
         .collect::<Result<_, _>>()
         .map_err(|endpoint| DiscoveryError::KnownEndpoint { revision, endpoint })?;
-    Ok(WatchEvent { revision, full_list: event.list.full_list, endpoints })
+    Ok(WatchEvent { revision, full_list: event.list.full_list, entries })
 }
 
-fn known_endpoint(endpoint: &KnownEntry, names: &Names) -> Result<Endpoint, EndpointError> {
+fn known_endpoint(endpoint: &KnownEntry, names: &Names) -> Result<EndpointEntry, EndpointError> {
     let id = endpoint.id.strip_prefix("s-").and_then(|hex| u32::from_str_radix(hex, 16).ok());
-    Ok(Endpoint {
+    Ok(EndpointEntry {
         id: id.ok_or_else(|| EndpointError::Id { value: endpoint.id.clone() })?,
         address: endpoint
             .address
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,25 @@
-//! The real gateway: larchfall's decisions on real sockets. `client` is what clients speak, `engines` what engines
-//! speak, between them a request on its way; `codec` turns bytes into small typed values, `state` is what memory keeps,
-//! `run` starts and stops; beside them the coroutines.
+//! The real gateway: larchfall's policy on real sockets. A request comes by one of the protocols in `client`, is admitted in
+//! `admission`, lives in `request` and is sent by `engine`; `codec` turns bytes into typed values, `state` is what memory
+//! keeps. `cli` is the command line; `startup`, `reload` and `shutdown` are the life of the process; `cluster` is what
+//! gateways do among themselves.
 
+pub mod admission;
+pub mod cli;
 pub mod client;
+pub mod client_listener;
 pub mod cluster;
 pub mod codec;
+pub mod config;
 pub mod discovery;
-pub mod engines;
-pub mod intake;
+pub mod engine;
+pub mod logging;
+pub mod platform;
+pub mod reload;
 pub mod request;
-pub mod run;
+pub mod request_context;
+pub mod shutdown;
+pub mod signals;
+pub mod startup;
 pub mod state;
-pub mod subset;
-pub mod task;
+pub mod subsetting;
 pub mod timer;
--- /dev/null
+++ b/crates/gateway/src/startup/state.rs
@@ -0,0 +1,63 @@
+//! Builds what the gateway's coroutines share, from the checked configuration.
+
+use crate::discovery;
+use crate::engine::cancellation::UNOBSERVED_ATTEMPT_LIFETIME;
+use crate::state::State;
+use crate::state::client_connections::ClientConnections;
+use crate::state::clock::Clock;
+use crate::state::connection_pool::ConnectionPool;
+use crate::state::counters::Counters;
+use crate::state::discovery_status::DiscoveryStatus;
+use crate::state::limits::Limits;
+use crate::state::policy_handle::PolicyHandle;
+use crate::state::settings::TransportSettings;
+use crate::state::shutdown::Shutdown;
+use crate::state::stall_detector::StallDetector;
+use crate::state::timers::Timers;
+use larchfall_config::Settings;
+use larchfall_leases::load_sharing::{LoadReportSharing, LoadSharingSettings};
+use larchfall_policy::interface::{Caps, PolicyConfig};
+use larchfall_policy::policy::Policy;
+use slog::Logger;
+use std::sync::{Arc, Mutex};
+
+/// What the state is built from.
+pub(super) struct StateSettings {
+    pub(super) platform: Settings,
+    pub(super) limits: Limits,
+    pub(super) seed: u64,
+    pub(super) log: Logger,
+    /// Load reports shared between gateways, where the operator's file has them.
+    pub(super) load_sharing: Option<LoadSharingSettings>,
+    pub(super) clock: Clock,
+}
+
+pub(super) fn build(settings: StateSettings) -> State {
+    let StateSettings { platform, limits, seed, log, load_sharing, clock } = settings;
+    let settings = TransportSettings::new(&platform);
+    let caps = Caps {
+        unobserved_attempt_lifetime: Some(UNOBSERVED_ATTEMPT_LIFETIME),
+        idle_connection_lifetime: ConnectionPool::idle_lifetime(platform.idle_close),
+        endpoint_list_lifetime: Some(discovery::REPORTED_WITHIN + platform.drain_grace),
+        single_attempt: platform.single_attempt,
+        ..platform.given.caps
+    };
+    let timers = Arc::new(Timers::new(clock));
+    let policy = Policy::new(seed, PolicyConfig { caps, ..platform.given });
+    State {
+        clock,
+        stall_detector: StallDetector::start(clock.now()),
+        log,
+        counters: Counters::new(settings.classes.len()),
+        settings,
+        limits,
+        policy: PolicyHandle::new(policy, clock, limits.requests, timers.clone()),
+        timers,
+        client_connections: ClientConnections::new(limits.unread_bytes),
+        engine_connections: Arc::new(ConnectionPool::new(limits.engine_connections, platform.idle_close)),
+        shutdown: Shutdown::default(),
+        discovery: DiscoveryStatus::new(clock.now()),
+        shared_load_reports: load_sharing
+            .map(|settings| Mutex::new(LoadReportSharing::new(settings, clock.now()))),
+    }
+}
--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -9,7 +9,7 @@
 use larchfall_leases::manager::LeaseSettings;
 use larchfall_leases::quorum::VoterSet;
 use larchfall_leases::voter::VoterLimits;
-use larchfall_membership::claim::LONGEST;
+use larchfall_membership::member_update::MAX_NAME_BYTES;
 use larchfall_policy::time::Duration;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -169,7 +169,7 @@
 ) -> Result<BTreeSet<String>, ConfigError> {
     let names: BTreeSet<String> = list.get_ref().iter().map(|name| name.get_ref().clone()).collect();
     let is_quorum_size = matches!(names.len(), 3 | 5 | 7) && names.len() == list.get_ref().len();
-    if is_quorum_size && names.iter().all(|name| (1..=LONGEST).contains(&name.len())) {
+    if is_quorum_size && names.iter().all(|name| (1..=MAX_NAME_BYTES).contains(&name.len())) {
         Ok(names)
     } else {
         let names = list.get_ref().iter().map(|name| name.get_ref().clone()).collect();
@@ -236,8 +236,8 @@
     let mut programs = Vec::new();
     for raw in raw_programs {
         let duty = raw.name.get_ref().clone();
-        if !(1..=LONGEST).contains(&duty.len()) || !roles.insert(duty.clone()) {
-            let problem = Problem::RoleName { value: duty, maximum: LONGEST };
+        if !(1..=MAX_NAME_BYTES).contains(&duty.len()) || !roles.insert(duty.clone()) {
+            let problem = Problem::RoleName { value: duty, maximum: MAX_NAME_BYTES };
             return Err(table.refuse(&raw.name, "name", problem));
         }
         let command = raw.command.get_ref().clone();
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -2,11 +2,11 @@
 
 use crate::error::{ConfigError, Problem};
 use crate::table::{Table, default_count, default_ms};
-use larchfall_membership::claim::LONGEST;
-use larchfall_membership::count::Settings as Count;
-use larchfall_membership::members::Settings as Members;
+use larchfall_membership::fleet_size::FleetSizeSettings;
+use larchfall_membership::member_update::MAX_NAME_BYTES;
+use larchfall_membership::membership::{MembershipSettings, Network};
 use serde::Deserialize;
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use toml::Spanned;
 
 /// Members that are asked to check one that did not reply.
@@ -24,9 +24,9 @@
     pub zone: String,
     /// Requests a second that this gateway is meant to serve, as other members are told.
     pub serves: u32,
-    pub settings: Members,
+    pub settings: MembershipSettings,
     /// The policy counts the gateways that are alive, within these bounds; `None`: those that the settings name.
-    pub count: Option<Count>,
+    pub count: Option<FleetSizeSettings>,
 }
 
 /// The table as it is written.
@@ -67,10 +67,10 @@
 pub(crate) fn check(text: &str, raw: &RawFronts) -> Result<Gateways, ConfigError> {
     let table = Table::new(text, "fronts");
     let settings = members(&table, raw)?;
-    let count = Count {
-        within: table.duration(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
+    let count = FleetSizeSettings {
+        window: table.duration(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
         step: table.duration(&raw.count_step_ms, "count-step-ms", 10, 600_000)?,
-        least: table.count(&raw.count_least, "count-least", 1, 65_536)?,
+        min: table.count(&raw.count_least, "count-least", 1, 65_536)?,
     };
     let listens = address(&table, &raw.address, "address")?;
     let told = raw.told.as_ref().map(|told| address(&table, told, "told")).transpose()?.unwrap_or(listens);
@@ -89,24 +89,24 @@
     })
 }
 
-fn members(table: &Table, raw: &RawFronts) -> Result<Members, ConfigError> {
-    let period = table.duration(&raw.period_ms, "period-ms", 50, 60_000)?;
-    let answer_within = table.duration(&raw.answer_ms, "answer-ms", 10, 60_000)?;
-    if answer_within * 2.0 > period {
+fn members(table: &Table, raw: &RawFronts) -> Result<MembershipSettings, ConfigError> {
+    let probe_interval = table.duration(&raw.period_ms, "period-ms", 50, 60_000)?;
+    let probe_timeout = table.duration(&raw.answer_ms, "answer-ms", 10, 60_000)?;
+    if probe_timeout * 2.0 > probe_interval {
         let problem = Problem::ReplyTimeoutTooLong {
             reply_timeout_ms: *raw.answer_ms.get_ref(),
             period_ms: *raw.period_ms.get_ref(),
         };
         return Err(table.refuse(&raw.answer_ms, "answer-ms", problem));
     }
-    Ok(Members {
+    Ok(MembershipSettings {
         cluster: name(table, &raw.cluster, "cluster")?,
-        period,
-        answer_within,
+        probe_interval,
+        probe_timeout,
         helpers: HELPERS,
-        remembered: table.duration(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
-        tables_every: table.duration(&raw.table_ms, "table-ms", 100, 600_000)?,
-        most: table.count(&raw.most, "most", 2, 65_536)?,
+        remember_ended: table.duration(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
+        table_interval: table.duration(&raw.table_ms, "table-ms", 100, 600_000)?,
+        max_members: table.count(&raw.most, "most", 2, 65_536)?,
         networks: raw.networks.iter().map(|value| network(table, value)).collect::<Result<_, _>>()?,
         seeds: raw.seeds.iter().map(|seed| address(table, seed, "seeds")).collect::<Result<_, _>>()?,
     })
@@ -114,10 +114,10 @@
 
 fn name(table: &Table, value: &Spanned<String>, field: &'static str) -> Result<String, ConfigError> {
     let name = value.get_ref().clone();
-    if (1..=LONGEST).contains(&name.len()) {
+    if (1..=MAX_NAME_BYTES).contains(&name.len()) {
         Ok(name)
     } else {
-        Err(table.refuse(value, field, Problem::NameLength { value: name, maximum: LONGEST }))
+        Err(table.refuse(value, field, Problem::NameLength { value: name, maximum: MAX_NAME_BYTES }))
     }
 }
 
@@ -128,9 +128,11 @@
 }
 
 /// An address and how many of its bits are the network's; all of them where none are named.
-fn network(table: &Table, value: &Spanned<String>) -> Result<(Ipv4Addr, u8), ConfigError> {
+fn network(table: &Table, value: &Spanned<String>) -> Result<Network, ConfigError> {
     let network = value.get_ref();
     let (address, bits) = network.split_once('/').unwrap_or((network, "32"));
-    let parsed = address.parse().ok().zip(bits.parse().ok().filter(|bits| *bits <= 32));
+    let address = address.parse().ok();
+    let prefix_len = bits.parse().ok().filter(|bits| *bits <= 32);
+    let parsed = address.zip(prefix_len).map(|(address, prefix_len)| Network { address, prefix_len });
     parsed.ok_or_else(|| table.refuse(value, "networks", Problem::NoNetwork { value: network.clone() }))
 }
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -2,6 +2,7 @@
 //! with, byte for byte. The texts in `files/refusals.txt` were produced by the version before.
 
 use larchfall_config::Names;
+use larchfall_membership::membership::Network;
 use larchfall_operator_config::{Site, parse};
 use larchfall_paged_rest::request_fields::{FieldSource, HeaderFamily};
 use larchfall_policy::time::Duration;
@@ -87,13 +88,14 @@
     assert_eq!(gateways.address.to_string(), "0.0.0.0:7400");
     assert_eq!(gateways.told.to_string(), "10.0.0.7:7400");
     let members = gateways.settings;
-    assert_eq!((&members.cluster[..], members.most), ("harbor", 512));
-    assert_eq!((members.period, members.answer_within), (ms(400), ms(120)));
-    assert_eq!((members.tables_every, members.remembered), (ms(2_500), ms(50_000)));
+    assert_eq!((&members.cluster[..], members.max_members), ("harbor", 512));
+    assert_eq!((members.probe_interval, members.probe_timeout), (ms(400), ms(120)));
+    assert_eq!((members.table_interval, members.remember_ended), (ms(2_500), ms(50_000)));
     assert_eq!(members.seeds, ["10.0.0.8:7400".parse().unwrap()]);
-    assert_eq!(members.networks, [([10, 0, 0, 0].into(), 24), ([127, 0, 0, 1].into(), 32)]);
+    let network = |address: [u8; 4], prefix_len| Network { address: address.into(), prefix_len };
+    assert_eq!(members.networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
     let count = gateways.count.unwrap();
-    assert_eq!((count.within, count.step, count.least), (ms(20_000), ms(1_500), 2));
+    assert_eq!((count.window, count.step, count.min), (ms(20_000), ms(1_500), 2));
 }
 
 #[test]
