--- a/crates/gateway/tests/gateway/memory.rs
+++ b/crates/gateway/tests/gateway/cli.rs
@@ -1,13 +1,13 @@
 //! The configuration and the command line, without the program.
 
 use crate::common;
-use larchfall_gateway::cluster::ask::What;
-use larchfall_gateway::run::command::{Asked, Task, parse};
-use larchfall_gateway::run::config;
+use larchfall_gateway::cli::arguments::{Command, FilePaths, parse};
+use larchfall_gateway::cluster::status_query::Topic;
+use larchfall_gateway::config;
 use larchfall_policy::time::Duration;
 
-/// What is changed in a configuration that is accepted (`from|to`, else the whole text), and what the refusal says.
-const REFUSALS: &[(&str, &str)] = &[
+/// A change of a sound configuration, as `from|to` or as a whole text, and a part of the error that it gets.
+const WRONG_CONFIGURATIONS: &[(&str, &str)] = &[
     ("", "EOF"),
     ("{", "EOF"),
     ("\"listen\":\"127.0.0.1:0\"|\"listen\":\"here\"", "listen: 'here' is no address"),
@@ -47,53 +47,60 @@
 ];
 
 #[test]
-fn a_configuration_is_refused_by_the_name_of_what_is_wrong() {
+fn a_configuration_is_rejected_by_the_name_of_what_is_wrong() {
     let sound = common::config(
         "127.0.0.1:0",
         "127.0.0.1:9".parse().unwrap(),
         Some("10.0.0.1:7".parse().unwrap()),
         256,
     );
-    assert!(config::parse(sound.as_bytes()).is_ok());
-    for (change, says) in REFUSALS {
+    assert!(config::parse(sound.as_bytes()).is_ok(), "{:?}", config::parse(sound.as_bytes()).err());
+    for (change, expected) in WRONG_CONFIGURATIONS {
         let text = match change.split_once('|') {
             Some((from, to)) => sound.replace(from, to),
             None => (*change).to_owned(),
         };
-        let why = config::parse(text.as_bytes()).err().unwrap_or_default();
-        assert!(why.contains(says), "{change}: {why}");
+        let error = config::parse(text.as_bytes()).err().map(|error| error.to_string()).unwrap_or_default();
+        assert!(error.contains(expected), "{change}: {error}");
     }
 }
 
+fn files(config: Option<&str>, operator_config: Option<&str>) -> FilePaths {
+    FilePaths { config: config.map(str::to_owned), operator_config: operator_config.map(str::to_owned) }
+}
+
+fn parsed(arguments: &[&str]) -> Result<Command, String> {
+    parse(arguments.iter().map(|argument| (*argument).to_owned())).map_err(|error| error.to_string())
+}
+
 #[test]
-fn the_command_line_refuses_what_it_does_not_know() {
-    type Case<'a> = (&'a [&'a str], Result<Asked, &'static str>);
-    let ok = |task, config: Option<&str>, site: Option<&str>| {
-        let (config, site) = (config.map(str::to_owned), site.map(str::to_owned));
-        Ok(Asked { task, config, site, command: Vec::new(), end: Duration::ZERO, gateways: 0, chart: None })
-    };
-    let minds = Asked {
-        command: vec!["sh".into(), "-c".into(), "--end-ms".into()],
-        ..ok(Task::Mind, None, None).unwrap()
+fn the_command_line_rejects_what_it_does_not_know() {
+    let status =
+        |topic, operator_config| Command::Status { topic, files: files(None, Some(operator_config)) };
+    let subsets = Command::Subsets { files: files(Some("a"), None), gateways: 300, chart: Some("c".into()) };
+    let supervise = Command::Supervise {
+        grace: Duration::from_millis(7),
+        program: vec!["sh".into(), "-c".into(), "--end-ms".into()],
     };
-    let subsets =
-        Asked { gateways: 300, chart: Some("c".into()), ..ok(Task::Subsets, Some("a"), None).unwrap() };
-    let cases: [Case; 19] = [
-        (&["engines", "--site", "b"], ok(Task::Ask(What::Engines), None, Some("b"))),
+    let cases: [(&[&str], Result<Command, &str>); 24] = [
+        (&["members", "--site", "b"], Ok(status(Topic::Members, "b"))),
+        (&["leases", "--site", "b"], Ok(status(Topic::Leases, "b"))),
+        (&["quotas", "--site", "b"], Ok(status(Topic::Quotas, "b"))),
+        (&["engines", "--site", "b"], Ok(status(Topic::Engines, "b"))),
+        // The names of earlier versions.
+        (&["fronts", "--site", "b"], Ok(status(Topic::Members, "b"))),
+        (&["duties", "--site", "b"], Ok(status(Topic::Leases, "b"))),
+        (&["shares", "--site", "b"], Ok(status(Topic::Quotas, "b"))),
         (&["subsets", "--config", "a", "--fronts", "300", "--chart=c"], Ok(subsets)),
         (&["serve", "--fronts", "3"], Err("invalid option '--fronts'")),
-        (&["fronts", "--site", "b"], ok(Task::Ask(What::Gateways), None, Some("b"))),
-        (
-            &["mind", "--end-ms", "7", "--", "sh", "-c", "--end-ms"],
-            Ok(Asked { end: Duration::from_millis(7), ..minds }),
-        ),
+        (&["mind", "--end-ms", "7", "--", "sh", "-c", "--end-ms"], Ok(supervise)),
         (&["mind", "--site", "b"], Err("invalid option '--site'")),
-        (&[], ok(Task::Serve, None, None)),
-        (&["serve"], ok(Task::Serve, None, None)),
-        (&["serve", "--config", "a"], ok(Task::Serve, Some("a"), None)),
-        (&["--config=a", "check"], ok(Task::Check, Some("a"), None)),
-        (&["check", "--site", "b", "--config=a"], ok(Task::Check, Some("a"), Some("b"))),
-        (&["version"], ok(Task::Version, None, None)),
+        (&[], Ok(Command::Serve(files(None, None)))),
+        (&["serve"], Ok(Command::Serve(files(None, None)))),
+        (&["serve", "--config", "a"], Ok(Command::Serve(files(Some("a"), None)))),
+        (&["--config=a", "check"], Ok(Command::Check(files(Some("a"), None)))),
+        (&["check", "--site", "b", "--config=a"], Ok(Command::Check(files(Some("a"), Some("b"))))),
+        (&["version"], Ok(Command::Version)),
         (&["version", "--config", "a"], Err("invalid option '--config'")),
         (&["help", "--site", "a"], Err("invalid option '--site'")),
         (&["serve", "check"], Err("unexpected argument \"check\"")),
@@ -102,17 +109,27 @@
         (&["--config"], Err("missing argument for option '--config'")),
         (&["-x"], Err("invalid option '-x'")),
     ];
-    for (args, expected) in cases {
-        let got = parse(args.iter().map(|a| (*a).to_owned()));
-        assert_eq!(got, expected.map_err(str::to_owned), "{args:?}");
+    for (arguments, expected) in cases {
+        assert_eq!(parsed(arguments), expected.map_err(str::to_owned), "{arguments:?}");
     }
-    for args in
+}
+
+#[test]
+fn each_command_has_help() {
+    for arguments in
         [&["help"][..], &["-h"], &["serve", "--help"], &["check", "-h"], &["version", "-h"], &["--help"]]
     {
-        let got = parse(args.iter().map(|a| (*a).to_owned()));
-        assert!(
-            matches!(got, Ok(Asked { task: Task::Help(text), .. }) if text.contains("usage")),
-            "{args:?}"
-        );
+        let got = parsed(arguments);
+        assert!(matches!(got, Ok(Command::Help(text)) if text.contains("usage")), "{arguments:?}: {got:?}");
+    }
+}
+
+#[test]
+fn help_names_the_commands_and_their_former_names() {
+    let Ok(Command::Help(program)) = parsed(&["help"]) else { panic!("no help") };
+    let Ok(Command::Help(status)) = parsed(&["fronts", "--help"]) else { panic!("no help for status") };
+    assert_eq!(parsed(&["members", "--help"]), Ok(Command::Help(status)));
+    for word in ["members", "leases", "quotas", "engines", "fronts", "duties", "shares"] {
+        assert!(program.contains(word) && status.contains(word), "{word}");
     }
 }
--- a/crates/gateway/tests/gateway/engine_connections.rs
+++ b/crates/gateway/tests/gateway/engine_connections.rs
@@ -3,7 +3,7 @@
 use crate::common;
 use crate::in_process::{in_coroutine, ms, timers};
 use larchfall_gateway::engine::connection::{CallError, ConnectError, Connection};
-use larchfall_gateway::run::parts::unix_time;
+use larchfall_gateway::platform::unix_time;
 use larchfall_gateway::state::clock::Clock;
 use larchfall_gateway::state::connection_permits::{ConnectionPermits, PermitWait};
 use larchfall_gateway::state::connection_pool::{ConnectionPool, REUSE_DELAY};
