--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,12 +1,12 @@
 //! The one way in for a request, whichever protocol its client speaks: it is checked against the settings, admitted by
 //! the policy and routed for the first time.
 
+use crate::codec::client_request::ClientRequest;
+use crate::codec::statement::data_set;
 use crate::request;
 use crate::request_context::{RequestContext, ResultReader};
 use crate::state::State;
 use crate::state::policy_handle::AdmissionError;
-use crate::wire::client_request::ClientRequest;
-use crate::wire::statement::table_group;
 use larchfall_policy::interface::{Request, RoutingDecision};
 use larchfall_policy::time::{Duration, Timestamp};
 use std::sync::Arc;
@@ -66,24 +66,24 @@
     if tenant.is_none() && !settings.names.tenants.is_empty() {
         return Err(InvalidRequest::UnknownTenant);
     }
-    if class_settings.requires_idempotency_key && client_request.reference.is_none() {
+    if class_settings.requires_idempotency_key && client_request.idempotency_key.is_none() {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
-    if class_settings.in_order && client_request.key.is_none() {
+    if class_settings.in_order && client_request.order_key.is_none() {
         return Err(InvalidRequest::MissingOrderKey);
     }
-    let key_spacing = if client_request.key.is_some() { KEY_SPACING } else { Duration::ZERO };
+    let key_spacing = if client_request.order_key.is_some() { KEY_SPACING } else { Duration::ZERO };
     let longest_wait = class_settings.max_deadline;
-    let client_wait = client_request.wait.unwrap_or(longest_wait).min(longest_wait);
+    let client_wait = client_request.timeout.unwrap_or(longest_wait).min(longest_wait);
     let deadline = (sent + client_wait - ROUND_TRIP_TIME - key_spacing).max(sent);
     Ok(Request {
         class,
         tenant,
-        key: client_request.key,
+        key: client_request.order_key,
         deadline: state.shutdown.deadline().map_or(deadline, |shutdown| deadline.min(shutdown)),
         work: client_request.work,
         memory_mb: client_request.memory_mb,
-        data_set: table_group(client_request.statement).unwrap_or(0),
+        data_set: data_set(client_request.statement).unwrap_or(0),
     })
 }
 
@@ -98,7 +98,7 @@
     let request = policy_request(state, client_request, sent).map_err(|invalid| refuse(state, invalid))?;
     let Request { class, deadline, .. } = request;
     state.counters.update_class(class, |counters| counters.admitted += 1);
-    let index = state.policy.admit(client_request.number, request).map_err(|error| match error {
+    let index = state.policy.admit(client_request.id_number, request).map_err(|error| match error {
         AdmissionError::DuplicateId => refuse(state, InvalidRequest::DuplicateId),
         AdmissionError::TooManyInFlight => {
             state.counters.update_class(class, |counters| counters.rejected += 1);
@@ -110,7 +110,7 @@
         class,
         in_order: state.settings.classes[class].in_order,
         deadline,
-        idempotency_key: client_request.reference.map(str::to_owned),
+        idempotency_key: client_request.idempotency_key.map(str::to_owned),
         statement: client_request.statement.to_vec(),
         reader: make_reader(index),
     };
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -1,6 +1,6 @@
 //! Listening for clients that speak MessagePack-RPC, and accepting their connections.
 
-use crate::protocols::rpc;
+use crate::client::message_pack;
 use crate::state::State;
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpListener;
@@ -51,9 +51,9 @@
         held = held.filter(|held| now.since(held.until) < QUEUE_EMPTIES);
         match listener.accept() {
             Ok((stream, from)) => {
-                let joined = rpc::join(state, stream, from, held.map(|held| held.since));
+                let connection = message_pack::register(state, stream, from, held.map(|held| held.since));
                 let state = state.clone();
-                may::go!(move || rpc::serve(&state, joined));
+                may::go!(move || message_pack::serve(&state, connection));
                 may::coroutine::yield_now();
             }
             Err(error) => {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration file of one gateway, read whole and checked before anything starts.
 
+use crate::codec::discovery::{self, DiscoveryError, Known, WatchEvent};
 use crate::state::limits::Limits;
-use crate::wire::discovery::{self, Event, Known};
-use larchfall_config::{self as settings, Settings};
+use larchfall_config::{Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 use std::io;
@@ -42,7 +42,7 @@
     /// Address of the discovery service.
     pub discovery: SocketAddrV4,
     /// Endpoint list at the time the file was written.
-    pub known: Vec<Event>,
+    pub known: Vec<WatchEvent>,
     /// The platform's settings.
     pub settings: Settings,
 }
@@ -71,11 +71,11 @@
     #[error("limits: too little memory or too few sockets to serve anybody")]
     Limits,
     /// A field of the platform's settings.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     /// An entry of the endpoint list.
-    #[error("{0}")]
-    EndpointList(String),
+    #[error(transparent)]
+    EndpointList(#[from] DiscoveryError),
 }
 
 /// Why a configuration file was not taken.
@@ -108,8 +108,7 @@
 /// Checks the text of a configuration file.
 pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
     let file: ConfigFile = serde_json::from_slice(text)?;
-    let settings = settings::read(file.settings.to_string().as_bytes())
-        .map_err(|error| ConfigError::Settings(error.to_string()))?;
+    let settings = larchfall_config::read(file.settings.to_string().as_bytes())?;
     if settings.names.classes.is_empty() {
         return Err(ConfigError::NoRequestClass);
     }
@@ -118,8 +117,7 @@
     Ok(Config {
         listen: address("listen", &file.listen)?,
         discovery: address("board", &file.discovery)?,
-        known: discovery::known(&file.known, &settings.names)
-            .map_err(|error| ConfigError::EndpointList(error.to_string()))?,
+        known: discovery::known_events(&file.known, &settings.names)?,
         name: file.name,
         seed,
         limits,
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -1,8 +1,9 @@
 //! Client of the discovery service: connected for as long as the service speaks, connected again when it does not.
 
+use crate::codec::Decoded;
+use crate::codec::discovery::{self, Frame, WatchEvent};
 use crate::state::State;
 use crate::state::clock::timeout;
-use crate::wire::discovery::{self, Event, Frame};
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
 use nanorand::{Rng, WyRand};
@@ -59,7 +60,7 @@
 }
 
 /// Applies a watch event, and drops connections to engines that are gone.
-pub fn apply(state: &State, event: &Event) {
+pub fn apply(state: &State, event: &WatchEvent) {
     for engine in state.policy.apply_discovery_event(event) {
         state.engine_connections.close_idle(engine);
     }
@@ -96,7 +97,7 @@
             return Disconnect::NotConnected;
         };
         let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
-        if stream.write_all(&discovery::since(self.state.policy.discovery_revision())).is_err() {
+        if stream.write_all(&discovery::encode_watch(self.state.policy.discovery_revision())).is_err() {
             return Disconnect::NotWritten;
         }
         let mut is_last_read = false;
@@ -145,14 +146,14 @@
         }
         loop {
             match discovery::decode(&self.input) {
-                Ok(Some((frame, used))) => {
+                Ok(Some(Decoded { value: frame, length })) => {
                     self.frames += 1;
                     state.discovery.record_heard(state.clock.now());
                     state.policy.confirm_endpoints(sent);
-                    if let Frame::News(event) = frame {
+                    if let Frame::Event(event) = frame {
                         apply(state, &event);
                     }
-                    self.input.drain(..used);
+                    self.input.drain(..length);
                 }
                 Ok(None) => return Ok(()),
                 Err(error) => {
--- a/crates/gateway/src/engine/load_report.rs
+++ b/crates/gateway/src/engine/load_report.rs
@@ -1,8 +1,8 @@
 //! Load reports that engines are asked for.
 
 use super::connection::connect;
+use crate::codec::engine_http;
 use crate::state::State;
-use crate::wire::http;
 use larchfall_policy::interface::LoadReport;
 
 /// Asks an engine for its load report and tells the policy. Attempts come first: where there is no permit, none is
@@ -13,10 +13,10 @@
     state.counters.update(|counters| counters.load_probes += 1);
     let deadline = state.clock.now() + state.settings.connect_timeout;
     let mut connection = connect(state, instance, deadline).ok()?;
-    let reply = connection.call(&http::stats(instance.address), &state.clock, deadline).ok()?;
+    let reply = connection.call(&engine_http::read_load(instance.address), &state.clock, deadline).ok()?;
     if !reply.closes {
         state.engine_connections.put_back(connection, state.clock.now());
     }
-    state.policy.record_load_report(instance, reply.report);
-    Some(reply.report)
+    state.policy.record_load_report(instance, reply.load);
+    Some(reply.load)
 }
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -3,8 +3,8 @@
 use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_clean};
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::{CallError, ConnectError, Connection};
+use crate::codec::engine_http::{self, Reply};
 use crate::state::policy_handle::Disconnection;
-use crate::wire::http::{self, Reply};
 use larchfall_policy::interface::{LastObservation, Outcome, ProgressUpdate, RoutingDecision};
 use larchfall_policy::time::{Duration, Timestamp};
 
@@ -24,7 +24,7 @@
                 Ok(reply) if reply.status == 202 => {
                     connection = self.on_progress(connection, &reply, called_at);
                 }
-                Ok(reply) if reply.status == 200 && reply.pages.is_some() => {
+                Ok(reply) if reply.status == 200 && reply.page_count.is_some() => {
                     return self.collect_pages(connection, reply);
                 }
                 Ok(reply) if reply.status == 500 || reply.is_declined() => {
@@ -56,7 +56,7 @@
                     continue;
                 }
             };
-            let poll = http::page(self.instance.address, &self.context.id, 0);
+            let poll = engine_http::fetch_page(self.instance.address, &self.context.id, 0);
             called_at = self.state.clock.now();
             reply = self.call(&mut open, &poll, POLL_TIMEOUT);
             connection = Some(open);
@@ -71,12 +71,12 @@
         called_at: Timestamp,
     ) -> Option<Connection> {
         self.same_process.set(true);
-        if let Some(update) = reply.note {
+        if let Some(update) = reply.progress {
             self.state.policy.record_progress(self.request, self.number, update);
         }
         let connection = keep_if_clean(connection, reply.closes);
         // Guards against an engine that has nothing to tell and does not hold the call back.
-        if reply.note.is_none() && self.state.clock.now().since(called_at) < RETRY_PAUSE {
+        if reply.progress.is_none() && self.state.clock.now().since(called_at) < RETRY_PAUSE {
             self.state.sleep(RETRY_PAUSE);
         }
         connection
@@ -94,7 +94,7 @@
             // the process that has it.
             self.end(LastObservation::Unknown, Outcome::Errored)
         };
-        end.report = reply.report;
+        end.report = reply.load;
         end
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,18 +1,19 @@
-//! The real gateway: larchfall's policy on real sockets. A request comes by one of `protocols`, is admitted in
-//! `admission`, lives in `request` and is sent by `engine`; `wire` turns bytes into typed values, `state` is what memory
+//! The real gateway: larchfall's policy on real sockets. A request comes by one of the protocols in `client`, is admitted in
+//! `admission`, lives in `request` and is sent by `engine`; `codec` turns bytes into typed values, `state` is what memory
 //! keeps. `cli` is the command line; `startup`, `reload` and `shutdown` are the life of the process; `cluster` is what
 //! gateways do among themselves.
 
 pub mod admission;
 pub mod cli;
+pub mod client;
 pub mod client_listener;
 pub mod cluster;
+pub mod codec;
 pub mod config;
 pub mod discovery;
 pub mod engine;
 pub mod logging;
 pub mod platform;
-pub mod protocols;
 pub mod reload;
 pub mod request;
 pub mod request_context;
@@ -22,4 +23,3 @@
 pub mod state;
 pub mod subsetting;
 pub mod timer;
-pub mod wire;
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,10 +1,10 @@
 //! SIGHUP: both files are read again while the gateway serves on. What they say of the discovery service, membership and
 //! leases takes effect; the rest is how this gateway was started, and changes with the next start.
 
+use crate::client::paged_rest::RestService;
 use crate::cluster::Cluster;
 use crate::config::{self, Config, ConfigFileError};
 use crate::discovery;
-use crate::protocols::rest::RestService;
 use crate::signals::SignalStream;
 use crate::state::State;
 use larchfall_operator_config::Site;
@@ -38,8 +38,8 @@
 enum ReloadError {
     #[error(transparent)]
     Config(#[from] ConfigFileError),
-    #[error("{0}")]
-    OperatorConfig(String),
+    #[error(transparent)]
+    OperatorConfig(#[from] larchfall_operator_config::ReadError),
     #[error("{0}")]
     Thread(io::Error),
     #[error("the thread that reads it panicked")]
@@ -117,8 +117,7 @@
 fn read(files: &Files) -> Result<ReadFiles, ReloadError> {
     let config = Box::new(config::read(&files.config)?);
     let operator_config = match &files.operator_config {
-        Some(path) => larchfall_operator_config::read(path, &config.settings.names)
-            .map_err(|error| ReloadError::OperatorConfig(error.to_string()))?,
+        Some(path) => larchfall_operator_config::read(path, &config.settings.names)?,
         None => Site::default(),
     };
     Ok(ReadFiles { config, operator_config: Box::new(operator_config) })
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,8 +1,8 @@
 //! The end of a gateway: after SIGTERM it goes on serving for as long as clients may still come, answers the requests
 //! that it has admitted, and ends before it can be killed.
 
+use crate::client::paged_rest::RestService;
 use crate::cluster::Cluster;
-use crate::protocols::rest::RestService;
 use crate::signals::SignalStream;
 use crate::state::State;
 use larchfall_policy::time::{Duration, Timestamp};
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -8,19 +8,19 @@
 pub use error::StartupError;
 
 use crate::cli::files::LoadedFiles;
+use crate::client::paged_rest::RestService;
 use crate::cluster::Cluster;
 use crate::cluster::leases::RecordWriter;
 use crate::cluster::leases::quota_exchange::QuotaInputs;
 use crate::config::Config;
 use crate::logging::{self, Logging};
 use crate::platform::Platform;
-use crate::protocols::rest::{self, RestService};
 use crate::reload::{Files, Reloader};
 use crate::signals::{CaughtSignals, SignalStream, Signals};
 use crate::state::State;
 use crate::state::clock::Clock;
 use crate::subsetting::{self, Subsetting};
-use crate::{client_listener, discovery, shutdown, timer};
+use crate::{client, client_listener, discovery, shutdown, timer};
 use cluster::{ClusterSettings, JoinedCluster};
 use larchfall_operator_config::Site;
 use may::net::TcpListener;
@@ -186,7 +186,7 @@
         may::go!(move || client_listener::accept(&accepting, &self.listener));
         if let Some(PagedRest { service, listener, .. }) = self.paged_rest {
             let state = state.clone();
-            may::go!(move || rest::accept(&state, &listener, &service));
+            may::go!(move || client::paged_rest::accept(&state, &listener, &service));
         }
         log_counters_on_signal(&state, cluster.clone(), signals.log_counters);
         shutdown::wait_and_shut_down(&state, signals.terminate, service.as_ref(), cluster.as_deref());
--- a/crates/gateway/src/startup/paged_rest.rs
+++ b/crates/gateway/src/startup/paged_rest.rs
@@ -1,8 +1,8 @@
 //! The paged REST protocol at the start: its service, its listener, and its part of the connections.
 
 use super::StartupError;
+use crate::client::paged_rest::RestService;
 use crate::client_listener;
-use crate::protocols::rest::RestService;
 use crate::state::limits::Limits;
 use larchfall_operator_config::Rest;
 use may::net::TcpListener;
@@ -28,7 +28,7 @@
     pub(super) fn log_address(&self, log: &Logger) {
         let address = self.listener.local_addr().unwrap_or(self.settings.listen.into());
         info!(log, "listening for paged REST"; "connections" => self.settings.connections,
-            "results" => self.settings.caps.results, "address" => address.to_string());
+            "results" => self.settings.limits.max_results, "address" => address.to_string());
     }
 }
 
@@ -40,7 +40,7 @@
     let connections = paged_rest.map_or(0, |rest| rest.settings.connections);
     let limits = limits.reserve_clients(connections).ok_or(StartupError::NoConnectionsLeft)?;
     let engine_connections = limits.engine_connections;
-    if paged_rest.is_some_and(|rest| rest.settings.caps.making > engine_connections / 2) {
+    if paged_rest.is_some_and(|rest| rest.settings.limits.max_in_flight > engine_connections / 2) {
         return Err(StartupError::TooManyQueries { engine_connections });
     }
     Ok(limits)
--- a/crates/gateway/src/state/policy_handle/engines.rs
+++ b/crates/gateway/src/state/policy_handle/engines.rs
@@ -1,8 +1,8 @@
 //! What the policy is told of engines, and what it judges of them.
 
 use super::PolicyHandle;
+use crate::codec::discovery::WatchEvent;
 use crate::state::engine_table::{EngineInstance, ReadyEngine};
-use crate::wire::discovery::Event;
 use larchfall_health_gossip::Process;
 use larchfall_policy::interface::{EngineHealth, EngineState, LoadReport};
 use larchfall_policy::time::Timestamp;
@@ -36,7 +36,7 @@
     }
 
     /// Applies an event of the discovery service; returns the engines to which connections are of no more use.
-    pub fn apply_discovery_event(&self, event: &Event) -> Vec<usize> {
+    pub fn apply_discovery_event(&self, event: &WatchEvent) -> Vec<usize> {
         let mut decisions = self.lock();
         let changes = decisions.engines.apply(event);
         let now = self.clock.now();
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -1,9 +1,9 @@
 //! The timer thread: the policy's periodic work, waits that are due, and what is checked at each tick. It is a thread
 //! of its own and waits on no socket, so it comes by on time however much there is to run.
 
+use crate::client::message_pack::{IDLE_TIMEOUT, MESSAGE_TIMEOUT};
+use crate::client::paged_rest::{self, RestService};
 use crate::engine::load_report;
-use crate::protocols::rest;
-use crate::protocols::rpc::{QUIET, WHOLE_WITHIN};
 use crate::state::State;
 use crate::state::clock::timeout;
 use crate::state::policy_handle::TICK;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// Runs until the process ends.
-pub fn run(state: &Arc<State>, service: Option<&Arc<rest::RestService>>) {
+pub fn run(state: &Arc<State>, service: Option<&Arc<RestService>>) {
     let blocker = Blocker::current();
     let mut next_tick = state.clock.now() + TICK;
     loop {
@@ -43,7 +43,7 @@
     }
 }
 
-fn tick(state: &Arc<State>, service: Option<&Arc<rest::RestService>>, now: Timestamp) {
+fn tick(state: &Arc<State>, service: Option<&Arc<RestService>>, now: Timestamp) {
     for engine in state.policy.tick() {
         if state.needs_load_report(engine) {
             let state = state.clone();
@@ -56,7 +56,7 @@
     close_unused(state);
     if let Some(service) = service {
         for abandoned in service.pages.expire(now) {
-            rest::give_up(state, abandoned.request);
+            paged_rest::abandon_request(state, abandoned.request);
         }
     }
 }
@@ -65,7 +65,7 @@
 fn close_unused(state: &State) {
     let now = state.clock.now();
     state.engine_connections.close_expired(now);
-    state.client_connections.wake_overdue(now - QUIET, now - WHOLE_WITHIN);
+    state.client_connections.wake_overdue(now - IDLE_TIMEOUT, now - MESSAGE_TIMEOUT);
 }
 
 /// A pair of sockets on which nothing is ever sent: a wait there ends only when the worker polls for events.
--- a/crates/gateway/tests/gateway/engine_connections.rs
+++ b/crates/gateway/tests/gateway/engine_connections.rs
@@ -2,6 +2,7 @@
 
 use crate::common;
 use crate::in_process::{in_coroutine, ms, timers};
+use larchfall_gateway::codec::engine_http;
 use larchfall_gateway::engine::connection::{CallError, ConnectError, Connection};
 use larchfall_gateway::platform::unix_time;
 use larchfall_gateway::state::clock::Clock;
@@ -9,7 +10,6 @@
 use larchfall_gateway::state::connection_pool::{ConnectionPool, REUSE_DELAY};
 use larchfall_gateway::state::engine_table::EngineInstance;
 use larchfall_gateway::state::timers::Timers;
-use larchfall_gateway::wire::http;
 use larchfall_policy::time::Duration;
 use larchfall_stub::engine::{Act, Engine};
 use std::io::{Read, Write};
@@ -164,7 +164,7 @@
         let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
         let mut connection = open(0, engine.address);
         for _ in 0..2 {
-            let reply = connection.call(&http::stats("h"), &clock, within(20_000)).unwrap();
+            let reply = connection.call(&engine_http::read_load("h"), &clock, within(20_000)).unwrap();
             assert_eq!(reply.status, 200);
         }
     });
