--- a/crates/gateway/tests/gateway/cluster.rs
+++ b/crates/gateway/tests/gateway/cluster.rs
@@ -3,8 +3,10 @@
 
 use crate::common::{PROGRAM, wait_for};
 use larchfall_fault_tests::net::{Link, SOUND};
-use larchfall_fault_tests::process::{Fleet, PERIOD, gateways_table, name};
+use larchfall_fault_tests::process::{Fleet, Gateway, PERIOD, gateways_table, name};
 use std::net::UdpSocket;
+use std::process::{Command, Output};
+use std::thread;
 use std::time::{Duration, Instant};
 
 fn wait_until_past(what: &str, duration: Duration) {
@@ -205,3 +207,81 @@
     fleet.gateway(1).log.wait_for("member, ");
     fleet.joined();
 }
+
+/// A command that asks a running gateway. Scripts of operators call it by the name of earlier versions and read its columns.
+struct StatusCommand {
+    verb: &'static str,
+    former_verb: &'static str,
+    columns: &'static str,
+    rows: usize,
+}
+
+const STATUS_COMMANDS: [StatusCommand; 3] = [
+    StatusCommand {
+        verb: "members",
+        former_verb: "fronts",
+        columns: "front standing generation address zone since s heard s ago",
+        rows: 3,
+    },
+    // These fleets have neither leases nor quotas.
+    StatusCommand {
+        verb: "leases",
+        former_verb: "duties",
+        columns: "duty holder token left ms last ended here",
+        rows: 0,
+    },
+    StatusCommand {
+        verb: "quotas",
+        former_verb: "shares",
+        columns: "what part by kept here: fronts in use jain factor",
+        rows: 0,
+    },
+];
+
+/// Runs the program with the files of a gateway.
+fn ask(gateway: &Gateway, verb: &str, with_operator_config: bool) -> Output {
+    let mut command = Command::new(PROGRAM);
+    command.arg(verb).arg("--config").arg(&gateway.file);
+    if with_operator_config {
+        command.arg("--site").arg(&gateway.site_file);
+    }
+    command.output().unwrap()
+}
+
+#[test]
+fn status_commands_answer_alike_by_their_new_and_their_former_names() {
+    let fleet = Fleet::start(PROGRAM, 3, 23);
+    fleet.joined();
+    for StatusCommand { verb, former_verb, columns, rows } in STATUS_COMMANDS {
+        for verb in [verb, former_verb] {
+            let answered = ask(fleet.gateway(0), verb, true);
+            assert_eq!(answered.status.code(), Some(0), "{verb}: {answered:?}");
+            let table = String::from_utf8(answered.stdout).unwrap();
+            let words: Vec<&str> = table.lines().next().unwrap().split_whitespace().collect();
+            assert_eq!(words.join(" "), columns, "{verb}");
+            assert_eq!(table.lines().count(), 1 + rows, "{verb}: {table}");
+        }
+    }
+}
+
+#[test]
+fn status_commands_fail_alike_by_their_new_and_their_former_names() {
+    let fleet = Fleet::start(PROGRAM, 1, 24);
+    let gateway = fleet.gateway(0);
+    gateway.signal("-KILL");
+    thread::scope(|scope| {
+        for verb in STATUS_COMMANDS.iter().flat_map(|command| [command.verb, command.former_verb]) {
+            scope.spawn(move || {
+                let rejected = ask(gateway, verb, false);
+                assert_eq!(rejected.status.code(), Some(2), "{verb}: {rejected:?}");
+                let error = String::from_utf8_lossy(&rejected.stderr).into_owned();
+                let expected = "larchfall: the site file has no [fronts] table; give --site FILE\n";
+                assert_eq!(error, expected, "{verb}");
+                let unanswered = ask(gateway, verb, true);
+                assert_eq!(unanswered.status.code(), Some(1), "{verb}: {unanswered:?}");
+                let error = String::from_utf8_lossy(&unanswered.stderr).into_owned();
+                assert!(error.starts_with("larchfall: no front answers at "), "{verb}: {error}");
+            });
+        }
+    });
+}
