--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -44,8 +44,8 @@
             Disconnect::NotWritten => "not-written",
             Disconnect::Replaced => "replaced",
             Disconnect::Malformed => "malformed",
-            Disconnect::Closed => "board-closed",
-            Disconnect::Reset => "board-reset",
+            Disconnect::Closed => "closed",
+            Disconnect::Reset => "reset",
             Disconnect::Silent => "silent",
         })
     }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,3 +1,5 @@
+//! The program `larchfall`.
+
 fn main() -> std::process::ExitCode {
     larchfall_gateway::cli::main()
 }
