--- a/crates/gateway/src/cluster/event_loop.rs
+++ b/crates/gateway/src/cluster/event_loop.rs
@@ -43,10 +43,9 @@
     pub fn run(self: &Arc<Cluster>, state: &Arc<State>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let mut budget = DatagramBudget { window_start: state.clock.now(), received: 0 };
-        let mut gateway_count = 0;
         while !self.is_done() {
             let now = state.clock.now();
-            let membership_due = self.run_timers(state, now, &mut gateway_count);
+            let membership_due = self.run_timers(state, now);
             if let Some(pause) = budget.exhausted_for(now) {
                 increment(&self.counters.over_budget);
                 state.sleep(pause);
@@ -75,19 +74,14 @@
     }
 
     /// Runs what is due now; the time at which membership is due next.
-    fn run_timers(
-        self: &Arc<Cluster>,
-        state: &Arc<State>,
-        now: Timestamp,
-        gateway_count: &mut usize,
-    ) -> Timestamp {
+    fn run_timers(self: &Arc<Cluster>, state: &Arc<State>, now: Timestamp) -> Timestamp {
         let mut members = lock(&self.members);
         let effects = (members.next_timer() <= now).then(|| members.on_timer(now));
         let due = members.next_timer();
         drop(members);
         if let Some(effects) = effects {
             self.apply_membership(state, effects);
-            *gateway_count = self.update_gateway_count(state, now, *gateway_count);
+            self.update_gateway_count(state, now);
         }
         if let Some(leases) = self.leases.as_ref().filter(|leases| leases.due_in() == Duration::ZERO) {
             leases.on_timer(state, self);
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -36,16 +36,17 @@
         }
     }
 
-    /// Tells the policy when another number of gateways is to be counted; the number.
-    pub(super) fn update_gateway_count(&self, state: &State, now: Timestamp, before: usize) -> usize {
-        let Some(gateway_count) = &self.gateway_count else { return before };
+    /// Tells the policy when another number of gateways is to be counted.
+    pub(super) fn update_gateway_count(&self, state: &State, now: Timestamp) {
+        let Some(gateway_count) = &self.gateway_count else { return };
         let fleet = lock(&self.members).fleet_view();
-        let count = lock(gateway_count).observe(fleet, now);
-        if count != before {
+        let mut gateway_count = lock(gateway_count);
+        let count = gateway_count.fleet_size.observe(fleet, now);
+        if count != std::mem::replace(&mut gateway_count.reported, count) {
+            drop(gateway_count);
             state.policy.set_gateway_count(count);
             info!(state.log, "gateways counted"; "silent" => fleet.silent, "alive" => fleet.live, "count" => count);
         }
-        count
     }
 
     pub(super) fn on_membership_datagram(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -29,7 +29,7 @@
 pub struct Cluster {
     members: Mutex<Membership>,
     /// How many gateways the policy is to count, where that follows those that are alive.
-    gateway_count: Option<Mutex<FleetSize>>,
+    gateway_count: Option<Mutex<GatewayCount>>,
     socket: UdpSocket,
     /// Datagrams of other clusters are ignored.
     cluster_name: String,
@@ -44,6 +44,13 @@
     health_gossip: Option<HealthGossip>,
 }
 
+/// The number of gateways to count.
+struct GatewayCount {
+    fleet_size: FleetSize,
+    /// The number that the policy was told last.
+    reported: usize,
+}
+
 /// What a member is made of.
 pub struct ClusterSetup {
     /// Address to bind.
@@ -68,7 +75,9 @@
         Ok(Arc::new(Cluster {
             socket: UdpSocket::bind(setup.address)?,
             members: Mutex::new(setup.members),
-            gateway_count: setup.gateway_count.map(Mutex::new),
+            gateway_count: setup
+                .gateway_count
+                .map(|fleet_size| Mutex::new(GatewayCount { fleet_size, reported: 0 })),
             cluster_name: setup.cluster_name,
             member_name: setup.member_name,
             counters: DatagramCounters::default(),
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -9,7 +9,6 @@
 
 use crate::cli::files::LoadedFiles;
 use crate::cluster::Cluster;
-use crate::cluster::leases::RecordWriter;
 use crate::cluster::leases::quota_exchange::QuotaInputs;
 use crate::config::Config;
 use crate::logging::{self, Logging};
@@ -124,10 +123,9 @@
     let settings = ClusterSettings { gateways, leases: site.duties, health_gossip: site.signals };
     let JoinedCluster { cluster, record_writer } =
         cluster::join(state, settings, quota_inputs, seed, platform)?;
-    record_writer
-        .map(|writer: RecordWriter| writer.start(state, &cluster))
-        .transpose()
-        .map_err(StartupError::RecordThread)?;
+    if let Some(writer) = record_writer {
+        writer.start(state, &cluster).map_err(StartupError::RecordThread)?;
+    }
     Ok(Some(cluster))
 }
 
