--- a/crates/gateway/src/client/message_pack/connection.rs
+++ b/crates/gateway/src/client/message_pack/connection.rs
@@ -38,7 +38,7 @@
 
 /// Counts a connection as soon as it is accepted. Its coroutine may first run much later, and connections accepted
 /// meanwhile would use descriptors that are not there.
-pub fn register(
+pub(super) fn register(
     state: &State,
     stream: TcpStream,
     from: SocketAddr,
@@ -51,7 +51,7 @@
 }
 
 /// Serves one connection to its end.
-pub fn serve(state: &Arc<State>, connection: Connection) {
+pub(super) fn serve(state: &Arc<State>, connection: Connection) {
     let Connection { stream, from, number, writer, queued_since } = connection;
     state.counters.update(|counters| {
         counters.connections += 1;
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client/message_pack/listener.rs
@@ -1,12 +1,10 @@
-//! Listening for clients that speak MessagePack-RPC, and accepting their connections.
+//! Accepts connections of clients that speak MessagePack-RPC.
 
-use crate::client::message_pack;
+use super::connection;
 use crate::state::State;
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpListener;
 use slog::warn;
-use std::io;
-use std::net::SocketAddrV4;
 use std::sync::Arc;
 
 const PAUSE: Duration = Duration::from_millis(2);
@@ -18,12 +16,6 @@
 /// What waited in the listener's queue while nothing was accepted is out of it by so long after.
 const QUEUE_EMPTIES: Duration = Duration::from_millis(100);
 
-/// Opens a listener. may's own shares its port with any other of ours: a plain one finds out whether the port is free.
-pub fn bind(address: SocketAddrV4) -> io::Result<TcpListener> {
-    drop(std::net::TcpListener::bind(address)?);
-    TcpListener::bind(address)
-}
-
 /// A time in which connections were left waiting in the listener's queue.
 #[derive(Clone, Copy)]
 struct Held {
@@ -51,9 +43,9 @@
         held = held.filter(|held| now.since(held.until) < QUEUE_EMPTIES);
         match listener.accept() {
             Ok((stream, from)) => {
-                let connection = message_pack::register(state, stream, from, held.map(|held| held.since));
+                let connection = connection::register(state, stream, from, held.map(|held| held.since));
                 let state = state.clone();
-                may::go!(move || message_pack::serve(&state, connection));
+                may::go!(move || connection::serve(&state, connection));
                 may::coroutine::yield_now();
             }
             Err(error) => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod admission;
 pub mod cli;
 pub mod client;
-pub mod client_listener;
 pub mod cluster;
 pub mod codec;
 pub mod config;
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -2,6 +2,7 @@
 
 mod cluster;
 mod error;
+mod listener;
 mod paged_rest;
 mod state;
 
@@ -19,7 +20,7 @@
 use crate::state::State;
 use crate::state::clock::Clock;
 use crate::subsetting::{self, Subsetting};
-use crate::{client, client_listener, discovery, shutdown, timer};
+use crate::{client, discovery, shutdown, timer};
 use cluster::{ClusterSettings, JoinedCluster};
 use larchfall_operator_config::Site;
 use may::net::TcpListener;
@@ -51,8 +52,7 @@
     let site = operator_config.map(|file| file.site).unwrap_or_default();
 
     // Listeners first: an address that is taken is found before anything runs.
-    let listener = client_listener::bind(config.listen)
-        .map_err(|source| StartupError::Listen { address: config.listen, source })?;
+    let listener = listener::bind(config.listen)?;
     let paged_rest = site.rest.clone().map(|rest| PagedRest::open(rest, config.seed)).transpose()?;
     let limits = paged_rest::remaining_limits(config.limits, paged_rest.as_ref())?;
     // Dropped at the end of this function, so that the last lines are written.
@@ -181,7 +181,7 @@
         let watching = state.clone();
         may::go!(move || timer::record_event_polls(&watching, self.event_poll_probe));
         let accepting = state.clone();
-        may::go!(move || client_listener::accept(&accepting, &self.listener));
+        may::go!(move || client::message_pack::accept(&accepting, &self.listener));
         if let Some(PagedRest { service, listener, .. }) = self.paged_rest {
             let state = state.clone();
             may::go!(move || client::paged_rest::accept(&state, &listener, &service));
--- a/crates/gateway/src/startup/paged_rest.rs
+++ b/crates/gateway/src/startup/paged_rest.rs
@@ -1,8 +1,8 @@
 //! The paged REST protocol at the start: its service, its listener, and its part of the connections.
 
 use super::StartupError;
+use super::listener::bind;
 use crate::client::paged_rest::RestService;
-use crate::client_listener;
 use crate::state::limits::Limits;
 use larchfall_operator_config::Rest;
 use may::net::TcpListener;
@@ -19,9 +19,7 @@
 impl PagedRest {
     pub(super) fn open(settings: Rest, seed: u64) -> Result<PagedRest, StartupError> {
         let service = RestService::new(settings.clone(), seed).map_err(StartupError::Randomness)?;
-        let address = settings.listen;
-        let listener =
-            client_listener::bind(address).map_err(|source| StartupError::Listen { address, source })?;
+        let listener = bind(settings.listen)?;
         Ok(PagedRest { service: Arc::new(service), listener, settings })
     }
 
