--- a/crates/gateway/src/cli/files.rs
+++ b/crates/gateway/src/cli/files.rs
@@ -2,7 +2,7 @@
 
 use super::arguments::FilePaths;
 use crate::config::{self, Config, ConfigFileError};
-use larchfall_operator_config::Site;
+use larchfall_operator_config::OperatorConfig;
 
 /// The environment's name for the configuration file, where the command line names none.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
@@ -22,7 +22,7 @@
     /// The file.
     pub path: String,
     /// What it says.
-    pub site: Site,
+    pub config: OperatorConfig,
 }
 
 /// Why the files were not taken.
@@ -35,8 +35,8 @@
     #[error(transparent)]
     Config(#[from] ConfigFileError),
     /// The operator's own settings can't be read, or are wrong.
-    #[error("{0}")]
-    OperatorConfig(String),
+    #[error(transparent)]
+    OperatorConfig(#[from] larchfall_operator_config::ReadError),
 }
 
 impl FilePaths {
@@ -47,9 +47,8 @@
         let config = config::read(&config_path)?;
         let operator_config = match self.operator_config {
             Some(path) => {
-                let site = larchfall_operator_config::read(&path, &config.settings.names)
-                    .map_err(|error| FilesError::OperatorConfig(error.to_string()))?;
-                Some(OperatorFile { path, site })
+                let config = larchfall_operator_config::read(&path, &config.settings.names)?;
+                Some(OperatorFile { path, config })
             }
             None => None,
         };
--- a/crates/gateway/src/cli/status.rs
+++ b/crates/gateway/src/cli/status.rs
@@ -7,9 +7,9 @@
 
 pub(super) fn run(topic: Topic, paths: FilePaths) -> Result<(), CommandError> {
     let files = paths.load()?;
-    let gateways = files.operator_config.and_then(|file| file.site.gateways);
-    let gateways = gateways.ok_or(CommandError::NoClusterAddress)?;
-    let rows = status_query::ask(gateways.address, &gateways.settings.cluster, topic)
+    let membership = files.operator_config.and_then(|file| file.config.membership);
+    let membership = membership.ok_or(CommandError::NoClusterAddress)?;
+    let rows = status_query::ask(membership.listen, &membership.settings.cluster, topic)
         .map_err(CommandError::Status)?;
     println!("{}", format_table(header(topic), rows));
     Ok(())
--- a/crates/gateway/src/cli/subsets.rs
+++ b/crates/gateway/src/cli/subsets.rs
@@ -6,7 +6,7 @@
 use super::table::format_table;
 use crate::config::Config;
 use crate::state::engine_table::EngineTable;
-use larchfall_operator_config::Subsets;
+use larchfall_operator_config::SubsettingConfig;
 use larchfall_subsetting::survey::{Survey, survey};
 use larchfall_subsetting::{Gateway, Listed};
 use plotters::prelude::*;
@@ -41,7 +41,7 @@
     let files = paths.load()?;
     let subsets = files
         .operator_config
-        .and_then(|file| file.site.subsets)
+        .and_then(|file| file.config.subsetting)
         .filter(|_| (1..=MAX_GATEWAYS).contains(&gateways))
         .ok_or(SubsetsError::Usage { max_gateways: MAX_GATEWAYS })?;
     let engines = listed_engines(&files.config);
@@ -63,7 +63,12 @@
 }
 
 /// Gateways by number, spread over the zones that the configuration names.
-fn survey_gateways(config: &Config, engines: &[Listed], subsets: &Subsets, gateways: usize) -> Survey {
+fn survey_gateways(
+    config: &Config,
+    engines: &[Listed],
+    subsets: &SubsettingConfig,
+    gateways: usize,
+) -> Survey {
     let zones = config.settings.names.zones.len().max(1);
     let gateway = |i: usize| Gateway {
         // These names are what earlier versions hashed: another name is another plan.
--- a/crates/gateway/src/client/paged_rest/connection.rs
+++ b/crates/gateway/src/client/paged_rest/connection.rs
@@ -68,7 +68,7 @@
 
     /// Answers the next call, or reads more of it.
     fn turn(&mut self) -> Result<(), CloseReason> {
-        match call::decode(&self.input, self.service.settings().statement) {
+        match call::decode(&self.input, self.service.settings().max_statement_bytes) {
             Ok(Progress::Complete { call, length }) => {
                 self.input.drain(..length);
                 self.respond(&call)
--- a/crates/gateway/src/client/paged_rest/pages.rs
+++ b/crates/gateway/src/client/paged_rest/pages.rs
@@ -27,7 +27,7 @@
         elapsed_ms: state.clock.now().since(since).micros() / 1000,
         ..PageContent::default()
     };
-    service.pages.wait_for_page(address, &state.timers, service.settings().poll, empty)
+    service.pages.wait_for_page(address, &state.timers, service.settings().poll_timeout, empty)
 }
 
 /// The response with what was found at a page's address.
@@ -55,7 +55,7 @@
     page: &Page<PageContent>,
 ) -> Vec<u8> {
     let settings = service.settings();
-    let base = match (&settings.base, call.header("host")) {
+    let base = match (&settings.base_url, call.header("host")) {
         (Some(base), _) => base.clone(),
         (None, Some(host)) => format!("http://{host}"),
         (None, None) => format!("http://{}", settings.listen),
--- a/crates/gateway/src/client/paged_rest/service.rs
+++ b/crates/gateway/src/client/paged_rest/service.rs
@@ -2,7 +2,7 @@
 
 use crate::state::lock;
 use crate::state::result_pages::ResultPages;
-use larchfall_operator_config::Rest;
+use larchfall_operator_config::PagedRestConfig;
 use larchfall_paged_rest::page_address::AddressKey;
 use nanorand::{Rng, WyRand};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,7 +10,7 @@
 
 /// The state that all connections of the service share.
 pub struct RestService {
-    settings: Mutex<Arc<Rest>>,
+    settings: Mutex<Arc<PagedRestConfig>>,
     /// As at the start: a reload does not change the limits of what is open.
     max_connections: usize,
     pub pages: ResultPages,
@@ -21,11 +21,11 @@
 
 impl RestService {
     /// The key of page addresses comes from the system's entropy: who knows this gateway's seed must not know them.
-    pub fn new(settings: Rest, seed: u64) -> Result<RestService, getrandom::Error> {
+    pub fn new(settings: PagedRestConfig, seed: u64) -> Result<RestService, getrandom::Error> {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret)?;
         Ok(RestService {
-            max_connections: settings.connections,
+            max_connections: settings.max_connections,
             pages: ResultPages::new(settings.limits),
             address_key: AddressKey::new(&secret),
             ids: Mutex::new(WyRand::new_seed(!seed)),
@@ -34,13 +34,13 @@
         })
     }
 
-    pub(super) fn settings(&self) -> Arc<Rest> {
+    pub(super) fn settings(&self) -> Arc<PagedRestConfig> {
         lock(&self.settings).clone()
     }
 
     /// Uses other sources for the fields of requests from the next call on. The listener and all limits change with the
     /// next start.
-    pub fn reload(&self, settings: Rest) {
+    pub fn reload(&self, settings: PagedRestConfig) {
         *lock(&self.settings) = Arc::new(settings);
     }
 
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -45,7 +45,7 @@
         return Err(unusable("no statement"));
     }
     let settings = service.settings();
-    let fields = call_fields::read(call, settings.headers, &settings.request)
+    let fields = call_fields::read(call, settings.header_family, &settings.sources)
         .map_err(|error| unusable(&error.to_string()))?;
     let id_number = service.next_id();
     let id = format!("{id_number:016x}");
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -7,7 +7,7 @@
 use larchfall_health_gossip::Process;
 use larchfall_health_gossip::desk::{Bounds, Desk};
 use larchfall_health_gossip::wire::{Letter, MOST_ENGINES};
-use larchfall_operator_config::Signals as Settings;
+use larchfall_operator_config::HealthGossipConfig;
 use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use slog::info;
@@ -36,17 +36,17 @@
 
 /// This gateway's part in sharing observations of engines.
 pub struct HealthGossip {
-    settings: Settings,
+    settings: HealthGossipConfig,
     inner: Mutex<Inner>,
     counters: Counters,
 }
 
 impl HealthGossip {
     /// Has the policy note from now on what it observes.
-    pub fn new(state: &State, settings: Settings, seed: u64, now: Timestamp) -> HealthGossip {
+    pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> HealthGossip {
         state.policy.enable_observations(BOUNDS.processes);
         let inner = Inner {
-            observations: Desk::new(BOUNDS, settings.weigh, settings.turn),
+            observations: Desk::new(BOUNDS, settings.weigh, settings.probe_slot),
             due: now,
             random: WyRand::new_seed(seed),
         };
@@ -65,7 +65,7 @@
             if now < inner.due {
                 return;
             }
-            inner.due = now + self.settings.every;
+            inner.due = now + self.settings.interval;
         }
         self.send_observations(state, cluster);
         self.count_observations(state, cluster, now);
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -20,7 +20,7 @@
 use larchfall_leases::voter::VoterLimits;
 use larchfall_leases::voter_record::{DamagedFile, Disk, VoterRecord, load};
 use larchfall_membership::membership::Member;
-use larchfall_operator_config::Duties as OperatorSettings;
+use larchfall_operator_config::LeaseConfig;
 use larchfall_policy::time::{Duration, Timestamp};
 use quota_exchange::{QuotaExchange, QuotaInputs};
 use slog::{info, warn};
@@ -69,7 +69,7 @@
 /// What the service is made of.
 pub struct LeaseSetup {
     /// The operator's settings.
-    pub settings: OperatorSettings,
+    pub settings: LeaseConfig,
     /// This process.
     pub me: MemberId,
     /// Seed of the package's random choices.
@@ -91,15 +91,15 @@
 impl LeaseService {
     /// Reads the voter record, before anything is requested or granted.
     pub fn open(state: &State, setup: LeaseSetup) -> io::Result<OpenedLeases> {
-        let LeaseSetup { settings: site, me, seed, platform, quota_inputs } = setup;
+        let LeaseSetup { settings: config, me, seed, platform, quota_inputs } = setup;
         let now = (platform.steady_clock)();
         // One that is no voter now may become one, when the file is read again.
-        let mut disk = site.record.as_ref().map(|folder| (platform.open_disk)(folder));
-        let is_voter = site.settings.voters.contains(&me.name);
+        let mut disk = config.record_folder.as_ref().map(|folder| (platform.open_disk)(folder));
+        let is_voter = config.settings.voters.contains(&me.name);
         let record = read_record(state, disk.as_mut(), is_voter);
-        let settings = site.settings;
-        let quotas = site.keepers.map(|keepers| {
-            QuotaExchange::new(state, keepers, settings.terms.drift_margin_per_mille, quota_inputs, now)
+        let settings = config.settings;
+        let quotas = config.quotas.map(|quotas| {
+            QuotaExchange::new(state, quotas, settings.terms.drift_margin_per_mille, quota_inputs, now)
         });
         let cluster_name = settings.cluster.clone();
         let unix_time = (platform.unix_clock)().micros();
@@ -110,10 +110,10 @@
             me,
             cluster_name,
             platform,
-            fitness_thresholds: Mutex::new(site.lines),
+            fitness_thresholds: Mutex::new(config.fitness),
             fitness: Mutex::default(),
             records,
-            supervisor: Supervisor::start(site.programs)?,
+            supervisor: Supervisor::start(config.programs)?,
             quotas,
             last_timer: Mutex::new(now),
             has_changed: AtomicBool::new(false),
@@ -127,7 +127,7 @@
     }
 
     /// Takes over a file that was read again, or rejects it whole where the change can't be made safely.
-    pub(super) fn reload(&self, state: &State, cluster: &Cluster, settings: OperatorSettings) {
+    pub(super) fn reload(&self, state: &State, cluster: &Cluster, settings: LeaseConfig) {
         // Whether there is a disk was settled at the start.
         let voter_limits =
             VoterLimits { persistent: self.records.is_some(), ..settings.settings.voter_limits };
@@ -137,7 +137,7 @@
         match result {
             Ok(effects) => {
                 self.supervisor.reload(settings.programs);
-                *lock(&self.fitness_thresholds) = settings.lines;
+                *lock(&self.fitness_thresholds) = settings.fitness;
                 self.apply(state, cluster, effects);
             }
             Err(error) => warn!(state.log, "lease settings rejected"; "reason" => error.to_string()),
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -8,7 +8,7 @@
 use larchfall_leases::fencing::Fenced;
 use larchfall_leases::load_sharing::{quota_allocator_role, role_index};
 use larchfall_leases::messages::{MemberId, Payload, QuotaDemand, QuotaGrant, paginate};
-use larchfall_operator_config::{Keepers, Kinds};
+use larchfall_operator_config::{QuotaConfig, QuotaKinds};
 use larchfall_policy::interface::{RequestClass, SlowStartPolicy};
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::Terms;
@@ -55,23 +55,24 @@
 pub(super) struct QuotaExchange {
     pub(super) quotas: Mutex<Shares>,
     /// Which kinds of capacity are allocated, by the operator's file.
-    kinds: Kinds,
+    kinds: QuotaKinds,
     inputs: QuotaInputs,
 }
 
 impl QuotaExchange {
     pub(super) fn new(
         state: &State,
-        keepers: Keepers,
+        config: QuotaConfig,
         margin: u32,
         inputs: QuotaInputs,
         now: Timestamp,
     ) -> QuotaExchange {
-        let Keepers { keepers, length, kinds } = keepers;
+        let QuotaConfig { allocators, lifetime, kinds } = config;
         let window = inputs.slow_start.window;
-        let strict = Terms { gateways: inputs.gateways, length, margin, window, strict: true };
+        let strict = Terms { gateways: inputs.gateways, length: lifetime, margin, window, strict: true };
         let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
-        let quotas = Shares::new(shares::Settings { strict, soft, keepers, most: MAX_CAPACITIES }, now);
+        let quotas =
+            Shares::new(shares::Settings { strict, soft, keepers: allocators, most: MAX_CAPACITIES }, now);
         if kinds.slow_start {
             state.policy.enable_quotas(quotas.careful());
         }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -15,7 +15,7 @@
 use health_gossip::HealthGossip;
 use larchfall_membership::fleet_size::FleetSize;
 use larchfall_membership::membership::{Membership, MembershipSettings};
-use larchfall_operator_config::Duties;
+use larchfall_operator_config::LeaseConfig;
 use leases::LeaseService;
 use may::net::UdpSocket;
 use slog::warn;
@@ -94,7 +94,7 @@
     }
 
     /// Takes over seeds, periods and leases from a file that was read again.
-    pub fn reload(&self, state: &State, settings: MembershipSettings, leases: Option<Duties>) {
+    pub fn reload(&self, state: &State, settings: MembershipSettings, leases: Option<LeaseConfig>) {
         // Which cluster it belongs to changes with the next start only.
         let settings = MembershipSettings { cluster: self.cluster_name.clone(), ..settings };
         lock(&self.members).update_settings(settings);
--- a/crates/gateway/src/cluster/supervisor/mod.rs
+++ b/crates/gateway/src/cluster/supervisor/mod.rs
@@ -4,7 +4,7 @@
 pub mod process;
 
 use crate::state::lock;
-use larchfall_operator_config::Program;
+use larchfall_operator_config::ProgramConfig;
 use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -19,7 +19,7 @@
 const RESTART_DELAY: Duration = Duration::from_millis(1000);
 
 enum Order {
-    Start { program: Program, token: u64, until: Timestamp },
+    Start { program: ProgramConfig, token: u64, until: Timestamp },
     Extend { lease: String, until: Timestamp },
     End { lease: String },
 }
@@ -44,7 +44,7 @@
 
 /// Starts and ends programs by lease.
 pub struct Supervisor {
-    programs: Mutex<BTreeMap<String, Program>>,
+    programs: Mutex<BTreeMap<String, ProgramConfig>>,
     orders: SyncSender<Order>,
     exited: Arc<Mutex<Vec<Exited>>>,
     running: Mutex<BTreeMap<String, Running>>,
@@ -54,7 +54,7 @@
 
 impl Supervisor {
     /// Starts the thread; no program runs yet.
-    pub fn start(programs: Vec<Program>) -> io::Result<Supervisor> {
+    pub fn start(programs: Vec<ProgramConfig>) -> io::Result<Supervisor> {
         let (orders, received) = sync_channel(QUEUED_ORDERS);
         let exited = Arc::new(Mutex::new(Vec::new()));
         let mut thread =
@@ -70,7 +70,7 @@
     }
 
     /// Takes over a file that was read again; what runs goes on as it was started.
-    pub fn reload(&self, programs: Vec<Program>) {
+    pub fn reload(&self, programs: Vec<ProgramConfig>) {
         *lock(&self.programs) = by_lease(programs);
     }
 
@@ -131,8 +131,8 @@
     }
 }
 
-fn by_lease(programs: Vec<Program>) -> BTreeMap<String, Program> {
-    programs.into_iter().map(|program| (program.duty.clone(), program)).collect()
+fn by_lease(programs: Vec<ProgramConfig>) -> BTreeMap<String, ProgramConfig> {
+    programs.into_iter().map(|program| (program.role.clone(), program)).collect()
 }
 
 /// A supervising process, and the token that its program runs under.
@@ -143,12 +143,12 @@
 
 impl SupervisedChild {
     /// The environment's names are what operators' programs read.
-    fn spawn(program: &Program, token: u64) -> io::Result<SupervisedChild> {
-        let grace_ms = (program.end.micros() / 1000).to_string();
+    fn spawn(program: &ProgramConfig, token: u64) -> io::Result<SupervisedChild> {
+        let grace_ms = (program.stop_grace.micros() / 1000).to_string();
         let process = Command::new(std::env::current_exe()?)
             .args(["mind", "--end-ms", &grace_ms, "--"])
             .args(&program.command)
-            .env("LARCHFALL_DUTY", &program.duty)
+            .env("LARCHFALL_DUTY", &program.role)
             .env("LARCHFALL_TOKEN", token.to_string())
             .stdin(Stdio::piped())
             .stdout(io::stderr())
@@ -195,10 +195,10 @@
             Order::Start { program, token, until } => match SupervisedChild::spawn(&program, token) {
                 Ok(mut child) => {
                     child.extend(until);
-                    self.children.insert(program.duty, child);
+                    self.children.insert(program.role, child);
                 }
                 Err(error) => {
-                    let exited = Exited { lease: program.duty, token, status: error.to_string() };
+                    let exited = Exited { lease: program.role, token, status: error.to_string() };
                     lock(&self.exited).push(exited);
                 }
             },
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -7,7 +7,7 @@
 use crate::discovery;
 use crate::signals::SignalStream;
 use crate::state::State;
-use larchfall_operator_config::Site;
+use larchfall_operator_config::OperatorConfig;
 use larchfall_policy::time::Duration;
 use may::sync::mpsc;
 use slog::{info, warn};
@@ -31,7 +31,7 @@
 /// on a coroutine's small stack.
 struct ReadFiles {
     config: Box<Config>,
-    operator_config: Box<Site>,
+    operator_config: Box<OperatorConfig>,
 }
 
 #[derive(Debug, thiserror::Error)]
@@ -86,12 +86,12 @@
 
     fn apply(&self, read: ReadFiles) {
         let ReadFiles { config, operator_config } = read;
-        let Site { rest, gateways, duties, .. } = *operator_config;
-        if let Some((service, rest)) = self.service.as_ref().zip(rest) {
-            service.reload(rest);
+        let OperatorConfig { paged_rest, membership, leases, .. } = *operator_config;
+        if let Some((service, paged_rest)) = self.service.as_ref().zip(paged_rest) {
+            service.reload(paged_rest);
         }
-        if let Some((cluster, gateways)) = self.cluster.as_ref().zip(gateways) {
-            cluster.reload(&self.state, gateways.settings, duties);
+        if let Some((cluster, membership)) = self.cluster.as_ref().zip(membership) {
+            cluster.reload(&self.state, membership.settings, leases);
         }
         for event in &config.known {
             discovery::apply(&self.state, event);
@@ -118,7 +118,7 @@
     let config = Box::new(config::read(&files.config)?);
     let operator_config = match &files.operator_config {
         Some(path) => larchfall_operator_config::read(path, &config.settings.names)?,
-        None => Site::default(),
+        None => OperatorConfig::default(),
     };
     Ok(ReadFiles { config, operator_config: Box::new(operator_config) })
 }
--- a/crates/gateway/src/startup/cluster.rs
+++ b/crates/gateway/src/startup/cluster.rs
@@ -11,15 +11,15 @@
 use larchfall_membership::fleet_size::FleetSize;
 use larchfall_membership::member_update::MemberInfo;
 use larchfall_membership::membership::Membership;
-use larchfall_operator_config::{Duties, Gateways, Signals};
+use larchfall_operator_config::{HealthGossipConfig, LeaseConfig, MembershipConfig};
 use slog::info;
 use std::sync::Arc;
 
 /// What the operator's file says of gateways among themselves.
 pub(super) struct ClusterSettings {
-    pub(super) gateways: Gateways,
-    pub(super) leases: Option<Duties>,
-    pub(super) health_gossip: Option<Signals>,
+    pub(super) membership: MembershipConfig,
+    pub(super) leases: Option<LeaseConfig>,
+    pub(super) health_gossip: Option<HealthGossipConfig>,
 }
 
 /// The open socket between gateways, and the writer of the voter record where there is one.
@@ -37,15 +37,18 @@
     seed: u64,
     platform: Platform,
 ) -> Result<JoinedCluster, StartupError> {
-    let ClusterSettings { gateways, leases, health_gossip } = settings;
-    let info =
-        MemberInfo { address: gateways.told, zone: gateways.zone, requests_per_second: gateways.serves };
+    let ClusterSettings { membership, leases, health_gossip } = settings;
+    let info = MemberInfo {
+        address: membership.advertised,
+        zone: membership.zone,
+        requests_per_second: membership.requests_per_second,
+    };
     let now = state.clock.now();
-    let gateway_count = gateways.count.map(|count| FleetSize::new(count, quota_inputs.gateways, now));
+    let gateway_count = membership.fleet_size.map(|count| FleetSize::new(count, quota_inputs.gateways, now));
     // The time of its start, so that each process under this name is another one than the one before.
-    let me = MemberId { name: gateways.name, generation: now.micros() };
-    let cluster_name = gateways.settings.cluster.clone();
-    let members = Membership::new(&me.name, me.generation, info, gateways.settings, seed, now);
+    let me = MemberId { name: membership.name, generation: now.micros() };
+    let cluster_name = membership.settings.cluster.clone();
+    let members = Membership::new(&me.name, me.generation, info, membership.settings, seed, now);
     let member_name = me.name.clone();
     let opened = leases
         .map(|settings| LeaseService::open(state, LeaseSetup { settings, me, seed, platform, quota_inputs }))
@@ -55,7 +58,7 @@
         Some(OpenedLeases { service, record_writer }) => (Some(service), record_writer),
         None => (None, None),
     };
-    let address = gateways.address;
+    let address = membership.listen;
     let cluster = Cluster::open(ClusterSetup {
         address,
         members,
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -22,7 +22,7 @@
 use crate::subsetting::{self, Subsetting};
 use crate::{client, client_listener, discovery, shutdown, timer};
 use cluster::{ClusterSettings, JoinedCluster};
-use larchfall_operator_config::Site;
+use larchfall_operator_config::OperatorConfig;
 use may::net::TcpListener;
 use paged_rest::PagedRest;
 use slog::info;
@@ -49,25 +49,27 @@
         config: config_path,
         operator_config: operator_config.as_ref().map(|file| file.path.clone()),
     };
-    let site = operator_config.map(|file| file.site).unwrap_or_default();
+    let operator_config = operator_config.map(|file| file.config).unwrap_or_default();
 
     // Listeners first: an address that is taken is found before anything runs.
     let listener = client_listener::bind(config.listen)
         .map_err(|source| StartupError::Listen { address: config.listen, source })?;
-    let paged_rest = site.rest.clone().map(|rest| PagedRest::open(rest, config.seed)).transpose()?;
+    let paged_rest = operator_config.paged_rest.clone();
+    let paged_rest = paged_rest.map(|settings| PagedRest::open(settings, config.seed)).transpose()?;
     let limits = paged_rest::remaining_limits(config.limits, paged_rest.as_ref())?;
     // Dropped at the end of this function, so that the last lines are written.
     let Logging { logger, flush_on_drop: _flush_on_drop } = logging::start(&config.name);
 
     let quota_inputs = QuotaInputs::new(&config.settings);
-    let subsetting = site.subsets.map(|subsets| Subsetting::new(subsets, &config.settings));
+    let subsetting =
+        operator_config.subsetting.map(|subsetting| Subsetting::new(subsetting, &config.settings));
     let Config { listen, seed, discovery, known, settings, .. } = config;
     let state = Arc::new(state::build(StateSettings {
         platform: settings,
         limits,
         seed,
         log: logger,
-        load_sharing: site.duties.as_ref().and_then(|leases| leases.probing),
+        load_sharing: operator_config.leases.as_ref().and_then(|leases| leases.load_sharing),
         clock: Clock::start((platform.unix_clock)()),
     }));
     // The configuration's endpoint list counts as if the discovery service had just sent it.
@@ -78,7 +80,7 @@
     let event_poll_probe = timer::EventPollProbe::open().map_err(StartupError::SocketPair)?;
     let signals = caught_signals.into_streams().map_err(StartupError::Signals)?;
     log_addresses(&state, &listener, listen, paged_rest.as_ref());
-    let cluster = join_cluster(&state, site, quota_inputs, seed, platform)?;
+    let cluster = join_cluster(&state, operator_config, quota_inputs, seed, platform)?;
     let gateway = Gateway {
         state: state.clone(),
         listener,
@@ -115,13 +117,14 @@
 /// them.
 fn join_cluster(
     state: &Arc<State>,
-    site: Site,
+    operator_config: OperatorConfig,
     quota_inputs: QuotaInputs,
     seed: u64,
     platform: Platform,
 ) -> Result<Option<Arc<Cluster>>, StartupError> {
-    let Some(gateways) = site.gateways else { return Ok(None) };
-    let settings = ClusterSettings { gateways, leases: site.duties, health_gossip: site.signals };
+    let OperatorConfig { membership, leases, health_gossip, .. } = operator_config;
+    let Some(membership) = membership else { return Ok(None) };
+    let settings = ClusterSettings { membership, leases, health_gossip };
     let JoinedCluster { cluster, record_writer } =
         cluster::join(state, settings, quota_inputs, seed, platform)?;
     record_writer
--- a/crates/gateway/src/startup/paged_rest.rs
+++ b/crates/gateway/src/startup/paged_rest.rs
@@ -4,7 +4,7 @@
 use crate::client::paged_rest::RestService;
 use crate::client_listener;
 use crate::state::limits::Limits;
-use larchfall_operator_config::Rest;
+use larchfall_operator_config::PagedRestConfig;
 use may::net::TcpListener;
 use slog::{Logger, info};
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 pub(super) struct PagedRest {
     pub(super) service: Arc<RestService>,
     pub(super) listener: TcpListener,
-    settings: Rest,
+    settings: PagedRestConfig,
 }
 
 impl PagedRest {
-    pub(super) fn open(settings: Rest, seed: u64) -> Result<PagedRest, StartupError> {
+    pub(super) fn open(settings: PagedRestConfig, seed: u64) -> Result<PagedRest, StartupError> {
         let service = RestService::new(settings.clone(), seed).map_err(StartupError::Randomness)?;
         let address = settings.listen;
         let listener =
@@ -27,7 +27,7 @@
 
     pub(super) fn log_address(&self, log: &Logger) {
         let address = self.listener.local_addr().unwrap_or(self.settings.listen.into());
-        info!(log, "listening for paged REST"; "connections" => self.settings.connections,
+        info!(log, "listening for paged REST"; "connections" => self.settings.max_connections,
             "results" => self.settings.limits.max_results, "address" => address.to_string());
     }
 }
@@ -37,7 +37,7 @@
     limits: Limits,
     paged_rest: Option<&PagedRest>,
 ) -> Result<Limits, StartupError> {
-    let connections = paged_rest.map_or(0, |rest| rest.settings.connections);
+    let connections = paged_rest.map_or(0, |rest| rest.settings.max_connections);
     let limits = limits.reserve_clients(connections).ok_or(StartupError::NoConnectionsLeft)?;
     let engine_connections = limits.engine_connections;
     if paged_rest.is_some_and(|rest| rest.settings.limits.max_in_flight > engine_connections / 2) {
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -5,7 +5,7 @@
 use crate::cluster::Cluster;
 use crate::state::State;
 use larchfall_config::Settings;
-use larchfall_operator_config::Subsets;
+use larchfall_operator_config::SubsettingConfig;
 use larchfall_policy::interface::{EngineHealth, Fleet, RequestClass};
 use larchfall_policy::time::Timestamp;
 use larchfall_subsetting::aperture::{Aperture, Sight};
@@ -23,7 +23,7 @@
 
 /// What an assignment is worked out from, but for members and engines.
 pub struct Subsetting {
-    settings: Subsets,
+    settings: SubsettingConfig,
     classes: Vec<RequestClass>,
     /// How many gateways the platform's settings name and which is this one: what counts without membership.
     fleet: Fleet,
@@ -31,7 +31,7 @@
 
 impl Subsetting {
     /// With the operator's settings and the platform's.
-    pub fn new(settings: Subsets, platform: &Settings) -> Subsetting {
+    pub fn new(settings: SubsettingConfig, platform: &Settings) -> Subsetting {
         let given = &platform.given;
         Subsetting { settings, classes: given.classes.clone(), fleet: given.fleet.clone() }
     }
@@ -108,7 +108,7 @@
         let fractions: BTreeMap<u32, f64> =
             used.iter().filter_map(|id| Some((*id, assignment.plan.part(*id)?))).collect();
         state.policy.set_subset(&used, &fractions);
-        state.sleep(subsetting.settings.look);
+        state.sleep(subsetting.settings.check_interval);
     }
 }
 
--- a/crates/operator-config/src/health_gossip.rs
+++ b/crates/operator-config/src/health_gossip.rs
@@ -1,7 +1,7 @@
 //! `[signals]`: what gateways tell each other of the health of engines.
 
 use crate::error::{ConfigError, Problem};
-use crate::membership::Gateways;
+use crate::membership::MembershipConfig;
 use crate::table::{Table, default_count, default_ms};
 use larchfall_health_gossip::weigh;
 use larchfall_policy::time::Duration;
@@ -10,14 +10,15 @@
 
 /// What gateways tell each other of engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Signals {
+pub struct HealthGossipConfig {
     /// Time between two reports.
-    pub every: Duration,
+    pub interval: Duration,
     /// To how many members each report goes.
     pub fanout: usize,
+    /// How observations of others count.
     pub weigh: weigh::Settings,
     /// In each such time one gateway probes an ejected engine; `None`: each gateway does so by itself.
-    pub turn: Option<Duration>,
+    pub probe_slot: Option<Duration>,
 }
 
 /// The table as it is written.
@@ -38,17 +39,18 @@
 pub(crate) fn check(
     text: &str,
     spanned: &Spanned<RawSignals>,
-    gateways: Option<&Gateways>,
-) -> Result<Signals, ConfigError> {
+    membership: Option<&MembershipConfig>,
+) -> Result<HealthGossipConfig, ConfigError> {
     let table = Table::new(text, "signals");
-    if gateways.is_none() {
+    if membership.is_none() {
         return Err(table.refuse(spanned, "every-ms", Problem::NeedsMembership));
     }
     let raw = spanned.get_ref();
-    let every = table.duration(&raw.every_ms, "every-ms", 20, 60_000)?;
+    let interval = table.duration(&raw.every_ms, "every-ms", 20, 60_000)?;
     let fanout = table.count(&raw.fanout, "fanout", 1, 64)?;
     let window = table.duration(&raw.window_ms, "window-ms", 100, 600_000)?;
     let lasts = table.duration(&raw.lasts_ms, "lasts-ms", 100, 600_000)?;
-    let turn = raw.turn_ms.as_ref().map(|turn| table.duration(turn, "turn-ms", 100, 600_000)).transpose()?;
-    Ok(Signals { every, fanout, weigh: weigh::Settings { window, lasts }, turn })
+    let probe_slot =
+        raw.turn_ms.as_ref().map(|slot| table.duration(slot, "turn-ms", 100, 600_000)).transpose()?;
+    Ok(HealthGossipConfig { interval, fanout, weigh: weigh::Settings { window, lasts }, probe_slot })
 }
--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -1,7 +1,7 @@
 //! `[duties]` and each `[[duty]]`: what one gateway at a time does, and the programs that the operator runs so.
 
 use crate::error::{ConfigError, Problem};
-use crate::membership::Gateways;
+use crate::membership::MembershipConfig;
 use crate::table::{Table, default_count, default_ms, line};
 use larchfall_leases::candidacy::LeaseTerms;
 use larchfall_leases::fitness::FitnessThresholds;
@@ -23,42 +23,52 @@
 
 /// What one gateway at a time does.
 #[derive(Clone, Debug)]
-pub struct Duties {
+pub struct LeaseConfig {
+    /// Voters, leases and roles.
     pub settings: LeaseSettings,
     /// The folder for what a voter remembers; `None`: it remembers nothing over a restart.
-    pub record: Option<PathBuf>,
+    pub record_folder: Option<PathBuf>,
     /// Below which a gateway holds no role.
-    pub lines: FitnessThresholds,
-    pub probing: Option<LoadSharingSettings>,
-    pub keepers: Option<Keepers>,
-    pub programs: Vec<Program>,
+    pub fitness: FitnessThresholds,
+    /// Load reports that one gateway asks engines for, for all.
+    pub load_sharing: Option<LoadSharingSettings>,
+    /// Quotas that one gateway hands out to all.
+    pub quotas: Option<QuotaConfig>,
+    /// The operator's programs.
+    pub programs: Vec<ProgramConfig>,
 }
 
-/// The gateways that hand out quotas.
+/// How quotas are handed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keepers {
+pub struct QuotaConfig {
     /// How many roles the capacities are divided among.
-    pub keepers: usize,
+    pub allocators: usize,
     /// How long a quota lasts.
-    pub length: Duration,
-    pub kinds: Kinds,
+    pub lifetime: Duration,
+    /// What is handed out.
+    pub kinds: QuotaKinds,
 }
 
 /// What is handed out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kinds {
+pub struct QuotaKinds {
+    /// Attempts at engines in slow start.
     pub slow_start: bool,
+    /// Threads of engines.
     pub threads: bool,
+    /// Quota rates of tenants.
     pub tenants: bool,
 }
 
 /// A program of the operator's that runs while this gateway holds its role.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Program {
-    pub duty: String,
+pub struct ProgramConfig {
+    /// The name of its role.
+    pub role: String,
+    /// The program and its arguments.
     pub command: Vec<String>,
     /// Time between the request to end and the kill, which comes before the lease is over.
-    pub end: Duration,
+    pub stop_grace: Duration,
 }
 
 /// The table as it is written.
@@ -132,10 +142,10 @@
     text: &str,
     raw: RawDuties,
     raw_programs: &[RawProgram],
-    gateways: Option<&Gateways>,
-) -> Result<Duties, ConfigError> {
+    membership: Option<&MembershipConfig>,
+) -> Result<LeaseConfig, ConfigError> {
     let table = Table::new(text, "duties");
-    let Some(gateways) = gateways else {
+    let Some(membership) = membership else {
         return Err(table.refuse(&raw.electors, "electors", Problem::NeedsMembership));
     };
     let previous = raw.electors_before.as_ref();
@@ -143,13 +153,13 @@
     let current = voters(&table, &raw.electors, "electors")?;
     let length = table.duration(&raw.lease_ms, "lease-ms", 200, 60_000)?;
     let longest_lease = longest_lease(&table, &raw, length)?;
-    let probing = probing(&table, &raw)?;
-    let keepers = keepers(&table, &raw)?;
-    let mut roles = built_in_roles(probing, keepers);
+    let load_sharing = load_sharing(&table, &raw)?;
+    let quotas = quotas(&table, &raw)?;
+    let mut roles = built_in_roles(load_sharing, quotas);
     let programs = programs(text, raw_programs, &mut roles, length)?;
     let drift_margin_per_mille = table.count(&raw.margin, "margin", 1, 500)? as u32;
     let settings = LeaseSettings {
-        cluster: gateways.settings.cluster.clone(),
+        cluster: membership.settings.cluster.clone(),
         voters: VoterSet { current, previous },
         terms: LeaseTerms { length, drift_margin_per_mille },
         voter_limits: VoterLimits { longest_lease, max_roles: MAX_ROLES, persistent: raw.record.is_some() },
@@ -157,8 +167,8 @@
         min_hold: table.duration(&raw.least_ms, "least-ms", 0, 3_600_000)?,
         better_margin: MIN_IMPROVEMENT,
     };
-    let lines = fitness(&table, &raw)?;
-    Ok(Duties { settings, record: raw.record, lines, probing, keepers, programs })
+    let fitness = fitness(&table, &raw)?;
+    Ok(LeaseConfig { settings, record_folder: raw.record, fitness, load_sharing, quotas, programs })
 }
 
 /// The names of the gateways that vote: an odd number of them, none twice.
@@ -190,7 +200,7 @@
     Ok(longest)
 }
 
-fn probing(table: &Table, raw: &RawDuties) -> Result<Option<LoadSharingSettings>, ConfigError> {
+fn load_sharing(table: &Table, raw: &RawDuties) -> Result<Option<LoadSharingSettings>, ConfigError> {
     let roles = raw.probing.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
     let interval = table.duration(&raw.probe_ms, "probe-ms", 20, 60_000)?;
     let max_age = table.duration(&raw.fresh_ms, "fresh-ms", 20, 600_000)?;
@@ -204,23 +214,26 @@
     Ok(roles.map(|roles| LoadSharingSettings { roles, interval, max_age }))
 }
 
-fn keepers(table: &Table, raw: &RawDuties) -> Result<Option<Keepers>, ConfigError> {
-    let keepers = raw.keepers.as_ref().map(|count| table.count(count, "keepers", 1, 64)).transpose()?;
-    let length = table.duration(&raw.share_ms, "share-ms", 100, 60_000)?;
+fn quotas(table: &Table, raw: &RawDuties) -> Result<Option<QuotaConfig>, ConfigError> {
+    let allocators = raw.keepers.as_ref().map(|count| table.count(count, "keepers", 1, 64)).transpose()?;
+    let lifetime = table.duration(&raw.share_ms, "share-ms", 100, 60_000)?;
     let hands_out = |kind| raw.hand_out.contains(&kind);
-    let kinds = Kinds {
+    let kinds = QuotaKinds {
         slow_start: hands_out(RawKind::SlowStart),
         threads: hands_out(RawKind::Threads),
         tenants: hands_out(RawKind::Tenants),
     };
-    Ok(keepers.map(|keepers| Keepers { keepers, length, kinds }))
+    Ok(allocators.map(|allocators| QuotaConfig { allocators, lifetime, kinds }))
 }
 
 /// The names of the roles that are not the operator's programs.
-fn built_in_roles(probing: Option<LoadSharingSettings>, keepers: Option<Keepers>) -> BTreeSet<String> {
-    let probing = (0..probing.map_or(0, |settings| settings.roles)).map(health_check_role);
-    let keepers = (0..keepers.map_or(0, |settings| settings.keepers)).map(quota_allocator_role);
-    probing.chain(keepers).collect()
+fn built_in_roles(
+    load_sharing: Option<LoadSharingSettings>,
+    quotas: Option<QuotaConfig>,
+) -> BTreeSet<String> {
+    let health_checks = (0..load_sharing.map_or(0, |settings| settings.roles)).map(health_check_role);
+    let allocators = (0..quotas.map_or(0, |quotas| quotas.allocators)).map(quota_allocator_role);
+    health_checks.chain(allocators).collect()
 }
 
 /// The operator's programs. Each is a role of its own, and adds its name to the roles.
@@ -229,23 +242,23 @@
     raw_programs: &[RawProgram],
     roles: &mut BTreeSet<String>,
     length: Duration,
-) -> Result<Vec<Program>, ConfigError> {
+) -> Result<Vec<ProgramConfig>, ConfigError> {
     let table = Table::new(text, "duty");
     // Renewed in each third of its length, a lease has two thirds left at the worst: an ordinary delay ends no program.
     let longest_end_ms = length.micros() / 4000;
     let mut programs = Vec::new();
     for raw in raw_programs {
-        let duty = raw.name.get_ref().clone();
-        if !(1..=MAX_NAME_BYTES).contains(&duty.len()) || !roles.insert(duty.clone()) {
-            let problem = Problem::RoleName { value: duty, maximum: MAX_NAME_BYTES };
+        let role = raw.name.get_ref().clone();
+        if !(1..=MAX_NAME_BYTES).contains(&role.len()) || !roles.insert(role.clone()) {
+            let problem = Problem::RoleName { value: role, maximum: MAX_NAME_BYTES };
             return Err(table.refuse(&raw.name, "name", problem));
         }
         let command = raw.command.get_ref().clone();
         if command.first().is_none_or(String::is_empty) {
             return Err(table.refuse(&raw.command, "command", Problem::EmptyCommand));
         }
-        let end = table.duration(&raw.end_ms, "end-ms", 10, longest_end_ms)?;
-        programs.push(Program { duty, command, end });
+        let stop_grace = table.duration(&raw.end_ms, "end-ms", 10, longest_end_ms)?;
+        programs.push(ProgramConfig { role, command, stop_grace });
     }
     Ok(programs)
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -3,6 +3,8 @@
 //! their fields have the file's own names, since refusals show these, and are checked and turned into the program's own
 //! settings there.
 
+#![deny(missing_docs)]
+
 mod error;
 mod health_gossip;
 mod leases;
@@ -12,11 +14,11 @@
 mod table;
 
 pub use error::{ConfigError, Problem, ReadError};
-pub use health_gossip::Signals;
-pub use leases::{Duties, Keepers, Kinds, Program};
-pub use membership::Gateways;
-pub use paged_rest::Rest;
-pub use subsetting::Subsets;
+pub use health_gossip::HealthGossipConfig;
+pub use leases::{LeaseConfig, ProgramConfig, QuotaConfig, QuotaKinds};
+pub use membership::MembershipConfig;
+pub use paged_rest::PagedRestConfig;
+pub use subsetting::SubsettingConfig;
 
 use health_gossip::RawSignals;
 use larchfall_config::Names;
@@ -29,12 +31,17 @@
 
 /// All that a file sets; `None` for what is off.
 #[derive(Clone, Debug, Default)]
-pub struct Site {
-    pub rest: Option<Rest>,
-    pub gateways: Option<Gateways>,
-    pub duties: Option<Duties>,
-    pub subsets: Option<Subsets>,
-    pub signals: Option<Signals>,
+pub struct OperatorConfig {
+    /// The paged REST protocol for clients.
+    pub paged_rest: Option<PagedRestConfig>,
+    /// The gateways among themselves.
+    pub membership: Option<MembershipConfig>,
+    /// What one gateway at a time does.
+    pub leases: Option<LeaseConfig>,
+    /// Which engines a gateway uses.
+    pub subsetting: Option<SubsettingConfig>,
+    /// What gateways tell each other of engines.
+    pub health_gossip: Option<HealthGossipConfig>,
 }
 
 /// The file as it is written.
@@ -51,27 +58,28 @@
 }
 
 /// Reads a file; a refusal begins with its path.
-pub fn read(path: &str, names: &Names) -> Result<Site, ReadError> {
+pub fn read(path: &str, names: &Names) -> Result<OperatorConfig, ReadError> {
     let unreadable = |error| ReadError::Unreadable { path: path.to_owned(), error };
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
     parse(&text, names).map_err(|error| ReadError::Refused { path: path.to_owned(), error })
 }
 
 /// Checks the text of a file against the names of the platform's settings.
-pub fn parse(text: &str, names: &Names) -> Result<Site, ConfigError> {
+pub fn parse(text: &str, names: &Names) -> Result<OperatorConfig, ConfigError> {
     let raw: Raw = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
-    let gateways = raw.fronts.map(|raw| membership::check(text, &raw)).transpose()?;
-    let duties = match raw.duties {
-        Some(duties) => Some(leases::check(text, duties, &raw.duty, gateways.as_ref())?),
+    let membership = raw.fronts.map(|raw| membership::check(text, &raw)).transpose()?;
+    let leases = match raw.duties {
+        Some(duties) => Some(leases::check(text, duties, &raw.duty, membership.as_ref())?),
         None => {
             leases::refuse_without_leases(text, &raw.duty)?;
             None
         }
     };
-    let subsets = raw.subsets.map(|raw| subsetting::check(text, &raw)).transpose()?;
-    let signals = raw.signals.map(|raw| health_gossip::check(text, &raw, gateways.as_ref())).transpose()?;
-    let rest = raw.rest.map(|raw| paged_rest::check(text, raw, names)).transpose()?;
-    Ok(Site { rest, gateways, duties, subsets, signals })
+    let subsetting = raw.subsets.map(|raw| subsetting::check(text, &raw)).transpose()?;
+    let health_gossip =
+        raw.signals.map(|raw| health_gossip::check(text, &raw, membership.as_ref())).transpose()?;
+    let paged_rest = raw.rest.map(|raw| paged_rest::check(text, raw, names)).transpose()?;
+    Ok(OperatorConfig { paged_rest, membership, leases, subsetting, health_gossip })
 }
 
 fn syntax_error(text: &str, error: &toml::de::Error) -> ConfigError {
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -14,19 +14,21 @@
 
 /// The gateways among themselves.
 #[derive(Clone, Debug)]
-pub struct Gateways {
+pub struct MembershipConfig {
     /// This gateway's name.
     pub name: String,
     /// Where it listens.
-    pub address: SocketAddrV4,
+    pub listen: SocketAddrV4,
     /// The address that other members are told.
-    pub told: SocketAddrV4,
+    pub advertised: SocketAddrV4,
+    /// This gateway's zone.
     pub zone: String,
     /// Requests a second that this gateway is meant to serve, as other members are told.
-    pub serves: u32,
+    pub requests_per_second: u32,
+    /// How members find and check each other.
     pub settings: MembershipSettings,
     /// The policy counts the gateways that are alive, within these bounds; `None`: those that the settings name.
-    pub count: Option<FleetSizeSettings>,
+    pub fleet_size: Option<FleetSizeSettings>,
 }
 
 /// The table as it is written.
@@ -64,28 +66,33 @@
     count_least: Spanned<usize>,
 }
 
-pub(crate) fn check(text: &str, raw: &RawFronts) -> Result<Gateways, ConfigError> {
+pub(crate) fn check(text: &str, raw: &RawFronts) -> Result<MembershipConfig, ConfigError> {
     let table = Table::new(text, "fronts");
     let settings = members(&table, raw)?;
-    let count = FleetSizeSettings {
+    let fleet_size = FleetSizeSettings {
         window: table.duration(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
         step: table.duration(&raw.count_step_ms, "count-step-ms", 10, 600_000)?,
         min: table.count(&raw.count_least, "count-least", 1, 65_536)?,
     };
-    let listens = address(&table, &raw.address, "address")?;
-    let told = raw.told.as_ref().map(|told| address(&table, told, "told")).transpose()?.unwrap_or(listens);
-    if told.port() == 0 || told.ip().is_unspecified() {
-        return Err(table.refuse(&raw.address, "address", Problem::UnreachableAddress { address: told }));
+    let listen = address(&table, &raw.address, "address")?;
+    let advertised = raw.told.as_ref().map(|told| address(&table, told, "told")).transpose()?;
+    let advertised = advertised.unwrap_or(listen);
+    if advertised.port() == 0 || advertised.ip().is_unspecified() {
+        return Err(table.refuse(
+            &raw.address,
+            "address",
+            Problem::UnreachableAddress { address: advertised },
+        ));
     }
     let zone = raw.zone.as_ref();
-    Ok(Gateways {
+    Ok(MembershipConfig {
         name: name(&table, &raw.name, "name")?,
-        address: listens,
-        told,
+        listen,
+        advertised,
         zone: zone.map(|zone| name(&table, zone, "zone")).transpose()?.unwrap_or_default(),
-        serves: raw.serves,
+        requests_per_second: raw.serves,
         settings,
-        count: raw.shares.then_some(count),
+        fleet_size: raw.shares.then_some(fleet_size),
     })
 }
 
--- a/crates/operator-config/src/paged_rest.rs
+++ b/crates/operator-config/src/paged_rest.rs
@@ -17,20 +17,23 @@
 
 /// The paged REST protocol for clients.
 #[derive(Clone, Debug)]
-pub struct Rest {
+pub struct PagedRestConfig {
+    /// Where clients connect.
     pub listen: SocketAddrV4,
     /// Scheme, host and port in the addresses of pages; `None`: as the client's call names the host.
-    pub base: Option<String>,
-    pub headers: HeaderFamily,
+    pub base_url: Option<String>,
+    /// The headers that clients write.
+    pub header_family: HeaderFamily,
     /// Client connections, taken off those of the other protocol.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of a statement.
-    pub statement: usize,
+    pub max_statement_bytes: usize,
     /// A call for a page that is not there is held back for so long at most.
-    pub poll: Duration,
+    pub poll_timeout: Duration,
+    /// Limits of results.
     pub limits: ResultLimits,
     /// Where the fields of a request are found.
-    pub request: FieldSources,
+    pub sources: FieldSources,
 }
 
 /// The table as it is written.
@@ -63,7 +66,7 @@
     request: Spanned<FieldSources>,
 }
 
-pub(crate) fn check(text: &str, raw: RawRest, names: &Names) -> Result<Rest, ConfigError> {
+pub(crate) fn check(text: &str, raw: RawRest, names: &Names) -> Result<PagedRestConfig, ConfigError> {
     let table = Table::new(text, "rest");
     let listen = raw.listen.get_ref();
     let refused = |_| table.refuse(&raw.listen, "listen", Problem::NoAddress { value: listen.clone() });
@@ -74,24 +77,24 @@
             return Err(table.refuse(base, "base", Problem::BaseUrl { value: value.clone() }));
         }
     }
-    let poll = table.duration(&raw.poll_ms, "poll-ms", 1, 60_000)?;
-    let limits = limits(&table, &raw, poll)?;
+    let poll_timeout = table.duration(&raw.poll_ms, "poll-ms", 1, 60_000)?;
+    let limits = limits(&table, &raw, poll_timeout)?;
     check_sources(&table, &raw.request, names)?;
-    Ok(Rest {
+    Ok(PagedRestConfig {
         listen,
-        base: raw.base.map(|base| base.into_inner().trim_end_matches('/').to_owned()),
-        headers: raw.headers,
-        connections: table.count(&raw.connections, "connections", 1, 100_000)?,
-        statement: table.count(&raw.statement_bytes, "statement-bytes", 1, 1 << 20)?,
-        poll,
+        base_url: raw.base.map(|base| base.into_inner().trim_end_matches('/').to_owned()),
+        header_family: raw.headers,
+        max_connections: table.count(&raw.connections, "connections", 1, 100_000)?,
+        max_statement_bytes: table.count(&raw.statement_bytes, "statement-bytes", 1, 1 << 20)?,
+        poll_timeout,
         limits,
-        request: raw.request.into_inner(),
+        sources: raw.request.into_inner(),
     })
 }
 
-fn limits(table: &Table, raw: &RawRest, poll: Duration) -> Result<ResultLimits, ConfigError> {
+fn limits(table: &Table, raw: &RawRest, poll_timeout: Duration) -> Result<ResultLimits, ConfigError> {
     let retention = table.duration(&raw.kept_for_ms, "kept-for-ms", 100, 3_600_000)?;
-    if retention <= poll {
+    if retention <= poll_timeout {
         let problem = Problem::RetentionTooShort {
             retention_ms: *raw.kept_for_ms.get_ref(),
             poll_ms: *raw.poll_ms.get_ref(),
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -9,11 +9,13 @@
 
 /// Which engines a gateway uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Subsets {
+pub struct SubsettingConfig {
+    /// How engines are assigned.
     pub plan: plan::Settings,
+    /// How the size of a subset follows the load.
     pub aperture: aperture::Settings,
     /// Time between two looks at whether the subset has the right size.
-    pub look: Duration,
+    pub check_interval: Duration,
 }
 
 /// The table as it is written.
@@ -31,16 +33,16 @@
     look_ms: Spanned<u64>,
 }
 
-pub(crate) fn check(text: &str, raw: &RawSubsets) -> Result<Subsets, ConfigError> {
+pub(crate) fn check(text: &str, raw: &RawSubsets) -> Result<SubsettingConfig, ConfigError> {
     let table = Table::new(text, "subsets");
     let least = table.count(&raw.least, "least", 1, 1024)?;
     let slack = table.count(&raw.slack, "slack", 0, 1000)? as f64 / 1000.0;
     let grows = table.duration(&raw.grows_ms, "grows-ms", 10, 600_000)?;
     let shrinks = table.duration(&raw.shrinks_ms, "shrinks-ms", 10, 3_600_000)?;
-    let look = table.duration(&raw.look_ms, "look-ms", 10, 60_000)?;
-    Ok(Subsets {
+    let check_interval = table.duration(&raw.look_ms, "look-ms", 10, 60_000)?;
+    Ok(SubsettingConfig {
         plan: plan::Settings { least, slack },
         aperture: aperture::Settings { grows, shrinks },
-        look,
+        check_interval,
     })
 }
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -3,7 +3,7 @@
 
 use larchfall_config::Names;
 use larchfall_membership::membership::Network;
-use larchfall_operator_config::{Site, parse};
+use larchfall_operator_config::{OperatorConfig, parse};
 use larchfall_paged_rest::request_fields::{FieldSource, HeaderFamily};
 use larchfall_policy::time::Duration;
 
@@ -58,11 +58,14 @@
 
 #[test]
 fn a_paged_rest_table_of_the_version_before_means_the_same() {
-    let rest = parse(FILE, &names()).unwrap().rest.unwrap();
+    let rest = parse(FILE, &names()).unwrap().paged_rest.unwrap();
     assert_eq!(rest.listen.to_string(), "127.0.0.1:8080");
-    assert_eq!(rest.base.as_deref(), Some("http://queries.example:8080"));
-    assert_eq!((rest.headers, rest.connections, rest.statement), (HeaderFamily::Both, 48, 32_768));
-    assert_eq!((rest.poll, rest.limits.window.retention), (ms(900), ms(20_000)));
+    assert_eq!(rest.base_url.as_deref(), Some("http://queries.example:8080"));
+    assert_eq!(
+        (rest.header_family, rest.max_connections, rest.max_statement_bytes),
+        (HeaderFamily::Both, 48, 32_768)
+    );
+    assert_eq!((rest.poll_timeout, rest.limits.window.retention), (ms(900), ms(20_000)));
     assert_eq!(
         (rest.limits.max_results, rest.limits.max_in_flight, rest.limits.max_bytes),
         (128, 16, 4_194_304)
@@ -70,7 +73,7 @@
     assert_eq!((rest.limits.window.max_pages, rest.limits.window.max_bytes), (3, 131_072));
     let session = |name: &str| vec![FieldSource::SessionProperty(name.into())];
     let value = |value: &str| FieldSource::Value(value.into());
-    let request = rest.request;
+    let request = rest.sources;
     assert_eq!(
         request.class,
         [FieldSource::FamilyHeader("Source".into()), session("group").remove(0), value("look")]
@@ -83,25 +86,28 @@
 
 #[test]
 fn a_members_table_of_the_version_before_means_the_same() {
-    let gateways = parse(FILE, &names()).unwrap().gateways.unwrap();
-    assert_eq!((&gateways.name[..], &gateways.zone[..], gateways.serves), ("n0", "east", 40));
-    assert_eq!(gateways.address.to_string(), "0.0.0.0:7400");
-    assert_eq!(gateways.told.to_string(), "10.0.0.7:7400");
-    let members = gateways.settings;
+    let membership = parse(FILE, &names()).unwrap().membership.unwrap();
+    assert_eq!(
+        (&membership.name[..], &membership.zone[..], membership.requests_per_second),
+        ("n0", "east", 40)
+    );
+    assert_eq!(membership.listen.to_string(), "0.0.0.0:7400");
+    assert_eq!(membership.advertised.to_string(), "10.0.0.7:7400");
+    let members = membership.settings;
     assert_eq!((&members.cluster[..], members.max_members), ("harbor", 512));
     assert_eq!((members.probe_interval, members.probe_timeout), (ms(400), ms(120)));
     assert_eq!((members.table_interval, members.remember_ended), (ms(2_500), ms(50_000)));
     assert_eq!(members.seeds, ["10.0.0.8:7400".parse().unwrap()]);
     let network = |address: [u8; 4], prefix_len| Network { address: address.into(), prefix_len };
     assert_eq!(members.networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
-    let count = gateways.count.unwrap();
+    let count = membership.fleet_size.unwrap();
     assert_eq!((count.window, count.step, count.min), (ms(20_000), ms(1_500), 2));
 }
 
 #[test]
 fn leases_of_the_version_before_mean_the_same() {
-    let duties = parse(FILE, &names()).unwrap().duties.unwrap();
-    let settings = duties.settings;
+    let leases = parse(FILE, &names()).unwrap().leases.unwrap();
+    let settings = leases.settings;
     let list = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     assert_eq!(settings.voters.current, list(&["n0", "n1", "n2"]));
     assert_eq!(settings.voters.previous, Some(list(&["n0", "n1", "n3"])));
@@ -110,28 +116,28 @@
     assert_eq!((settings.min_hold, &settings.cluster[..]), (ms(20_000), "harbor"));
     let roles = ["keeper:0", "keeper:1", "nightly", "probing:0", "probing:1", "probing:2"];
     assert_eq!(settings.roles, list(&roles));
-    assert_eq!(duties.record, Some("/var/lib/larchfall".into()));
+    assert_eq!(leases.record_folder, Some("/var/lib/larchfall".into()));
     assert_eq!(
-        (duties.lines.max_discovery_silence, duties.lines.unhealthy_score),
+        (leases.fitness.max_discovery_silence, leases.fitness.unhealthy_score),
         (Some(ms(8_000)), Some(4))
     );
-    let probing = duties.probing.unwrap();
-    assert_eq!((probing.roles, probing.interval, probing.max_age), (3, ms(400), ms(1_600)));
-    let keepers = duties.keepers.unwrap();
-    assert_eq!((keepers.keepers, keepers.length), (2, ms(1_200)));
-    assert!(keepers.kinds.slow_start && keepers.kinds.threads && keepers.kinds.tenants);
-    let [program] = &duties.programs[..] else { panic!("{:?}", duties.programs) };
-    assert_eq!((&program.duty[..], program.end), ("nightly", ms(250)));
+    let load_sharing = leases.load_sharing.unwrap();
+    assert_eq!((load_sharing.roles, load_sharing.interval, load_sharing.max_age), (3, ms(400), ms(1_600)));
+    let quotas = leases.quotas.unwrap();
+    assert_eq!((quotas.allocators, quotas.lifetime), (2, ms(1_200)));
+    assert!(quotas.kinds.slow_start && quotas.kinds.threads && quotas.kinds.tenants);
+    let [program] = &leases.programs[..] else { panic!("{:?}", leases.programs) };
+    assert_eq!((&program.role[..], program.stop_grace), ("nightly", ms(250)));
     assert_eq!(program.command, ["/usr/bin/nightly", "--once"]);
 }
 
 #[test]
 fn subsets_and_gossip_of_the_version_before_mean_the_same() {
-    let Site { subsets, signals, .. } = parse(FILE, &names()).unwrap();
-    let subsets = subsets.unwrap();
-    assert_eq!((subsets.plan.least, subsets.plan.slack, subsets.look), (12, 0.2, ms(400)));
-    assert_eq!((subsets.aperture.grows, subsets.aperture.shrinks), (ms(900), ms(9_000)));
-    let signals = signals.unwrap();
-    assert_eq!((signals.every, signals.fanout, signals.turn), (ms(200), 6, Some(ms(2_000))));
-    assert_eq!((signals.weigh.window, signals.weigh.lasts), (ms(9_000), ms(3_500)));
+    let OperatorConfig { subsetting, health_gossip, .. } = parse(FILE, &names()).unwrap();
+    let subsetting = subsetting.unwrap();
+    assert_eq!((subsetting.plan.least, subsetting.plan.slack, subsetting.check_interval), (12, 0.2, ms(400)));
+    assert_eq!((subsetting.aperture.grows, subsetting.aperture.shrinks), (ms(900), ms(9_000)));
+    let gossip = health_gossip.unwrap();
+    assert_eq!((gossip.interval, gossip.fanout, gossip.probe_slot), (ms(200), 6, Some(ms(2_000))));
+    assert_eq!((gossip.weigh.window, gossip.weigh.lasts), (ms(9_000), ms(3_500)));
 }
--- a/crates/operator-config/tests/site.rs
+++ b/crates/operator-config/tests/site.rs
@@ -18,25 +18,26 @@
 
 #[test]
 fn what_a_file_leaves_out_is_off_or_has_its_default() {
-    assert!(parse("", &names()).unwrap().rest.is_none());
-    let rest = parse(LEAST, &names()).unwrap().rest.unwrap();
+    assert!(parse("", &names()).unwrap().paged_rest.is_none());
+    let rest = parse(LEAST, &names()).unwrap().paged_rest.unwrap();
     assert_eq!(
-        (rest.headers, rest.base, rest.poll),
+        (rest.header_family, rest.base_url, rest.poll_timeout),
         (HeaderFamily::Trino, None, Duration::from_millis(1000))
     );
-    assert_eq!((rest.connections, rest.limits.max_results, rest.limits.window.max_pages), (32, 256, 4));
-    assert_eq!(rest.request.class, [FieldSource::Value("look".into())]);
+    assert_eq!((rest.max_connections, rest.limits.max_results, rest.limits.window.max_pages), (32, 256, 4));
+    assert_eq!(rest.sources.class, [FieldSource::Value("look".into())]);
     let example = parse(include_str!("../../../deploy/site-example.toml"), &names()).unwrap();
-    let (rest, gateways) = (example.rest.unwrap(), example.gateways.unwrap());
-    assert_eq!((rest.headers, rest.request.class.len()), (HeaderFamily::Both, 2));
-    assert_eq!((gateways.told, gateways.settings.networks[0].prefix_len), (gateways.address, 8));
-    let duties = example.duties.unwrap();
-    assert_eq!((duties.settings.roles.len(), duties.programs.len(), duties.keepers), (5, 1, None));
-    assert_eq!(duties.probing.map(|p| p.max_age), Some(Duration::from_millis(1500)));
-    assert!(parse(LEAST, &names()).unwrap().gateways.is_none());
-    assert!(parse(GATEWAYS, &names()).unwrap().duties.is_none());
-    let least = parse(GATEWAYS, &names()).unwrap().gateways.unwrap();
-    assert!(least.count.is_none() && gateways.count.is_some_and(|c| c.min == 3));
+    let rest = example.paged_rest.unwrap();
+    let membership = example.membership.unwrap();
+    assert_eq!((rest.header_family, rest.sources.class.len()), (HeaderFamily::Both, 2));
+    assert_eq!((membership.advertised, membership.settings.networks[0].prefix_len), (membership.listen, 8));
+    let leases = example.leases.unwrap();
+    assert_eq!((leases.settings.roles.len(), leases.programs.len(), leases.quotas), (5, 1, None));
+    assert_eq!(leases.load_sharing.map(|p| p.max_age), Some(Duration::from_millis(1500)));
+    assert!(parse(LEAST, &names()).unwrap().membership.is_none());
+    assert!(parse(GATEWAYS, &names()).unwrap().leases.is_none());
+    let least = parse(GATEWAYS, &names()).unwrap().membership.unwrap();
+    assert!(least.fleet_size.is_none() && membership.fleet_size.is_some_and(|c| c.min == 3));
     assert_eq!(
         (least.settings.probe_interval, least.settings.max_members),
         (Duration::from_millis(500), 1024)
