--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -10,7 +10,7 @@
 use larchfall_policy::time::Duration;
 
 pub(crate) fn settings(raw: Raw) -> Result<Settings, SettingsError> {
-    let given = PolicyConfig {
+    let policy = PolicyConfig {
         classes: classes(&raw)?,
         fleet: fleet(&raw),
         tenants: raw.tenants.iter().map(|tenant| Tenant { quota_rate: tenant.quota_rate }).collect(),
@@ -20,13 +20,13 @@
         key_cooldown: Duration::from_micros(raw.safety.key_cooldown),
     };
     Ok(Settings {
-        given,
-        tells_work: raw.domain.outcomes_report_work,
-        report_fields: raw.load_reports.fields,
-        must_ask: raw.discovery == "subscribe",
-        limits: raw.classes.iter().map(|class| Duration::from_micros(class.time_limit)).collect(),
-        connect_within: Duration::from_micros(raw.caps.connect_timeout),
-        idle_close: Duration::from_micros(raw.caps.idle_timeout),
+        policy,
+        outcomes_report_work: raw.domain.outcomes_report_work,
+        load_report_fields: raw.load_reports.fields,
+        must_subscribe: raw.discovery == "subscribe",
+        max_deadlines: raw.classes.iter().map(|class| Duration::from_micros(class.time_limit)).collect(),
+        connect_timeout: Duration::from_micros(raw.caps.connect_timeout),
+        engine_idle_timeout: Duration::from_micros(raw.caps.idle_timeout),
         drain_grace: Duration::from_micros(raw.safety.drain_grace),
         single_attempt: raw.caps.hedging == Some(false),
         names: Names {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -17,21 +17,21 @@
 /// What one gateway is given at its start.
 pub struct Settings {
     /// What the decisions need.
-    pub given: PolicyConfig,
+    pub policy: PolicyConfig,
     /// Whether outcomes say what their request cost.
-    pub tells_work: bool,
+    pub outcomes_report_work: bool,
     /// The names of the values in an engine's load report, in their order.
-    pub report_fields: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// Whether endpoints are listed only once a gateway has asked for them.
-    pub must_ask: bool,
+    pub must_subscribe: bool,
     /// The names of classes, tenants, zones and kinds.
     pub names: Names,
     /// How long clients of each request class wait at most.
-    pub limits: Vec<Duration>,
+    pub max_deadlines: Vec<Duration>,
     /// A connection that is not established by then has failed.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// Engines close connections that were idle this long.
-    pub idle_close: Duration,
+    pub engine_idle_timeout: Duration,
     /// So long after a drain was announced, nothing new is sent to its engine.
     pub drain_grace: Duration,
     /// No request may have two attempts in flight.
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -38,36 +38,36 @@
 fn settings_of_the_version_before_mean_the_same() {
     let ms = Duration::from_millis;
     let settings = read(FILE.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
-    let Settings { given, names, .. } = &settings;
+    let Settings { policy, names, .. } = &settings;
 
-    assert_eq!((given.fleet.gateways, given.fleet.me, given.fleet.zone), (4, 2, 1));
-    let kinds: Vec<_> = given.fleet.kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
+    assert_eq!((policy.fleet.gateways, policy.fleet.me, policy.fleet.zone), (4, 2, 1));
+    let kinds: Vec<_> = policy.fleet.kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
     assert_eq!(kinds, [(4.0, 8_192.0), (16.0, 65_536.0)]);
-    let [load, look, once] = &given.classes[..] else { panic!("{:?}", given.classes) };
+    let [load, look, once] = &policy.classes[..] else { panic!("{:?}", policy.classes) };
     load_class(load);
     assert_eq!((look.effect, once.effect), (Idempotency::Idempotent, Idempotency::NonIdempotent));
     assert_eq!((look.threads, once.threads), (1.5, 1.0));
     assert!(look.waits_for_data_lock && !look.locks_data_set && !look.in_order && look.zones.is_none());
-    let quotas: Vec<f64> = given.tenants.iter().map(|tenant| tenant.quota_rate).collect();
+    let quotas: Vec<f64> = policy.tenants.iter().map(|tenant| tenant.quota_rate).collect();
     assert_eq!(quotas, [12.5, 0.0]);
 
-    let caps = &given.caps;
+    let caps = &policy.caps;
     assert!(
         caps.can_cancel && caps.sets_memory_grant && caps.swaps_when_out_of_memory && !caps.single_attempt
     );
     assert_eq!((caps.load_probe_cost, caps.connection_cost, caps.max_attempts), (Some(0.002), 0.01, 3));
     assert_eq!((caps.max_retry_after, caps.progress_interval), (Some(ms(500)), Some(ms(250))));
-    assert_eq!((caps.clock_step, given.key_cooldown), (ms(1), ms(700)));
-    let slow_start = &given.slow_start;
+    assert_eq!((caps.clock_step, policy.key_cooldown), (ms(1), ms(700)));
+    let slow_start = &policy.slow_start;
     assert_eq!((slow_start.multiple, slow_start.initial_capacity_factor), (3.5, 0.3));
     assert_eq!((slow_start.window, slow_start.warm_up_time), (ms(2_000), ms(14_000)));
-    let budget = given.retry_budget.as_ref().unwrap();
+    let budget = policy.retry_budget.as_ref().unwrap();
     assert_eq!((budget.window, budget.free, budget.per_request), (ms(10_000), 2.5, 0.1));
 
-    assert!(settings.tells_work && settings.must_ask && settings.single_attempt);
-    assert_eq!(settings.report_fields, ["concurrent", "load_share"]);
-    assert_eq!(settings.limits, [ms(30_000), ms(5_000), ms(6_000)]);
-    assert_eq!((settings.connect_within, settings.idle_close), (ms(250), ms(15_000)));
+    assert!(settings.outcomes_report_work && settings.must_subscribe && settings.single_attempt);
+    assert_eq!(settings.load_report_fields, ["concurrent", "load_share"]);
+    assert_eq!(settings.max_deadlines, [ms(30_000), ms(5_000), ms(6_000)]);
+    assert_eq!((settings.connect_timeout, settings.engine_idle_timeout), (ms(250), ms(15_000)));
     assert_eq!(settings.drain_grace, ms(2_000));
     assert_eq!(
         (&names.classes[..], &names.tenants[..]),
--- a/crates/gateway/src/cli/subsets.rs
+++ b/crates/gateway/src/cli/subsets.rs
@@ -76,7 +76,7 @@
         zone: Some(i % zones),
     };
     let gateways: BTreeSet<Gateway> = (0..gateways).map(gateway).collect();
-    survey(subsets.plan, &gateways, engines, &config.settings.given.classes)
+    survey(subsets.plan, &gateways, engines, &config.settings.policy.classes)
 }
 
 fn format_survey(engines: &[Listed], survey: &Survey) -> String {
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -43,9 +43,9 @@
     pub fn new(platform: &Settings) -> QuotaInputs {
         let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
         QuotaInputs {
-            gateways: platform.given.fleet.gateways,
-            slow_start: platform.given.slow_start.clone(),
-            classes: platform.given.classes.clone(),
+            gateways: platform.policy.fleet.gateways,
+            slow_start: platform.policy.slow_start.clone(),
+            classes: platform.policy.classes.clone(),
             tenants: platform.names.tenants.iter().map(tenant).collect(),
         }
     }
--- a/crates/gateway/src/startup/state.rs
+++ b/crates/gateway/src/startup/state.rs
@@ -37,13 +37,13 @@
     let settings = TransportSettings::new(&platform);
     let caps = Caps {
         unobserved_attempt_lifetime: Some(UNOBSERVED_ATTEMPT_LIFETIME),
-        idle_connection_lifetime: ConnectionPool::idle_lifetime(platform.idle_close),
+        idle_connection_lifetime: ConnectionPool::idle_lifetime(platform.engine_idle_timeout),
         endpoint_list_lifetime: Some(discovery::REPORTED_WITHIN + platform.drain_grace),
         single_attempt: platform.single_attempt,
-        ..platform.given.caps
+        ..platform.policy.caps
     };
     let timers = Arc::new(Timers::new(clock));
-    let policy = Policy::new(seed, PolicyConfig { caps, ..platform.given });
+    let policy = Policy::new(seed, PolicyConfig { caps, ..platform.policy });
     State {
         clock,
         stall_detector: StallDetector::start(clock.now()),
@@ -54,7 +54,10 @@
         policy: PolicyHandle::new(policy, clock, limits.requests, timers.clone()),
         timers,
         client_connections: ClientConnections::new(limits.unread_bytes),
-        engine_connections: Arc::new(ConnectionPool::new(limits.engine_connections, platform.idle_close)),
+        engine_connections: Arc::new(ConnectionPool::new(
+            limits.engine_connections,
+            platform.engine_idle_timeout,
+        )),
         shutdown: Shutdown::default(),
         discovery: DiscoveryStatus::new(clock.now()),
         shared_load_reports: load_sharing
--- a/crates/gateway/src/state/settings.rs
+++ b/crates/gateway/src/state/settings.rs
@@ -46,23 +46,23 @@
     /// Takes what the transport needs of all settings.
     pub fn new(settings: &Settings) -> TransportSettings {
         let classes: Vec<ClassSettings> = settings
-            .given
+            .policy
             .classes
             .iter()
-            .zip(&settings.limits)
+            .zip(&settings.max_deadlines)
             .map(|(class, max_deadline)| ClassSettings {
                 max_deadline: *max_deadline,
                 in_order: class.in_order,
                 requires_idempotency_key: matches!(class.effect, Idempotency::IdempotentWithKey { .. }),
             })
             .collect();
-        let longest = settings.limits.iter().max().copied().unwrap_or_default();
+        let longest = settings.max_deadlines.iter().max().copied().unwrap_or_default();
         TransportSettings {
             names: settings.names.clone(),
             classes,
             single_attempt: settings.single_attempt,
-            max_retry_after: settings.given.caps.max_retry_after,
-            connect_timeout: settings.connect_within,
+            max_retry_after: settings.policy.caps.max_retry_after,
+            connect_timeout: settings.connect_timeout,
             drain_send_window: MAX_DRAIN_SEND_WINDOW.min(settings.drain_grace * DRAIN_SEND_FRACTION),
             unread_response_timeout: UNREAD_RESPONSE_TIMEOUT.max(longest + LATE_RESPONSE_GRACE),
         }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -32,8 +32,8 @@
 impl Subsetting {
     /// With the operator's settings and the platform's.
     pub fn new(settings: SubsettingConfig, platform: &Settings) -> Subsetting {
-        let given = &platform.given;
-        Subsetting { settings, classes: given.classes.clone(), fleet: given.fleet.clone() }
+        let policy = &platform.policy;
+        Subsetting { settings, classes: policy.classes.clone(), fleet: policy.fleet.clone() }
     }
 
     fn members(&self, state: &State, cluster: Option<&Cluster>) -> Members {
--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -39,16 +39,16 @@
         reply: &mut Reply,
     ) -> Result<Gateway, EventError> {
         let settings = larchfall_config::read(settings)?;
-        if settings.must_ask {
+        if settings.must_subscribe {
             reply.watch(instance);
         }
         let gateway = Gateway {
             instance,
-            classes: settings.given.classes.len(),
-            tenants: settings.given.tenants.len(),
-            policy: Policy::new(seed, settings.given),
-            outcomes_report_work: settings.tells_work,
-            load_fields: settings.report_fields,
+            classes: settings.policy.classes.len(),
+            tenants: settings.policy.tenants.len(),
+            policy: Policy::new(seed, settings.policy),
+            outcomes_report_work: settings.outcomes_report_work,
+            load_fields: settings.load_report_fields,
             requests: RequestTable::default(),
             engines: EngineTable::default(),
             check_timer: None,
