--- a/crates/gateway/src/cli/files.rs
+++ b/crates/gateway/src/cli/files.rs
@@ -2,7 +2,7 @@
 
 use super::arguments::FilePaths;
 use crate::config::{self, Config, ConfigFileError};
-use larchfall_operator_config::{ReadError, Site};
+use larchfall_operator_config::{OperatorConfig, ReadError};
 
 /// The environment's name for the configuration file, where the command line names none.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
@@ -22,7 +22,7 @@
     /// The file.
     pub path: String,
     /// What it says.
-    pub site: Site,
+    pub config: OperatorConfig,
 }
 
 /// Why the files were not taken.
@@ -47,8 +47,8 @@
         let config = config::read(&config_path)?;
         let operator_config = match self.operator_config {
             Some(path) => {
-                let site = larchfall_operator_config::read(&path, &config.settings.names)?;
-                Some(OperatorFile { path, site })
+                let config = larchfall_operator_config::read(&path, &config.settings.names)?;
+                Some(OperatorFile { path, config })
             }
             None => None,
         };
