--- a/crates/gateway/src/cli/files.rs
+++ b/crates/gateway/src/cli/files.rs
@@ -25,7 +25,7 @@
     pub config: OperatorConfig,
 }
 
-/// Why the files were not taken.
+/// Why the files were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum FilesError {
     /// Neither the command line nor the environment names a configuration.
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -122,7 +122,7 @@
         let known = message.and_then(|message| {
             let members = lock(&cluster.members);
             let sender = members.members().get(&message.name).filter(|member| member.info.address == from)?;
-            // One that was taken for dead for a while goes on under a later generation; an older one is another process.
+            // One that was declared dead for a while goes on under a later generation; an older one is another process.
             let is_current = !sender.status.is_final() && message.generation >= sender.status.generation;
             is_current.then(|| (sender.info.zone.clone(), message))
         });
--- a/crates/gateway/src/cluster/leases/messages.rs
+++ b/crates/gateway/src/cluster/leases/messages.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Whether membership knows the sender, at the address that it knows it by. A process that was taken for dead for a
+/// Whether membership knows the sender, at the address that it knows it by. A process that was declared dead for a
 /// while goes on there under a later generation, and here under that of its start: it is the same one.
 fn is_known(cluster: &Cluster, sender: &MemberId, from: SocketAddrV4) -> bool {
     lock(&cluster.members)
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -78,7 +78,7 @@
     EndpointList(#[from] DiscoveryError),
 }
 
-/// Why a configuration file was not taken.
+/// Why a configuration file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The file can't be read.
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -54,9 +54,9 @@
 
 /// Follows the service at this address from now on, in place of the one that was followed before.
 pub fn start(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
-    let era = state.discovery.next_client();
+    let client = state.discovery.next_client();
     let state = state.clone();
-    may::go!(move || follow(&state, address, seed, era));
+    may::go!(move || follow(&state, address, seed, client));
 }
 
 /// Applies a watch event, and drops connections to engines that are gone.
@@ -67,11 +67,11 @@
     state.counters.update(|counters| counters.discovery_events += 1);
 }
 
-fn follow(state: &State, address: SocketAddrV4, seed: u64, era: u64) {
+fn follow(state: &State, address: SocketAddrV4, seed: u64, client: u64) {
     let mut random = WyRand::new_seed(seed);
     let mut pause = FIRST_PAUSE;
-    while state.discovery.is_current_client(era) {
-        let mut connection = Connection { state, era, frames: 0, input: Vec::new() };
+    while state.discovery.is_current_client(client) {
+        let mut connection = Connection { state, client, frames: 0, input: Vec::new() };
         let reason = connection.run(address);
         info!(state.log, "discovery connection ended"; "reason" => reason.to_string(), "frames" => connection.frames);
         pause = if connection.frames > 0 { FIRST_PAUSE } else { (pause * 2.0).min(LONGEST_PAUSE) };
@@ -82,7 +82,7 @@
 /// One connection to the service.
 struct Connection<'a> {
     state: &'a State,
-    era: u64,
+    client: u64,
     /// Frames received on it.
     frames: u64,
     /// What was received and not yet decoded.
@@ -141,7 +141,7 @@
     fn apply_received(&mut self, sent: Timestamp) -> Result<(), Disconnect> {
         let state = self.state;
         // A service that was replaced may use revisions that the new one has yet to reach.
-        if !state.discovery.is_current_client(self.era) {
+        if !state.discovery.is_current_client(self.client) {
             return Err(Disconnect::Replaced);
         }
         loop {
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -72,7 +72,7 @@
     plan: Plan,
 }
 
-/// Starts the coroutine, and has the policy use no engine until it is told of some.
+/// Starts the coroutine. Until its first pass the policy uses the engines that are known now.
 pub fn start(state: &Arc<State>, cluster: Option<Arc<Cluster>>, subsetting: Subsetting) {
     let state = state.clone();
     state.policy.enable_subset();
