--- a/crates/fault-tests/src/sighted.rs
+++ b/crates/fault-tests/src/sighted.rs
@@ -1,10 +1,12 @@
 //! A fleet in one process for what gateways see of engines: the real decisions and the real desks of each gateway, a net between
 //! them that loses letters, engines of which one stops working and comes back, and gateways that lie. Seeded.
 
-use larchfall_health_gossip::desk::{Bounds, Desk};
-use larchfall_health_gossip::sights::{Saw, Sights};
-use larchfall_health_gossip::wire::MOST_ENGINES;
-use larchfall_health_gossip::{Counts, Process, weigh};
+use larchfall_health_gossip::EngineProcess;
+use larchfall_health_gossip::aggregation::AggregationSettings;
+use larchfall_health_gossip::datagram::MAX_ENTRIES;
+use larchfall_health_gossip::health_gossip::{HealthGossip, PeerOutcome};
+use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
+use larchfall_health_gossip::observations::{Observation, Observations, Report};
 use larchfall_policy::event::Evidence;
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::{Policy, TICK};
@@ -64,14 +66,13 @@
 
 struct Letter {
     from: usize,
-    number: u64,
-    saw: Vec<(Process, Counts)>,
+    report: Report,
 }
 
 struct Gateway {
     policy: Policy,
-    sights: Sights,
-    desk: Desk,
+    sights: Observations,
+    desk: HealthGossip,
     pace: f64,
     next: usize,
 }
@@ -89,8 +90,8 @@
     chance: WyRand,
 }
 
-fn process(e: usize) -> Process {
-    Process { id: e as u32, started_ms: 1 }
+fn process(e: usize) -> EngineProcess {
+    EngineProcess { id: e as u32, started_ms: 1 }
 }
 
 fn name(i: usize) -> String {
@@ -128,9 +129,11 @@
             Telling::Turns(turn) => Some(turn),
             _ => None,
         };
-        let weigh =
-            weigh::Settings { window: Duration::from_millis(10_000), lasts: Duration::from_millis(4_000) };
-        let bounds = Bounds { gateways: 2048, processes: 64 };
+        let weigh = AggregationSettings {
+            window: Duration::from_millis(10_000),
+            max_age: Duration::from_millis(4_000),
+        };
+        let bounds = StoreLimits { gateways: 2048, processes: 64 };
         // One part in ten at eight times the pace of the others, the mean as set.
         let low = setting.pace / 1.7;
         let gateway = |i: usize| {
@@ -138,8 +141,8 @@
             let engine = Engine { started: None, ..Engine::default() };
             (0..ENGINES).for_each(|e| policy.update_engine(now, e, engine));
             let pace = if i.is_multiple_of(10) { low * 8.0 } else { low };
-            let desk = Desk::new(bounds, weigh, turn);
-            Gateway { policy, sights: Sights::new(64), desk, pace, next: 0 }
+            let desk = HealthGossip::new(bounds, weigh, turn);
+            Gateway { policy, sights: Observations::new(64), desk, pace, next: 0 }
         };
         let gateways: Vec<Gateway> = (0..setting.gateways).map(gateway).collect();
         let living = (0..setting.gateways).map(|i| (name(i), zone(i).to_owned())).collect();
@@ -208,9 +211,9 @@
                     self.push(at + EVERY, Event::Look(i));
                 }
                 Event::Heard { to, letter } => {
-                    let Letter { from, number, saw } = &self.letters[letter];
-                    let from = (&name(*from)[..], 1, zone(*from));
-                    self.gateways[to].desk.hear(from, *number, saw, at);
+                    let Letter { from, report } = &self.letters[letter];
+                    let reporter = Reporter { gateway: &name(*from), generation: 1, zone: zone(*from) };
+                    self.gateways[to].desk.on_report(reporter, report.number, &report.entries, at);
                 }
             }
         }
@@ -251,7 +254,9 @@
     fn ends(&mut self, i: usize, b: usize, number: u8, engine: usize, good: bool) {
         let (now, gateway) = (self.now, &mut self.gateways[i]);
         let outcome = if good { Outcome::Returned } else { Outcome::Errored };
-        Saw::of(outcome).into_iter().for_each(|saw| gateway.sights.see(process(engine), saw, now));
+        if let Some(observation) = Observation::of(outcome) {
+            gateway.sights.record(process(engine), observation, now);
+        }
         let seen =
             larchfall_policy::interface::AttemptEvidence { last: LastObservation::Ended, same_process: true };
         let answer = AttemptResult { over: good, took: TAKES, ..AttemptResult::bare(outcome, seen) };
@@ -272,14 +277,14 @@
         if self.setting.telling == Telling::Verdicts {
             return;
         }
-        let sights = gateway.sights.all().collect();
-        let outcomes = gateway.desk.look(sights, &self.living, |_| true, now);
-        for (process, bad) in outcomes.into_iter().filter(|_| !lies) {
+        let sights: Vec<_> = gateway.sights.all().collect();
+        let outcomes = gateway.desk.take_outcomes(&sights, &self.living, |_| true, now);
+        for PeerOutcome { process, bad } in outcomes.into_iter().filter(|_| !lies) {
             gateway.policy.record_engine_outcome(now, process.id as usize, bad, Evidence::Gossip);
         }
         for e in 0..ENGINES {
             if gateway.policy.engine_health(e).is_some_and(|health| health.ejected) {
-                let mine = gateway.desk.may_try(&name(i), process(e), &self.living, now);
+                let mine = gateway.desk.may_probe(&name(i), process(e), &self.living, now);
                 gateway.policy.set_probe_slot(e, mine);
             }
         }
@@ -291,11 +296,11 @@
 
     fn tell(&mut self, i: usize) {
         if self.lies(i) {
-            (0..3).for_each(|_| self.gateways[i].sights.see(process(BAD), Saw::Failed, self.now));
+            (0..3).for_each(|_| self.gateways[i].sights.record(process(BAD), Observation::Failed, self.now));
         }
         let says_failing = self.lies(i) || self.leaves_out(i);
-        let (number, saw) = self.gateways[i].sights.to_tell(MOST_ENGINES, self.now);
-        self.letters.push(Letter { from: i, number, saw });
+        let report = self.gateways[i].sights.next_report(MAX_ENTRIES, self.now);
+        self.letters.push(Letter { from: i, report });
         let letter = self.letters.len() - 1;
         for _ in 0..FANOUT.min(self.gateways.len() - 1) {
             let to = self.chance.generate_range(0..self.gateways.len());
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -235,8 +235,10 @@
 
     fn hear(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
         one(&self.counters.heard);
-        if let Some(signals) =
-            self.signals.as_ref().filter(|_| bytes.first() == Some(&larchfall_health_gossip::wire::VERSION))
+        if let Some(signals) = self
+            .signals
+            .as_ref()
+            .filter(|_| bytes.first() == Some(&larchfall_health_gossip::datagram::VERSION))
         {
             return signals.hear(state, self, bytes, from);
         }
--- a/crates/gateway/src/cluster/signals.rs
+++ b/crates/gateway/src/cluster/signals.rs
@@ -3,9 +3,10 @@
 
 use super::Gateways;
 use crate::state::{State, lock};
-use larchfall_health_gossip::Process;
-use larchfall_health_gossip::desk::{Bounds, Desk};
-use larchfall_health_gossip::wire::{Letter, MOST_ENGINES};
+use larchfall_health_gossip::EngineProcess;
+use larchfall_health_gossip::datagram::{Datagram, MAX_ENTRIES};
+use larchfall_health_gossip::health_gossip::{HealthGossip, PeerOutcome, ProcessSummary};
+use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
 use larchfall_operator_config::Signals as Site;
 use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
@@ -16,10 +17,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Pages and lines that are kept of others.
-const BOUNDS: Bounds = Bounds { gateways: 1024, processes: 1024 };
+const BOUNDS: StoreLimits = StoreLimits { gateways: 1024, processes: 1024 };
 
 struct Inner {
-    desk: Desk,
+    desk: HealthGossip,
     next: Timestamp,
     chance: WyRand,
 }
@@ -37,7 +38,7 @@
     pub fn new(state: &State, site: Site, seed: u64, now: Timestamp) -> Signals {
         state.facade.notes_sights(BOUNDS.processes);
         let inner = Inner {
-            desk: Desk::new(BOUNDS, site.weigh, site.turn),
+            desk: HealthGossip::new(BOUNDS, site.weigh, site.turn),
             next: now,
             chance: WyRand::new_seed(seed),
         };
@@ -64,7 +65,7 @@
     }
 
     fn tell(&self, state: &State, gateways: &Gateways) {
-        let Some((number, saw)) = state.facade.sights_to_tell(MOST_ENGINES) else { return };
+        let Some(report) = state.facade.sights_to_tell(MAX_ENTRIES) else { return };
         let (me, mut others) = {
             let members = lock(&gateways.members);
             let others: Vec<SocketAddrV4> = members
@@ -75,7 +76,7 @@
             (members.myself().status.generation, others)
         };
         lock(&self.inner).chance.shuffle(&mut others);
-        let bytes = Letter::new(&gateways.cluster, &gateways.name, me, number, saw).seal();
+        let bytes = Datagram::new(&gateways.cluster, &gateways.name, me, report).encode();
         for to in others.into_iter().take(self.site.fanout) {
             if gateways.socket.inner().send_to(&bytes, to).is_ok() {
                 self.sent.fetch_add(1, Ordering::Relaxed);
@@ -84,17 +85,18 @@
     }
 
     fn count(&self, state: &State, gateways: &Gateways, now: Timestamp) {
-        let there: HashSet<Process> = state.facade.processes().into_iter().collect();
+        let there: HashSet<EngineProcess> = state.facade.processes().into_iter().collect();
         let living: BTreeMap<String, String> = gateways.living().into_iter().collect();
-        let is_there = |process: Process| there.contains(&process);
-        let outcomes = lock(&self.inner).desk.look(state.facade.own_sights(), &living, is_there, now);
-        for (process, bad) in outcomes {
+        let is_there = |process: EngineProcess| there.contains(&process);
+        let outcomes =
+            lock(&self.inner).desk.take_outcomes(&state.facade.own_sights(), &living, is_there, now);
+        for PeerOutcome { process, bad } in outcomes {
             self.counted.fetch_add(1, Ordering::Relaxed);
             state.facade.told_of(process, bad);
         }
         // After the verdicts: what was just left out waits for its turn from the start.
         for process in state.facade.failing() {
-            let mine = lock(&self.inner).desk.may_try(&gateways.name, process, &living, now);
+            let mine = lock(&self.inner).desk.may_probe(&gateways.name, process, &living, now);
             state.facade.turn(process, mine);
         }
     }
@@ -102,10 +104,10 @@
     /// A datagram about what another gateway saw.
     pub fn hear(&self, state: &State, gateways: &Gateways, bytes: &[u8], from: SocketAddrV4) {
         self.heard.fetch_add(1, Ordering::Relaxed);
-        let letter = Letter::open(bytes, &gateways.cluster);
+        let letter = Datagram::decode(bytes, &gateways.cluster).ok();
         let known = letter.and_then(|letter| {
             let members = lock(&gateways.members);
-            let member = members.members().get(&letter.name).filter(|m| m.info.address == from)?;
+            let member = members.members().get(&letter.gateway).filter(|m| m.info.address == from)?;
             // One that was held for dead for a while goes on under a later generation; an older one is another process.
             let now = !member.status.is_final() && letter.generation >= member.status.generation;
             now.then(|| (member.info.zone.clone(), letter))
@@ -114,8 +116,8 @@
             self.passed_over.fetch_add(1, Ordering::Relaxed);
             return;
         };
-        let who = (&letter.name[..], letter.generation, &zone[..]);
-        lock(&self.inner).desk.hear(who, letter.number, &letter.saw, state.clock.now());
+        let reporter = Reporter { gateway: &letter.gateway, generation: letter.generation, zone: &zone };
+        lock(&self.inner).desk.on_report(reporter, letter.number, &letter.entries, state.clock.now());
     }
 
     /// What others told of a process and what this gateway saw: gateways, answered and failed there, the age of the newest word in
@@ -124,13 +126,13 @@
         &self,
         me: &str,
         living: &BTreeMap<String, String>,
-        process: Process,
+        process: EngineProcess,
         now: Timestamp,
     ) -> [String; 7] {
         let inner = lock(&self.inner);
-        let (told, own) = inner.desk.known(process);
-        let age = told.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
-        let turn = if inner.desk.may_try(me, process, living, now) { "mine" } else { "another's" };
+        let ProcessSummary { peers: told, own } = inner.desk.summary(process);
+        let age = told.heard_at.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
+        let turn = if inner.desk.may_probe(me, process, living, now) { "mine" } else { "another's" };
         let n = |n: u32| n.to_string();
         [
             n(own.answered),
--- a/crates/gateway/src/state/engines.rs
+++ b/crates/gateway/src/state/engines.rs
@@ -1,7 +1,7 @@
 //! Engines by their ids on the discovery service, as the small indices that decisions use.
 
 use crate::wire::discovery::{Entry, Event};
-use larchfall_health_gossip::Process;
+use larchfall_health_gossip::EngineProcess;
 use larchfall_policy::interface::{Engine, EngineState};
 use larchfall_policy::time::Timestamp;
 use slab::Slab;
@@ -72,22 +72,22 @@
     }
 
     /// The process that has this index.
-    pub fn process(&self, e: usize) -> Option<Process> {
-        self.listed.get(e).map(|l| Process { id: l.entry.id, started_ms: l.entry.started_ms })
+    pub fn process(&self, e: usize) -> Option<EngineProcess> {
+        self.listed.get(e).map(|l| EngineProcess { id: l.entry.id, started_ms: l.entry.started_ms })
     }
 
-    pub fn of_process(&self, process: Process) -> Option<usize> {
+    pub fn of_process(&self, process: EngineProcess) -> Option<usize> {
         let e = self.of_id(process.id)?;
         self.listed.get(e).filter(|l| !l.is_gone() && l.entry.started_ms == process.started_ms).map(|_| e)
     }
 
-    pub fn processes(&self) -> Vec<Process> {
+    pub fn processes(&self) -> Vec<EngineProcess> {
         let there = self.listed.iter().filter(|(_, l)| !l.is_gone());
         there.filter_map(|(e, _)| self.process(e)).collect()
     }
 
     /// Index, process and state of all that are not gone.
-    pub fn standing(&self) -> impl Iterator<Item = (usize, Process, EngineState)> + '_ {
+    pub fn standing(&self) -> impl Iterator<Item = (usize, EngineProcess, EngineState)> + '_ {
         let there = self.listed.iter().filter(|(_, l)| !l.is_gone());
         there.filter_map(|(e, l)| Some((e, self.process(e)?, l.entry.state)))
     }
--- a/crates/gateway/src/state/facade.rs
+++ b/crates/gateway/src/state/facade.rs
@@ -6,8 +6,9 @@
 use super::engines::{Engines, Home};
 use super::lock;
 use crate::wire::discovery::Event;
-use larchfall_health_gossip::sights::{Saw, Sights};
-use larchfall_health_gossip::{Counts, Process};
+use larchfall_health_gossip::EngineProcess;
+use larchfall_health_gossip::counts::ProcessCounts;
+use larchfall_health_gossip::observations::{Observation, Observations, Report};
 use larchfall_policy::event::{Evidence, PolicyEvent};
 use larchfall_policy::interface::*;
 use larchfall_policy::policy::Policy;
@@ -33,7 +34,7 @@
 /// What this gateway makes of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Verdict {
-    pub process: Process,
+    pub process: EngineProcess,
     pub state: EngineState,
     pub failing: bool,
     pub congested: bool,
@@ -60,7 +61,7 @@
     /// Engines that this gateway uses, by id, where it does not use all, and the part of each that is its own.
     used: Option<BTreeMap<u32, f64>>,
     /// What this gateway saw of engines, where others are told.
-    sights: Option<Sights>,
+    sights: Option<Observations>,
 }
 
 impl Inner {
@@ -134,35 +135,35 @@
 
     /// Others are to be told what this gateway sees, of so many processes at most.
     pub fn notes_sights(&self, most: usize) {
-        lock(&self.inner).sights = Some(Sights::new(most));
+        lock(&self.inner).sights = Some(Observations::new(most));
     }
 
     /// What a attempt to the process that had this index then tells of it.
     pub fn saw(&self, e: usize, home: Home, outcome: Outcome) {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
-        let Some((sights, saw)) = inner.sights.as_mut().zip(Saw::of(outcome)) else { return };
+        let Some((sights, saw)) = inner.sights.as_mut().zip(Observation::of(outcome)) else { return };
         if let Some(process) = inner.engines.process(e).filter(|_| inner.engines.home(e) == Some(home)) {
-            sights.see(process, saw, self.clock.now());
+            sights.record(process, saw, self.clock.now());
         }
     }
 
     /// The number and entries of a letter about it, where there is anything.
-    pub fn sights_to_tell(&self, most: usize) -> Option<(u64, Vec<(Process, Counts)>)> {
+    pub fn sights_to_tell(&self, most: usize) -> Option<Report> {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         let sights = inner.sights.as_mut()?;
-        sights.keep(|process| inner.engines.of_process(process).is_some());
-        Some(sights.to_tell(most, self.clock.now())).filter(|(_, saw)| !saw.is_empty())
+        sights.retain(|process| inner.engines.of_process(process).is_some());
+        Some(sights.next_report(most, self.clock.now())).filter(|report| !report.entries.is_empty())
     }
 
     /// All processes of engines that are listed and not gone.
-    pub fn processes(&self) -> Vec<Process> {
+    pub fn processes(&self) -> Vec<EngineProcess> {
         lock(&self.inner).engines.processes()
     }
 
     /// An outcome that others saw there.
-    pub fn told_of(&self, process: Process, bad: bool) {
+    pub fn told_of(&self, process: EngineProcess, bad: bool) {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         if let Some(e) = inner.engines.of_process(process) {
@@ -171,19 +172,19 @@
     }
 
     /// All that this gateway saw itself.
-    pub fn own_sights(&self) -> Vec<(Process, Counts)> {
-        lock(&self.inner).sights.iter().flat_map(Sights::all).collect()
+    pub fn own_sights(&self) -> Vec<ProcessCounts> {
+        lock(&self.inner).sights.iter().flat_map(Observations::all).collect()
     }
 
     /// Processes that the module judges failing.
-    pub fn failing(&self) -> Vec<Process> {
+    pub fn failing(&self) -> Vec<EngineProcess> {
         self.verdicts().into_iter().filter(|x| x.failing).map(|x| x.process).collect()
     }
 
     /// All that are listed and not gone.
     pub fn verdicts(&self) -> Vec<Verdict> {
         let inner = lock(&self.inner);
-        let verdict = |(e, process, state): (usize, Process, EngineState)| {
+        let verdict = |(e, process, state): (usize, EngineProcess, EngineState)| {
             let EngineHealth { ejected, congested } = inner.policy.engine_health(e).unwrap_or_default();
             Verdict { process, state, failing: ejected, congested, used: inner.uses(process.id) }
         };
@@ -191,7 +192,7 @@
     }
 
     /// Whether it is this gateway's turn to try a process that is left out.
-    pub fn turn(&self, process: Process, mine: bool) {
+    pub fn turn(&self, process: EngineProcess, mine: bool) {
         let mut guard = lock(&self.inner);
         let inner = &mut *guard;
         if let Some(e) = inner.engines.of_process(process) {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -2,7 +2,7 @@
 //! or not at all; what it does not name is off. Faults are said with the line and the field.
 
 use larchfall_config::Names;
-use larchfall_health_gossip::weigh;
+use larchfall_health_gossip::aggregation::AggregationSettings;
 use larchfall_leases::candidacy::LeaseTerms;
 use larchfall_leases::fitness::FitnessThresholds;
 use larchfall_leases::load_sharing::{LoadSharingSettings, health_check_role, quota_allocator_role};
@@ -43,7 +43,7 @@
     /// So often, to so many others.
     pub every: Duration,
     pub fanout: usize,
-    pub weigh: weigh::Settings,
+    pub weigh: AggregationSettings,
     /// One try of an engine that was left out in each such time, by one gateway; absent: each by itself.
     pub turn: Option<Duration>,
 }
@@ -514,7 +514,7 @@
     let window = table.time(&raw.window_ms, "window-ms", 100, 600_000)?;
     let lasts = table.time(&raw.lasts_ms, "lasts-ms", 100, 600_000)?;
     let turn = raw.turn_ms.as_ref().map(|n| table.time(n, "turn-ms", 100, 600_000)).transpose()?;
-    Ok(Signals { every, fanout, weigh: weigh::Settings { window, lasts }, turn })
+    Ok(Signals { every, fanout, weigh: AggregationSettings { window, max_age: lasts }, turn })
 }
 
 fn subsets(text: &str, raw: &RawSubsets) -> Result<Subsets, String> {
