--- a/crates/gateway/src/cluster/signals.rs
+++ b/crates/gateway/src/cluster/signals.rs
@@ -36,7 +36,7 @@
 
 impl Signals {
     pub fn new(state: &State, site: Site, seed: u64, now: Timestamp) -> Signals {
-        state.facade.notes_sights(BOUNDS.processes);
+        state.policy.enable_observations(BOUNDS.processes);
         let inner = Inner {
             desk: HealthGossip::new(BOUNDS, site.weigh, site.turn),
             next: now,
@@ -65,7 +65,7 @@
     }
 
     fn tell(&self, state: &State, gateways: &Gateways) {
-        let Some(report) = state.facade.sights_to_tell(MAX_ENTRIES) else { return };
+        let Some(report) = state.policy.next_observation_report(MAX_ENTRIES) else { return };
         let (me, mut others) = {
             let members = lock(&gateways.members);
             let others: Vec<SocketAddrV4> = members
@@ -85,19 +85,19 @@
     }
 
     fn count(&self, state: &State, gateways: &Gateways, now: Timestamp) {
-        let there: HashSet<EngineProcess> = state.facade.processes().into_iter().collect();
+        let there: HashSet<EngineProcess> = state.policy.processes().into_iter().collect();
         let living: BTreeMap<String, String> = gateways.living().into_iter().collect();
         let is_there = |process: EngineProcess| there.contains(&process);
         let outcomes =
-            lock(&self.inner).desk.take_outcomes(&state.facade.own_sights(), &living, is_there, now);
+            lock(&self.inner).desk.take_outcomes(&state.policy.own_observations(), &living, is_there, now);
         for PeerOutcome { process, bad } in outcomes {
             self.counted.fetch_add(1, Ordering::Relaxed);
-            state.facade.told_of(process, bad);
+            state.policy.record_peer_outcome(process, bad);
         }
         // After the verdicts: what was just left out waits for its turn from the start.
-        for process in state.facade.failing() {
+        for process in state.policy.ejected_processes() {
             let mine = lock(&self.inner).desk.may_probe(&gateways.name, process, &living, now);
-            state.facade.turn(process, mine);
+            state.policy.set_probe_slot(process, mine);
         }
     }
 
