--- a/crates/fault-tests/examples/divide.rs
+++ b/crates/fault-tests/examples/divide.rs
@@ -3,10 +3,11 @@
 //! cargo run --release -p larchfall-fault-tests --example divide [Gateways ...]
 
 use larchfall_policy::time::{Duration, Timestamp};
-use larchfall_quotas::divide::{Ask, divide};
-use larchfall_quotas::holder::Holder;
-use larchfall_quotas::keeper::Keeper;
-use larchfall_quotas::{Terms, fair};
+use larchfall_quotas::QuotaTerms;
+use larchfall_quotas::allocator::Allocator;
+use larchfall_quotas::fairness::jain_index;
+use larchfall_quotas::held_quota::HeldQuota;
+use larchfall_quotas::max_min::{Claim, divide};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
@@ -36,7 +37,7 @@
     fn see(&mut self, demand: &[f64], parts: &[f64]) {
         let used = || demand.iter().zip(parts).map(|(d, p)| d.min(*p));
         let (all, sum) = (demand.iter().sum::<f64>(), used().sum::<f64>());
-        self.jain += fair::jain(used().zip(demand).map(|(u, d)| u / d));
+        self.jain += jain_index(used().zip(demand).map(|(u, d)| u / d));
         self.unused += all.min(1.0) - sum;
         self.pushed_back += (all - sum) / all;
         self.steps += 1.0;
@@ -88,10 +89,16 @@
 /// How long until the gateway that demand moves to has half and nine tenths of what it is to have; letters a gateway and second.
 fn day(n: usize, all: f64, length: Duration, seed: u64, shown: &mut [Shown; 3]) -> ([f64; 2], f64) {
     let mut chance = WyRand::new_seed(seed);
-    let terms = Terms { gateways: n, length, margin: 60, window: Duration::ZERO, strict: false };
+    let terms = QuotaTerms {
+        max_gateways: n,
+        length,
+        drift_margin_per_mille: 60,
+        usage_window: Duration::ZERO,
+        strict: false,
+    };
     let from = Timestamp::from_micros(1_000_000);
-    let mut keeper = Keeper::new(terms, from);
-    let mut holders = vec![Holder::new(terms); n];
+    let mut keeper = Allocator::new(terms, from);
+    let mut holders = vec![HeldQuota::new(terms); n];
     let mut demand = wants(n, all, &mut chance);
     let mut next: Vec<Timestamp> = (0..n).map(|_| from + length * ASKS * chance.generate::<f64>()).collect();
     // By when they come: asks (none granted yet) and answers.
@@ -121,9 +128,9 @@
         let later = under_way.split_off(&(now + Duration::from_micros(1), 0));
         for (_, (i, asked, granted)) in std::mem::replace(&mut under_way, later) {
             match granted {
-                Some(share) => drop(holders[i].granted(share, 1, asked, now)),
+                Some(share) => drop(holders[i].on_grant(share, 1, asked, now)),
                 None => {
-                    if let Some(share) = keeper.ask(&format!("{i:04}"), demand[i], 1.0, now) {
+                    if let Some(share) = keeper.allocate(&format!("{i:04}"), demand[i], 1.0, now) {
                         number += 1;
                         sent += 1.0;
                         let comes = now + Duration::from_micros(chance.generate_range(1_000..WAY));
@@ -135,18 +142,20 @@
         if step < BEGINS {
             continue;
         }
-        let handed: Vec<f64> = holders.iter().map(|h| h.part(now)).collect();
-        let asks: Vec<Ask> =
-            demand.iter().map(|d| Ask { weight: 1.0, demand: *d, floor: terms.careful().min(*d) }).collect();
+        let handed: Vec<f64> = holders.iter().map(|h| h.fraction(now)).collect();
+        let asks: Vec<Claim> = demand
+            .iter()
+            .map(|d| Claim { weight: 1.0, demand: *d, floor: terms.reserved_fraction().min(*d) })
+            .collect();
         for (shown, parts) in shown.iter_mut().zip([vec![1.0 / n as f64; n], handed, divide(1.0, &asks)]) {
             shown.see(&demand, &parts);
         }
         // What it is to have, floors of the others taken into account.
-        let floor = terms.careful();
-        let wanted: Vec<Ask> = demand.iter().map(|d| Ask { weight: *d, demand: 1.0, floor }).collect();
+        let floor = terms.reserved_fraction();
+        let wanted: Vec<Claim> = demand.iter().map(|d| Claim { weight: *d, demand: 1.0, floor }).collect();
         let due = divide(1.0, &wanted)[to];
         let ms = step.saturating_sub(MOVES) as f64 * STEP.secs() * 1000.0;
-        let has = holders[to].part(now);
+        let has = holders[to].fraction(now);
         half = half.or((step >= MOVES && has >= due * 0.5).then_some(ms));
         most = most.or((step >= MOVES && has >= due * 0.9).then_some(ms));
     }
--- a/crates/gateway/src/cluster/duties.rs
+++ b/crates/gateway/src/cluster/duties.rs
@@ -15,18 +15,20 @@
     HeldLease, KnownLease, LastEnd, LeaseEvent, LeaseEventKind, LeaseManager, LeaseSettings, OutgoingMessage,
     Output, RoleStatus,
 };
-use larchfall_leases::messages::{Datagram, MemberId, Payload, QuotaDemand, QuotaGrant, paginate};
+use larchfall_leases::messages::{Datagram, MemberId, Payload, paginate};
 use larchfall_leases::voter::VoterLimits;
 use larchfall_leases::voter_record::{DamagedFile, Disk, VoterRecord, load};
 use larchfall_membership::membership::Member;
 use larchfall_operator_config::{Duties as Site, Keepers, Kinds};
 use larchfall_policy::interface::{LoadReport, RequestClass, SlowStartPolicy};
 use larchfall_policy::time::{Duration, Timestamp};
-use larchfall_quotas::Terms;
+use larchfall_quotas::QuotaTerms;
 use larchfall_quotas::capacity::Capacity;
-use larchfall_quotas::demand::{Demand, Wanted};
-use larchfall_quotas::keeper::Fairness;
-use larchfall_quotas::shares::{self, Asking, Shares};
+use larchfall_quotas::demand::{CapacityDemand, Demand};
+use larchfall_quotas::fairness::Fairness;
+use larchfall_quotas::manager::{
+    AllocationStatus, QuotaManager, QuotaRequest, QuotaSettings, QuotaStatus, RequestTerms,
+};
 use slog::{info, warn};
 use std::collections::BTreeMap;
 use std::io;
@@ -67,18 +69,23 @@
 
 impl Shared {
     /// How much this gateway wants of each capacity that is handed out.
-    fn wanted(&self, state: &State, demand: &Demand) -> Vec<Wanted> {
+    fn wanted(&self, state: &State, demand: &Demand) -> Vec<CapacityDemand> {
         let mut wanted = Vec::new();
         for ready in state.policy.ready_for_quotas(&self.slow_start) {
             let id = ready.id;
             let weight = demand.of_engine(&ready.engine, &self.classes);
-            wanted.extend(
-                (self.kinds.slow_start && ready.in_slow_start).then_some((Capacity::SlowStart(id), weight)),
-            );
-            wanted.extend(self.kinds.threads.then_some((Capacity::Threads(id), weight)));
+            if self.kinds.slow_start && ready.in_slow_start {
+                wanted.push(CapacityDemand { capacity: Capacity::SlowStart(id), weight });
+            }
+            if self.kinds.threads {
+                wanted.push(CapacityDemand { capacity: Capacity::Threads(id), weight });
+            }
         }
         let tenants = self.tenants.iter().enumerate().filter(|_| self.kinds.tenants);
-        wanted.extend(tenants.map(|(c, what)| (*what, demand.of_tenant(c))));
+        wanted.extend(tenants.map(|(tenant, capacity)| CapacityDemand {
+            capacity: *capacity,
+            weight: demand.of_tenant(tenant),
+        }));
         wanted
     }
 }
@@ -93,7 +100,7 @@
     records: Option<SyncSender<VoterRecord>>,
     programs: Programs,
     /// What is handed out by keepers, if anything is.
-    shares: Option<Mutex<Shares>>,
+    shares: Option<Mutex<QuotaManager>>,
     shared: Shared,
     /// Of tenants, as the settings list them.
     names: Vec<String>,
@@ -132,12 +139,18 @@
         let settings = site.settings;
         let shared = Shared { kinds: site.keepers.map_or(Kinds::default(), |k| k.kinds), ..shared };
         let shares = site.keepers.map(|Keepers { keepers, length, .. }| {
-            let (gateways, margin) = (shared.gateways, settings.terms.drift_margin_per_mille);
-            let strict = Terms { gateways, length, margin, window: shared.slow_start.window, strict: true };
-            let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
-            let shares = Shares::new(shares::Settings { strict, soft, keepers, most: MOST_SHARED }, now);
+            let strict = QuotaTerms {
+                max_gateways: shared.gateways,
+                length,
+                drift_margin_per_mille: settings.terms.drift_margin_per_mille,
+                usage_window: shared.slow_start.window,
+                strict: true,
+            };
+            let soft = QuotaTerms { usage_window: Duration::ZERO, strict: false, ..strict };
+            let quotas = QuotaSettings { strict, soft, allocators: keepers, max_capacities: MOST_SHARED };
+            let shares = QuotaManager::new(quotas, now);
             if shared.kinds.slow_start {
-                state.policy.enable_quotas(shares.careful());
+                state.policy.enable_quotas(shares.strict_default_fraction());
             }
             Mutex::new(shares)
         });
@@ -199,7 +212,7 @@
 
     pub fn due_in(&self) -> Duration {
         let now = self.now();
-        let shares = self.shares.as_ref().map_or(IDLE, |shares| lock(shares).due().since(now));
+        let shares = self.shares.as_ref().map_or(IDLE, |shares| lock(shares).next_request().since(now));
         let due = lock(&self.leases).next_timer().since(now).min(shares);
         // Programs end by themselves, and what was just held is to be acted on: both are looked for in between.
         let looks = (*lock(&self.woke) + SOON).since(now);
@@ -257,24 +270,26 @@
     fn share(&self, state: &State, gateways: &Gateways) {
         let Some(shares) = &self.shares else { return };
         let now = self.now();
-        let (asking, (most, length)) = {
+        let (requests, terms) = {
             let mut shares = lock(shares);
-            let (keepers, terms) = (shares.keepers(), shares.terms());
+            let (allocators, terms) = (shares.allocators(), shares.request_terms());
             let wanted = |demand: &Demand| self.shared.wanted(state, demand);
-            let keeper_of = |capacity| role_index(capacity, keepers);
-            (shares.asks(|| state.policy.arrivals(), wanted, keeper_of, now), terms)
+            let allocator_of = |capacity| role_index(capacity, allocators);
+            (shares.requests(|| state.policy.arrivals(), wanted, allocator_of, now), terms)
         };
         self.use_shares(state, shares, now);
-        for Asking { keeper: number, round, wants } in asking {
-            let name = quota_allocator_role(number);
+        for QuotaRequest { allocator, round, demands } in requests {
+            let name = quota_allocator_role(allocator);
             let holder = lock(&self.leases).holder(&name, now).map(str::to_owned);
             let Some(holder) = holder else { continue };
-            let demands = wants.into_iter().map(|(capacity, weight)| QuotaDemand { capacity, weight });
             for demands in paginate(demands, READINGS) {
-                let (gateways_most, length_us) = (most as u32, length.micros());
-                let role = name.clone();
-                let matter =
-                    Payload::RequestQuotas { role, round, gateways: gateways_most, length_us, demands };
+                let matter = Payload::RequestQuotas {
+                    role: name.clone(),
+                    round,
+                    gateways: terms.max_gateways as u32,
+                    length_us: terms.length.micros(),
+                    demands,
+                };
                 if holder == self.me.name {
                     self.hear_of_shares(state, gateways, &self.me, &matter);
                 } else {
@@ -284,9 +299,9 @@
         }
     }
 
-    fn use_shares(&self, state: &State, shares: &Mutex<Shares>, now: Timestamp) {
-        let known = |(key, part, _)| Capacity::of(key).map(|what| (what, part));
-        let parts = lock(shares).parts(now).filter_map(known).collect();
+    fn use_shares(&self, state: &State, shares: &Mutex<QuotaManager>, now: Timestamp) {
+        let known = |quota: QuotaStatus| Some((Capacity::from_key(quota.capacity)?, quota.fraction));
+        let parts = lock(shares).quotas(now).filter_map(known).collect();
         state.policy.set_quotas(&self.shared.tenants, &parts);
     }
 
@@ -297,13 +312,10 @@
                 // Immediately before: nothing is handed out that the next keeper may not know to be over in time.
                 let leases = lock(&self.leases);
                 let Some(permit) = leases.permit(role, now) else { return };
-                let parts = {
-                    let terms = (*most as usize, Duration::from_micros(*length_us));
-                    let wants: Vec<(u64, f32)> = demands.iter().map(|d| (d.capacity, d.weight)).collect();
-                    lock(shares).answer(permit.token, (&from.name, terms), &wants, now)
-                };
-                let parts = parts.into_iter().map(|(capacity, fraction)| QuotaGrant { capacity, fraction });
-                let stamped = permit.fence(parts);
+                let terms =
+                    RequestTerms { max_gateways: *most as usize, length: Duration::from_micros(*length_us) };
+                let grants = lock(shares).on_request(permit.token, &from.name, terms, demands, now);
+                let stamped = permit.fence(grants);
                 drop(leases);
                 for page in paginate(stamped.content, READINGS) {
                     let grants = Fenced { role: stamped.role.clone(), token: stamped.token, content: page };
@@ -316,9 +328,7 @@
                 }
             }
             Payload::Quotas { round, grants } => {
-                let parts: Vec<(u64, f64)> =
-                    grants.content.iter().map(|g| (g.capacity, g.fraction)).collect();
-                let taken = lock(shares).granted(*round, grants.token, &parts, now);
+                let taken = lock(shares).on_grants(*round, grants.token, &grants.content, now);
                 self.counters.shares.fetch_add(taken as u64, Ordering::Relaxed);
                 self.use_shares(state, shares, now);
             }
@@ -521,7 +531,7 @@
 
     /// What a capacity is called in the log and by `larchfall shares`.
     fn word(&self, key: u64) -> String {
-        match Capacity::of(key) {
+        match Capacity::from_key(key) {
             Some(Capacity::SlowStart(id)) => format!("cold/{id:08x}"),
             Some(Capacity::Threads(id)) => format!("threads/{id:08x}"),
             Some(what) => {
@@ -538,23 +548,24 @@
     pub fn share_rows(&self) -> Vec<Vec<String>> {
         let Some(shares) = &self.shares else { return Vec::new() };
         let (now, shares) = (self.now(), lock(shares));
-        let kept: BTreeMap<u64, Fairness> = shares.kept(now).collect();
-        let row = |(key, part, has): (u64, f64, bool)| {
-            let handed = if has { "handed out" } else { "by itself" };
+        let by_capacity = |status: AllocationStatus| (status.capacity, status.fairness);
+        let kept: BTreeMap<u64, Fairness> = shares.allocations(now).map(by_capacity).collect();
+        let row = |QuotaStatus { capacity: key, fraction: part, granted }| {
+            let handed = if granted { "handed out" } else { "by itself" };
             let mut row = vec![self.word(key), format!("{part:.4}"), handed.to_owned()];
             let fair = kept.get(&key).map(|fair| {
-                let factor = fair.factor.map_or("none".to_owned(), |f| format!("{f:.2}"));
+                let factor = fair.best_to_worst.map_or("none".to_owned(), |f| format!("{f:.2}"));
                 [
                     fair.gateways.to_string(),
                     format!("{:.4}", fair.in_use),
-                    format!("{:.4}", fair.jain),
+                    format!("{:.4}", fair.jain_index),
                     factor,
                 ]
             });
             row.extend(fair.unwrap_or_default());
             row
         };
-        let mut rows: Vec<Vec<String>> = shares.parts(now).map(row).collect();
+        let mut rows: Vec<Vec<String>> = shares.quotas(now).map(row).collect();
         rows.sort();
         rows
     }
@@ -575,13 +586,14 @@
             "engines_without_report" => ages.engines_without_report);
         if let Some(shares) = &self.shares {
             let (now, shares) = (self.now(), lock(shares));
-            let (has, keeps) = (shares.parts(now).filter(|(.., has)| *has).count(), shares.kept(now).count());
-            let parts: Vec<String> =
-                shares.parts(now).map(|(key, part, _)| format!("{}:{part:.4}", self.word(key))).collect();
-            info!(state.log, "quotas"; "fractions" => parts.join(" "), "allocated" => keeps, "granted" => has);
-            for (key, fair) in shares.kept(now) {
+            let granted = shares.quotas(now).filter(|quota| quota.granted).count();
+            let allocated = shares.allocations(now).count();
+            let text = |quota: QuotaStatus| format!("{}:{:.4}", self.word(quota.capacity), quota.fraction);
+            let parts: Vec<String> = shares.quotas(now).map(text).collect();
+            info!(state.log, "quotas"; "fractions" => parts.join(" "), "allocated" => allocated, "granted" => granted);
+            for AllocationStatus { capacity: key, fairness: fair } in shares.allocations(now) {
                 info!(state.log, "quota allocation"; "capacity" => self.word(key), "gateways" => fair.gateways,
-                    "in_use" => fair.in_use, "jain" => fair.jain, "factor" => fair.factor.unwrap_or(f64::INFINITY));
+                    "in_use" => fair.in_use, "jain" => fair.jain_index, "factor" => fair.best_to_worst.unwrap_or(f64::INFINITY));
             }
         }
         for row in self.rows() {
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -20,7 +20,7 @@
 use larchfall_policy::event::PolicyEvent;
 use larchfall_policy::policy::Policy;
 use larchfall_policy::time::Timestamp;
-use larchfall_quotas::demand::Came;
+use larchfall_quotas::demand::Arrivals;
 use std::sync::{Arc, Mutex, MutexGuard};
 
 pub use capacity::ReadyForQuota;
@@ -40,7 +40,7 @@
     engines: EngineTable,
     in_flight: InFlightRequests,
     /// Requests that came so far, by request class and tenant.
-    arrivals: Came,
+    arrivals: Arrivals,
     capacity: CapacityPlan,
     /// What this gateway observed of engines, where members are told.
     observations: Option<Observations>,
@@ -53,7 +53,7 @@
             policy,
             engines: EngineTable::default(),
             in_flight: InFlightRequests::new(max_in_flight),
-            arrivals: Came::default(),
+            arrivals: Arrivals::default(),
             capacity: CapacityPlan::default(),
             observations: None,
         };
--- a/crates/gateway/src/state/policy_handle/capacity.rs
+++ b/crates/gateway/src/state/policy_handle/capacity.rs
@@ -3,7 +3,7 @@
 use super::{Decisions, PolicyHandle};
 use larchfall_policy::interface::{Engine, SlowStartPolicy};
 use larchfall_quotas::capacity::Capacity;
-use larchfall_quotas::demand::Came;
+use larchfall_quotas::demand::Arrivals;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What this gateway may use, beside its quotas.
@@ -117,7 +117,7 @@
     }
 
     /// Requests that came so far, by request class and tenant.
-    pub fn arrivals(&self) -> Came {
+    pub fn arrivals(&self) -> Arrivals {
         self.lock().arrivals.clone()
     }
 }
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -11,7 +11,7 @@
     pub fn admit(&self, id: u64, request: Request) -> Result<usize, AdmissionError> {
         let mut decisions = self.lock();
         let index = decisions.in_flight.insert(id)?;
-        decisions.arrivals.add(request.class, request.tenant);
+        decisions.arrivals.count(request.class, request.tenant);
         decisions.policy.admit(self.clock.now(), index, request);
         Ok(index)
     }
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -7,6 +7,7 @@
 use crate::fencing::Fenced;
 use crate::load_sharing::SharedLoadReport;
 use crc::{CRC_32_ISCSI, Crc};
+use larchfall_quotas::{QuotaDemand, QuotaGrant};
 use serde::{Deserialize, Serialize};
 
 /// Largest datagram, below what every path carries in one piece.
@@ -74,24 +75,6 @@
     pub token: u64,
 }
 
-/// How much a gateway wants of a capacity.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct QuotaDemand {
-    /// The capacity's key.
-    pub capacity: u64,
-    /// The gateway's weight in the division.
-    pub weight: f32,
-}
-
-/// The quota that an allocator hands out of a capacity.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct QuotaGrant {
-    /// The capacity's key.
-    pub capacity: u64,
-    /// Fraction of the capacity, in 0..=1.
-    pub fraction: f64,
-}
-
 /// What a datagram says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
--- a/crates/leases/tests/messages.rs
+++ b/crates/leases/tests/messages.rs
@@ -3,10 +3,10 @@
 use larchfall_leases::fencing::Fenced;
 use larchfall_leases::load_sharing::SharedLoadReport;
 use larchfall_leases::messages::{
-    Datagram, DatagramError, LeaseInfo, LeaseRequest, MemberId, Payload, QuotaDemand, QuotaGrant, RoleToken,
-    Vote, paginate,
+    Datagram, DatagramError, LeaseInfo, LeaseRequest, MemberId, Payload, RoleToken, Vote, paginate,
 };
 use larchfall_leases::voter_record::VoterRecord;
+use larchfall_quotas::{QuotaDemand, QuotaGrant};
 use std::collections::BTreeMap;
 
 #[test]
--- /dev/null
+++ b/crates/quotas/tests/division.rs
@@ -0,0 +1,109 @@
+//! Division, fairness, capacities and demand, as tables.
+
+use larchfall_policy::interface::{Engine, Idempotency, RequestClass};
+use larchfall_policy::time::Duration;
+use larchfall_quotas::capacity::Capacity;
+use larchfall_quotas::demand::{Arrivals, Demand};
+use larchfall_quotas::fairness::{best_to_worst, jain_index};
+use larchfall_quotas::max_min::{Claim, divide};
+use proptest::prelude::*;
+
+fn claim(weight: f64, demand: f64, floor: f64) -> Claim {
+    Claim { weight, demand, floor }
+}
+
+#[test]
+fn each_gets_its_demand_or_an_equal_multiple_of_its_weight() {
+    let cases: [(f64, Vec<Claim>, &[f64]); 7] = [
+        (1.0, vec![], &[]),
+        (1.0, vec![claim(1.0, 9.0, 0.0), claim(1.0, 9.0, 0.0)], &[0.5, 0.5]),
+        (1.0, vec![claim(1.0, 0.2, 0.0), claim(1.0, 9.0, 0.0)], &[0.2, 0.8]),
+        (1.0, vec![claim(1.0, 9.0, 0.0), claim(3.0, 9.0, 0.0)], &[0.25, 0.75]),
+        (1.0, vec![claim(0.0, 9.0, 0.1), claim(1.0, 9.0, 0.1)], &[0.1, 0.9]),
+        (1.0, vec![claim(1.0, 9.0, 1.0), claim(1.0, 9.0, 3.0)], &[0.25, 0.75]),
+        (1.0, vec![claim(1.0, 0.1, 0.0), claim(2.0, 0.3, 0.0)], &[0.1, 0.3]),
+    ];
+    for (whole, claims, shares) in cases {
+        let got = divide(whole, &claims);
+        let same = got.len() == shares.len() && got.iter().zip(shares).all(|(a, b)| (a - b).abs() < 1e-9);
+        assert!(same, "{claims:?}: {got:?}");
+    }
+}
+
+proptest! {
+    #[test]
+    fn a_division_gives_out_the_whole_or_all_that_is_wanted_and_never_more(
+        claims in proptest::collection::vec((0.0..10.0_f64, 0.0..1.0_f64, 0.0..0.02_f64), 1..40),
+    ) {
+        let claims: Vec<Claim> =
+            claims.into_iter().map(|(weight, demand, floor)| claim(weight, demand, floor)).collect();
+        let shares = divide(1.0, &claims);
+        let sum: f64 = shares.iter().sum();
+        let useful: f64 = claims.iter().filter(|c| c.weight > 0.0).map(|c| c.demand.max(c.floor)).sum();
+        prop_assert!(sum <= 1.0 + 1e-9, "{}", sum);
+        prop_assert!(sum >= useful.min(1.0) - 1e-6, "{} of {}", sum, useful);
+        for (share, claim) in shares.iter().zip(&claims) {
+            prop_assert!(*share >= claim.floor - 1e-9 && *share <= claim.demand.max(claim.floor) + 1e-9);
+        }
+    }
+}
+
+#[test]
+fn capacities_come_back_from_their_keys() {
+    for capacity in
+        [Capacity::SlowStart(0), Capacity::Threads(u32::MAX), Capacity::Tenant(7), Capacity::tenant("acme")]
+    {
+        assert_eq!(Capacity::from_key(capacity.key()), Some(capacity));
+    }
+    assert_eq!(Capacity::from_key(3 << 32), None);
+    assert_ne!(Capacity::tenant("acme"), Capacity::tenant("arena"));
+}
+
+/// What came is counted whatever became of it, decays, and counts for an engine only by classes that may go there.
+#[test]
+fn demand_is_what_came_recently_for_an_engine_and_a_tenant() {
+    let class = |threads, kinds| RequestClass {
+        priority_weight: 1.0,
+        latency_objective: Duration::from_millis(1000),
+        objective_stretch: 0.0,
+        effect: Idempotency::Idempotent,
+        in_order: false,
+        threads,
+        locks_data_set: false,
+        waits_for_data_lock: false,
+        zones: None,
+        kinds,
+    };
+    let classes = [class(2.0, None), class(4.0, Some(vec![1]))];
+    let engine = |kind| Engine { kind, ..Engine::default() };
+    let mut demand = Demand::default();
+    let mut arrivals = Arrivals::default();
+    let mut observed = Vec::new();
+    for requests in [10, 0, 0] {
+        for _ in 0..requests {
+            arrivals.count(0, Some(1));
+            arrivals.count(1, None);
+        }
+        demand.observe(arrivals.clone());
+        let of_kind = |kind| demand.of_engine(&engine(kind), &classes);
+        observed.push(
+            [of_kind(0), of_kind(1), demand.of_tenant(0), demand.of_tenant(1)].map(|w| (w * 100.0).round()),
+        );
+    }
+    assert_eq!(observed, [[2000., 6000., 5., 1000.], [1400., 4200., 5., 700.], [980., 2940., 5., 490.]]);
+}
+
+#[test]
+fn fairness_is_one_where_all_get_the_same_fraction_of_what_they_deserve() {
+    let cases: [(&[f64], f64, Option<f64>); 5] = [
+        (&[], 1.0, None),
+        (&[0.3, 0.3, 0.3], 1.0, Some(1.0)),
+        (&[1.0, 0.0, 0.0, 0.0], 0.25, None),
+        (&[3.0, 1.0], 0.8, Some(3.0)),
+        (&[0.0, 0.0], 1.0, None),
+    ];
+    for (fractions, jain, ratio) in cases {
+        assert!((jain_index(fractions.iter().copied()) - jain).abs() < 1e-9, "{fractions:?}");
+        assert_eq!(best_to_worst(fractions.iter().copied()), ratio, "{fractions:?}");
+    }
+}
