--- a/crates/fault-tests/examples/subsets.rs
+++ b/crates/fault-tests/examples/subsets.rs
@@ -4,14 +4,14 @@
 
 use larchfall_fault_tests::process::name;
 use larchfall_policy::interface::Engine;
-use larchfall_subsetting::plan::{Plan, Settings};
-use larchfall_subsetting::rank::order;
-use larchfall_subsetting::{Gateway, Listed, needs};
+use larchfall_subsetting::plan::{PlanSettings, SubsetPlan};
+use larchfall_subsetting::preference::preference_order;
+use larchfall_subsetting::{Gateway, ReadyEngine, requirements};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
 
 type Chosen = BTreeMap<u64, BTreeSet<u32>>;
-type Way = (&'static str, fn(&[Gateway], &[Listed], usize) -> Chosen);
+type Way = (&'static str, fn(&[Gateway], &[ReadyEngine], usize) -> Chosen);
 
 const WAYS: [Way; 5] = [
     ("random", random),
@@ -33,10 +33,10 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (n, m, least) in sizes {
         let gateways: Vec<Gateway> = (0..n)
-            .map(|i| Gateway { number: xxhash_rust::xxh3::xxh3_64(name(i).as_bytes()), zone: None })
+            .map(|i| Gateway { key: xxhash_rust::xxh3::xxh3_64(name(i).as_bytes()), zone: None })
             .collect();
-        let engines: Vec<Listed> = (0..m as u32)
-            .map(|id| Listed { id, told: Engine { cell: id as usize % 4, ..Engine::default() } })
+        let engines: Vec<ReadyEngine> = (0..m as u32)
+            .map(|id| ReadyEngine { id, engine: Engine { cell: id as usize % 4, ..Engine::default() } })
             .collect();
         for (how, way) in WAYS {
             let all = way(&gateways, &engines, least);
@@ -49,7 +49,8 @@
                 let rest: Vec<Gateway> = gateways.iter().copied().filter(|f| *f != gateway).collect();
                 by_gateway += moved(&all, &way(&rest, &engines, least)) / least as f64;
                 let engine = gone % m;
-                let rest: Vec<Listed> = engines.iter().copied().filter(|x| x.id != engine as u32).collect();
+                let rest: Vec<ReadyEngine> =
+                    engines.iter().copied().filter(|x| x.id != engine as u32).collect();
                 by_engine += moved(&all, &way(&gateways, &rest, least)) / users[engine].max(1) as f64;
                 times += 1.0;
             }
@@ -72,50 +73,50 @@
     b.iter().map(new).sum::<usize>() as f64
 }
 
-fn ids(engines: &[Listed]) -> Vec<u32> {
+fn ids(engines: &[ReadyEngine]) -> Vec<u32> {
     engines.iter().map(|x| x.id).collect()
 }
 
 /// Each by its own chance, in the list's order of the day.
-fn random(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+fn random(gateways: &[Gateway], engines: &[ReadyEngine], least: usize) -> Chosen {
     let pick = |f: &Gateway| {
         let mut ids = ids(engines);
-        WyRand::new_seed(f.number).shuffle(&mut ids);
-        (f.number, ids.into_iter().take(least).collect())
+        WyRand::new_seed(f.key).shuffle(&mut ids);
+        (f.key, ids.into_iter().take(least).collect())
     };
     gateways.iter().map(pick).collect()
 }
 
 /// Gateways by their place, in rounds that each deal the whole shuffled list out (Beyer et al.: "Site Reliability
 /// Engineering", 2016, chapter 20).
-fn rounds(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+fn rounds(gateways: &[Gateway], engines: &[ReadyEngine], least: usize) -> Chosen {
     let each = (engines.len() / least).max(1);
     let pick = |(place, f): (usize, &Gateway)| {
         let mut ids = ids(engines);
         WyRand::new_seed((place / each) as u64).shuffle(&mut ids);
         let from = place % each * least;
-        (f.number, ids[from..(from + least).min(ids.len())].iter().copied().collect())
+        (f.key, ids[from..(from + least).min(ids.len())].iter().copied().collect())
     };
     gateways.iter().enumerate().map(pick).collect()
 }
 
 /// Gateways and engines spread evenly on one ring; each takes what follows its place.
-fn ring(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+fn ring(gateways: &[Gateway], engines: &[ReadyEngine], least: usize) -> Chosen {
     let pick = |(place, f): (usize, &Gateway)| {
         let from = place * engines.len() / gateways.len();
-        (f.number, (0..least).map(|i| engines[(from + i) % engines.len()].id).collect())
+        (f.key, (0..least).map(|i| engines[(from + i) % engines.len()].id).collect())
     };
     gateways.iter().enumerate().map(pick).collect()
 }
 
-fn plain(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+fn plain(gateways: &[Gateway], engines: &[ReadyEngine], least: usize) -> Chosen {
     gateways
         .iter()
-        .map(|f| (f.number, order(*f, engines).iter().take(least).map(|x| x.id).collect()))
+        .map(|f| (f.key, preference_order(*f, engines).iter().take(least).map(|x| x.id).collect()))
         .collect()
 }
 
-fn bounded(gateways: &[Gateway], engines: &[Listed], least: usize) -> Chosen {
+fn bounded(gateways: &[Gateway], engines: &[ReadyEngine], least: usize) -> Chosen {
     let class = larchfall_policy::interface::RequestClass {
         priority_weight: 1.0,
         latency_objective: larchfall_policy::time::Duration::ZERO,
@@ -128,6 +129,12 @@
         zones: None,
         kinds: None,
     };
-    let settings = Settings { least, slack: 0.25 };
-    Plan::make(settings, &gateways.iter().copied().collect(), engines, &needs(engines, &[class])).chosen
+    let settings = PlanSettings { min_engines: least, load_slack: 0.25 };
+    SubsetPlan::compute(
+        settings,
+        &gateways.iter().copied().collect(),
+        engines,
+        &requirements(engines, &[class]),
+    )
+    .subsets
 }
--- a/crates/gateway/src/subset.rs
+++ b/crates/gateway/src/subset.rs
@@ -5,9 +5,9 @@
 use crate::state::State;
 use larchfall_operator_config::Subsets;
 use larchfall_policy::interface::{Fleet, RequestClass};
-use larchfall_subsetting::aperture::{Aperture, Sight};
-use larchfall_subsetting::plan::Plan;
-use larchfall_subsetting::{Gateway, Listed, needs};
+use larchfall_subsetting::aperture::{Aperture, SubsetHealth};
+use larchfall_subsetting::plan::SubsetPlan;
+use larchfall_subsetting::{Gateway, ReadyEngine, requirements};
 use slog::info;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -28,8 +28,8 @@
 #[derive(Default)]
 struct Made {
     gateways: BTreeSet<Gateway>,
-    engines: Vec<Listed>,
-    plan: Plan,
+    engines: Vec<ReadyEngine>,
+    plan: SubsetPlan,
 }
 
 impl Subset {
@@ -40,17 +40,17 @@
     /// This gateway, and all that live; those that only the settings count are in no zone that is known.
     fn gateways(&self, state: &State, gateways: Option<&Gateways>) -> (Gateway, BTreeSet<Gateway>) {
         let Some(gateways) = gateways else {
-            let gateway = |number: usize| Gateway { number: number as u64, zone: None };
+            let gateway = |number: usize| Gateway { key: number as u64, zone: None };
             return (gateway(self.fleet.me), (0..self.fleet.gateways.max(1)).map(gateway).collect());
         };
         let zone = |name: &str| state.settings.names.zones.iter().position(|zone| zone == name);
         let living = gateways.living();
         let gateway =
-            |name: &str, zone_name: &str| Gateway { number: xxh3_64(name.as_bytes()), zone: zone(zone_name) };
+            |name: &str, zone_name: &str| Gateway { key: xxh3_64(name.as_bytes()), zone: zone(zone_name) };
         let me =
             living.iter().find(|(name, _)| *name == gateways.name()).map(|(name, zone)| gateway(name, zone));
         let all = living.iter().map(|(name, zone)| gateway(name, zone)).collect();
-        (me.unwrap_or(Gateway { number: xxh3_64(gateways.name().as_bytes()), zone: None }), all)
+        (me.unwrap_or(Gateway { key: xxh3_64(gateways.name().as_bytes()), zone: None }), all)
     }
 }
 
@@ -60,35 +60,37 @@
     let (mut made, mut used) = (Made::default(), BTreeSet::new());
     while !state.shutdown.is_complete() {
         let ready = state.policy.ready_engines().into_iter();
-        let engines: Vec<Listed> = ready.map(|ready| Listed { id: ready.id, told: ready.engine }).collect();
+        let engines: Vec<ReadyEngine> =
+            ready.map(|ready| ReadyEngine { id: ready.id, engine: ready.engine }).collect();
         let (me, all) = subset.gateways(state, gateways);
         if all != made.gateways || engines != made.engines {
-            let plan = Plan::make(subset.site.plan, &all, &engines, &needs(&engines, &subset.classes));
+            let requirements = requirements(&engines, &subset.classes);
+            let plan = SubsetPlan::compute(subset.site.plan, &all, &engines, &requirements);
             made = Made { gateways: all, engines, plan };
         }
         let now = state.clock.now();
         if !used.is_empty() {
             let ready: BTreeSet<u32> = made.engines.iter().map(|x| x.id).collect();
-            let mut sight = Sight { used: used.len(), ..Sight::default() };
+            let mut subset_health = SubsetHealth { used: used.len(), ..SubsetHealth::default() };
             for id in &used {
                 let health = state.policy.engine_health(*id);
                 let ejected = health.is_none_or(|health| health.ejected);
-                sight.bad += usize::from(ejected || !ready.contains(id));
-                sight.congested += usize::from(health.is_some_and(|health| health.congested));
+                subset_health.unhealthy += usize::from(ejected || !ready.contains(id));
+                subset_health.congested += usize::from(health.is_some_and(|health| health.congested));
             }
-            let planned = made.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
-            aperture.look(sight, made.engines.len().saturating_sub(planned), now);
+            let planned = made.plan.subsets.get(&me.key).map_or(0, BTreeSet::len);
+            aperture.observe(subset_health, made.engines.len().saturating_sub(planned), now);
         }
-        let now_used = aperture.used(&made.plan, me, &made.engines);
+        let now_used = aperture.engines_in_use(&made.plan, me, &made.engines);
         if now_used != used {
             let ids: Vec<String> = now_used.iter().take(NAMED).map(|id| format!("{id:08x}")).collect();
             info!(state.log, "subset changed"; "added" => now_used.difference(&used).count(),
                 "removed" => used.difference(&now_used).count(), "gateways" => made.gateways.len(),
-                "beyond_assignment" => aperture.beyond(), "ids" => ids.join(" "),
+                "beyond_assignment" => aperture.extra_engines(), "ids" => ids.join(" "),
                 "engines" => made.engines.len(), "used" => now_used.len());
             used = now_used;
         }
-        let parts = used.iter().filter_map(|id| Some((*id, made.plan.part(*id)?))).collect();
+        let parts = used.iter().filter_map(|id| Some((*id, made.plan.fraction(*id)?))).collect();
         state.policy.set_subset(&used, &parts);
         state.sleep(subset.site.look);
     }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -16,7 +16,8 @@
 use larchfall_paged_rest::results::Caps;
 use larchfall_paged_rest::words::{Family, Source, Sources};
 use larchfall_policy::time::Duration;
-use larchfall_subsetting::{aperture, plan};
+use larchfall_subsetting::aperture::ApertureSettings;
+use larchfall_subsetting::plan::PlanSettings;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -51,8 +52,8 @@
 /// Which engines a gateway uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Subsets {
-    pub plan: plan::Settings,
-    pub aperture: aperture::Settings,
+    pub plan: PlanSettings,
+    pub aperture: ApertureSettings,
     /// Looked at so often.
     pub look: Duration,
 }
@@ -525,8 +526,8 @@
     let shrinks = table.time(&raw.shrinks_ms, "shrinks-ms", 10, 3_600_000)?;
     let look = table.time(&raw.look_ms, "look-ms", 10, 60_000)?;
     Ok(Subsets {
-        plan: plan::Settings { least, slack },
-        aperture: aperture::Settings { grows, shrinks },
+        plan: PlanSettings { min_engines: least, load_slack: slack },
+        aperture: ApertureSettings { grow_interval: grows, shrink_interval: shrinks },
         look,
     })
 }
--- a/crates/subsetting/src/aperture.rs
+++ b/crates/subsetting/src/aperture.rs
@@ -1,80 +1,100 @@
-//! How much of its liking a gateway uses beside its part of the plan: more while that reads congested or too little of it is
-//! ready, all at once when half of it is failing or gone, and back one by one in calm.
+//! How many engines a gateway uses beside its subset of the plan: more while its engines are congested, all at once when
+//! half of them are unhealthy or gone, and back one by one in calm.
 
-use crate::plan::Plan;
-use crate::rank::order;
-use crate::{Gateway, Listed};
+use crate::plan::SubsetPlan;
+use crate::preference::preference_order;
+use crate::{Gateway, ReadyEngine};
 use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
+/// From this fraction of unhealthy engines on, all engines are used.
+const UNHEALTHY_TO_OPEN: f64 = 0.5;
+/// From this fraction of congested engines on, one more is used.
+const CONGESTED_TO_GROW: f64 = 0.5;
+/// Below this fraction of congested engines, one fewer is used.
+const CONGESTED_TO_SHRINK: f64 = 0.25;
+/// One fewer is used only where no more than this fraction of the rest is unhealthy: else it would soon be all again.
+const UNHEALTHY_TO_SHRINK: f64 = 0.4;
+
+/// How fast the number of engines changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settings {
-    /// One more engine each such time while what is used reads congested.
-    pub grows: Duration,
-    /// One fewer each such time in calm.
-    pub shrinks: Duration,
+pub struct ApertureSettings {
+    /// One more engine in each such time while those in use are congested.
+    pub grow_interval: Duration,
+    /// One fewer in each such time in calm.
+    pub shrink_interval: Duration,
 }
 
-/// What a gateway sees of the engines that it uses.
+/// What a gateway observes of the engines that it uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sight {
+pub struct SubsetHealth {
+    /// Engines in use.
     pub used: usize,
-    /// Of them: judged failing, or ready no more.
-    pub bad: usize,
-    /// Of them: the last tick read congested.
+    /// Those of them that are ejected, or ready no more.
+    pub unhealthy: usize,
+    /// Those of them that the last tick found congested.
     pub congested: usize,
 }
 
-/// So much of what is used has to be bad to widen to all, and congested to widen by one.
-const HALF: f64 = 0.5;
-/// And less than this congested for calm.
-const CALM: f64 = 0.25;
-/// One fewer is used only where no more than this of the rest is bad: else it would soon be all again.
-const BAD_STAYS: f64 = 0.4;
+impl SubsetHealth {
+    fn fraction(&self, engines: usize) -> f64 {
+        engines as f64 / self.used.max(1) as f64
+    }
+}
 
+/// How many engines are used beyond the plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Aperture {
-    settings: Settings,
-    /// Engines beyond the plan.
-    beyond: usize,
-    next: Timestamp,
+    settings: ApertureSettings,
+    extra_engines: usize,
+    next_change: Timestamp,
 }
 
 impl Aperture {
-    pub fn new(settings: Settings, now: Timestamp) -> Aperture {
-        Aperture { settings, beyond: 0, next: now + settings.grows }
+    /// None beyond the plan.
+    pub fn new(settings: ApertureSettings, now: Timestamp) -> Aperture {
+        Aperture { settings, extra_engines: 0, next_change: now + settings.grow_interval }
     }
 
-    pub fn beyond(&self) -> usize {
-        self.beyond
+    /// Engines beyond the plan.
+    pub fn extra_engines(&self) -> usize {
+        self.extra_engines
     }
 
-    /// `others` are the engines beyond what the plan says: no more than those can be added.
-    pub fn look(&mut self, sight: Sight, others: usize, now: Timestamp) {
-        let part = |n: usize| n as f64 / sight.used.max(1) as f64;
-        self.beyond = self.beyond.min(others);
-        if sight.used == 0 || part(sight.bad) >= HALF {
-            // Others widen in the same moment: each to all, and every one in an order of its own.
-            (self.beyond, self.next) = (others, now + self.settings.shrinks);
+    /// Takes in what the engines in use look like. `others` is how many engines there are beyond the plan.
+    pub fn observe(&mut self, health: SubsetHealth, others: usize, now: Timestamp) {
+        self.extra_engines = self.extra_engines.min(others);
+        if health.used == 0 || health.fraction(health.unhealthy) >= UNHEALTHY_TO_OPEN {
+            // Other gateways open in the same moment: each to all engines, and every one in an order of its own.
+            self.extra_engines = others;
+            self.next_change = now + self.settings.shrink_interval;
             return;
         }
-        if now < self.next {
+        if now < self.next_change {
             return;
         }
-        if part(sight.congested) >= HALF {
-            (self.beyond, self.next) = ((self.beyond + 1).min(others), now + self.settings.grows);
-        } else if part(sight.congested) < CALM && sight.bad as f64 <= (sight.used - 1) as f64 * BAD_STAYS {
-            (self.beyond, self.next) = (self.beyond.saturating_sub(1), now + self.settings.shrinks);
+        let congested = health.fraction(health.congested);
+        let may_shrink = health.unhealthy as f64 <= (health.used - 1) as f64 * UNHEALTHY_TO_SHRINK;
+        if congested >= CONGESTED_TO_GROW {
+            self.extra_engines = (self.extra_engines + 1).min(others);
+            self.next_change = now + self.settings.grow_interval;
+        } else if congested < CONGESTED_TO_SHRINK && may_shrink {
+            self.extra_engines = self.extra_engines.saturating_sub(1);
+            self.next_change = now + self.settings.shrink_interval;
         }
     }
 
-    /// What is used now: the gateway's part of the plan, and of the rest what it likes best.
-    pub fn used(&self, plan: &Plan, me: Gateway, engines: &[Listed]) -> BTreeSet<u32> {
-        let mut used = plan.chosen.get(&me.number).cloned().unwrap_or_default();
-        let liked = order(me, engines);
-        let beyond: Vec<u32> =
-            liked.iter().map(|x| x.id).filter(|id| !used.contains(id)).take(self.beyond).collect();
-        used.extend(beyond);
+    /// The engines in use now: the gateway's subset, and of the rest those that it prefers.
+    pub fn engines_in_use(
+        &self,
+        plan: &SubsetPlan,
+        gateway: Gateway,
+        engines: &[ReadyEngine],
+    ) -> BTreeSet<u32> {
+        let mut used = plan.subsets.get(&gateway.key).cloned().unwrap_or_default();
+        let preferred = preference_order(gateway, engines).into_iter().map(|ready| ready.id);
+        let extra: Vec<u32> = preferred.filter(|id| !used.contains(id)).take(self.extra_engines).collect();
+        used.extend(extra);
         used
     }
 }
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,54 +1,66 @@
-//! Which engines a gateway uses: few, so that each engine is known to few gateways that know it well, chosen so that loads stay
-//! even and little moves as either fleet grows and shrinks. Without input or output; all gateways that see the same lists work
-//! out the same plan.
+//! Subsetting: which engines a gateway uses.
+//!
+//! Few, so that each engine is known to few gateways that know it well, and chosen so that loads stay even and little moves
+//! as either fleet grows and shrinks. The crate does no I/O; all gateways that see the same lists compute the same plan.
+
+#![deny(missing_docs)]
 
 pub mod aperture;
 pub mod plan;
-pub mod rank;
+pub mod preference;
 pub mod survey;
 
 use larchfall_policy::interface::{Engine, RequestClass};
 use std::collections::BTreeSet;
 
-/// An engine that is ready, by its id.
+/// An engine that is ready.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct ReadyEngine {
+    /// Its id in the endpoint list.
     pub id: u32,
-    pub told: Engine,
+    /// What the endpoint list says of it.
+    pub engine: Engine,
 }
 
-/// A gateway, as the plan knows it: a number of its own (a hash of its name, or its place), and its zone where that is known.
+/// A gateway, as the plan knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Gateway {
-    pub number: u64,
+    /// A number of its own: a hash of its name, or its index.
+    pub key: u64,
+    /// Its zone, where that is known.
     pub zone: Option<usize>,
 }
 
-/// Which engines one request class may go to, or some classes alike.
+/// The engines that a request class may go to. Every subset needs some of them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Need(BTreeSet<u32>);
+pub struct Requirement(BTreeSet<u32>);
 
-impl Need {
-    pub fn has(&self, id: u32) -> bool {
+impl Requirement {
+    /// Whether the engine with this id is one of them.
+    pub fn contains(&self, id: u32) -> bool {
         self.0.contains(&id)
     }
 
+    /// How many there are.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// What must be found in every subset, the scarcest first: classes that may go to the same engines need the same.
-pub fn needs(engines: &[Listed], classes: &[RequestClass]) -> Vec<Need> {
-    let open = |class: &RequestClass| {
-        Need(engines.iter().filter(|x| class.allows_engine(&x.told)).map(|x| x.id).collect())
+/// The requirements of all classes, the scarcest first; classes that may go to the same engines share one.
+pub fn requirements(engines: &[ReadyEngine], classes: &[RequestClass]) -> Vec<Requirement> {
+    let allowed = |class: &RequestClass| {
+        let engines = engines.iter().filter(|ready| class.allows_engine(&ready.engine));
+        Requirement(engines.map(|ready| ready.id).collect())
     };
-    let all: BTreeSet<Need> = classes.iter().map(open).filter(|need| !need.is_empty()).collect();
-    let mut all: Vec<Need> = all.into_iter().collect();
-    all.sort_by_key(Need::len);
-    all
+    let distinct: BTreeSet<Requirement> =
+        classes.iter().map(allowed).filter(|requirement| !requirement.is_empty()).collect();
+    let mut requirements: Vec<Requirement> = distinct.into_iter().collect();
+    requirements.sort_by_key(Requirement::len);
+    requirements
 }
--- a/crates/subsetting/src/plan.rs
+++ b/crates/subsetting/src/plan.rs
@@ -1,90 +1,114 @@
-//! The plan of all gateways at once. Each takes the engines that it likes best, but none that has as many gateways as is its
-//! part (rendezvous hashing with bounded loads, after Mirrokni, Thorup, Zadimoghaddam: "Consistent Hashing with Bounded
-//! Loads", 2018). Gateways choose one after the other in the order of their numbers, so one that comes or goes moves only
-//! what comes after it, and of that only what meets a bound.
+//! The subsets of all gateways at once.
+//!
+//! Each takes the engines that it prefers, but none that already has as many gateways as its bound (rendezvous hashing with
+//! bounded loads, after Mirrokni, Thorup, Zadimoghaddam: "Consistent Hashing with Bounded Loads", 2018). Gateways choose one
+//! after the other in the order of their keys, so one that comes or goes moves only what comes after it, and of that only
+//! what meets a bound.
 
-use crate::rank::order;
-use crate::{Gateway, Listed, Need};
+use crate::preference::preference_order;
+use crate::{Gateway, ReadyEngine, Requirement};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// How subsets are chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settings {
-    /// So many engines at least that each request class may go to, where there are as many.
-    pub least: usize,
-    /// By so much of the mean an engine may have more gateways than that.
-    pub slack: f64,
+pub struct PlanSettings {
+    /// Engines that each request class may go to, where there are as many.
+    pub min_engines: usize,
+    /// How far above the mean an engine's number of gateways may be, as a fraction of the mean.
+    pub load_slack: f64,
 }
 
-/// By gateway: the engines that it uses. The same at all that have the same lists.
+impl PlanSettings {
+    /// How many gateways an engine may have for this requirement: all that are wanted, spread evenly, and a little more.
+    fn max_gateways(&self, gateways: usize, requirement: &Requirement) -> usize {
+        let wanted = gateways as f64 * self.min_engines.min(requirement.len()) as f64;
+        (wanted / requirement.len() as f64 * (1.0 + self.load_slack)).ceil().max(1.0) as usize
+    }
+}
+
+/// The same at all gateways that have the same lists.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plan {
-    pub chosen: BTreeMap<u64, BTreeSet<u32>>,
-    /// By engine: how many gateways use it.
-    pub users: BTreeMap<u32, usize>,
+pub struct SubsetPlan {
+    /// By gateway's key: the ids of the engines that it uses.
+    pub subsets: BTreeMap<u64, BTreeSet<u32>>,
+    /// By engine's id: how many gateways use it.
+    pub gateway_counts: BTreeMap<u32, usize>,
 }
 
-impl Plan {
-    pub fn make(
-        settings: Settings,
+impl SubsetPlan {
+    /// Computes the plan.
+    pub fn compute(
+        settings: PlanSettings,
         gateways: &BTreeSet<Gateway>,
-        engines: &[Listed],
-        needs: &[Need],
-    ) -> Plan {
-        let mut plan = Plan { chosen: BTreeMap::new(), users: engines.iter().map(|x| (x.id, 0)).collect() };
-        let bounds: Vec<usize> = needs.iter().map(|need| settings.bound(gateways.len(), need)).collect();
+        engines: &[ReadyEngine],
+        requirements: &[Requirement],
+    ) -> SubsetPlan {
+        let mut plan = SubsetPlan {
+            subsets: BTreeMap::new(),
+            gateway_counts: engines.iter().map(|ready| (ready.id, 0)).collect(),
+        };
         for gateway in gateways {
-            let liked = order(*gateway, engines);
-            let mut chosen = BTreeSet::new();
-            for (need, bound) in needs.iter().zip(&bounds) {
-                plan.choose(settings, &liked, need, *bound, &mut chosen);
+            let preferred = preference_order(*gateway, engines);
+            let mut subset = BTreeSet::new();
+            for requirement in requirements {
+                let max_gateways = settings.max_gateways(gateways.len(), requirement);
+                let allowed: Vec<&ReadyEngine> =
+                    preferred.iter().copied().filter(|ready| requirement.contains(ready.id)).collect();
+                plan.choose(settings.min_engines, &allowed, max_gateways, &mut subset);
             }
-            plan.chosen.insert(gateway.number, chosen);
+            plan.subsets.insert(gateway.key, subset);
         }
         plan
     }
 
-    /// Adds to what is chosen until the need is met: with enough engines, in two cells where there are two.
+    /// Adds to a subset until it has enough of these engines, in two cells where there are two.
     fn choose(
         &mut self,
-        settings: Settings,
-        liked: &[&Listed],
-        need: &Need,
-        bound: usize,
-        chosen: &mut BTreeSet<u32>,
+        min_engines: usize,
+        allowed: &[&ReadyEngine],
+        max_gateways: usize,
+        subset: &mut BTreeSet<u32>,
     ) {
-        let open: Vec<&&Listed> = liked.iter().filter(|x| need.has(x.id)).collect();
-        let cells: BTreeSet<usize> = open.iter().map(|x| x.told.cell).collect();
-        let mut met: Vec<&Listed> = open.iter().filter(|x| chosen.contains(&x.id)).map(|x| **x).collect();
-        let want = settings.least.min(open.len());
+        let cells: BTreeSet<usize> = allowed.iter().map(|ready| ready.engine.cell).collect();
+        let wanted = min_engines.min(allowed.len());
+        let mut chosen: Vec<&ReadyEngine> =
+            allowed.iter().copied().filter(|ready| subset.contains(&ready.id)).collect();
         loop {
-            // Where there are two cells all of them in one would go together: the last has to be in another.
-            let one = met.first().map(|x| x.told.cell).filter(|c| met.iter().all(|x| x.told.cell == *c));
-            let other = one.filter(|_| want > 1 && cells.len() > 1 && met.len() + 1 >= want);
-            if met.len() >= want && other.is_none() {
+            // All engines in one cell would fail together: where there are two cells the last engine is of another.
+            let only_cell = chosen.first().map(|ready| ready.engine.cell);
+            let only_cell = only_cell.filter(|cell| chosen.iter().all(|ready| ready.engine.cell == *cell));
+            let is_last = chosen.len() + 1 >= wanted;
+            let excluded_cell = only_cell.filter(|_| wanted > 1 && cells.len() > 1 && is_last);
+            if chosen.len() >= wanted && excluded_cell.is_none() {
                 return;
             }
-            let may = |x: &&&&Listed| !chosen.contains(&x.id) && other != Some(x.told.cell);
-            let free = |x: &&&&Listed| self.users.get(&x.id).is_some_and(|users| *users < bound);
-            let best = open.iter().find(|x| may(x) && free(x));
-            // All at their bound: the one with the fewest.
-            let best = best.or_else(|| open.iter().filter(may).min_by_key(|x| self.users.get(&x.id)));
-            let Some(best) = best else { return };
-            chosen.insert(best.id);
-            met.push(best);
-            *self.users.entry(best.id).or_default() += 1;
+            let is_candidate = |ready: &&ReadyEngine| {
+                !subset.contains(&ready.id) && excluded_cell != Some(ready.engine.cell)
+            };
+            let Some(next) = self.next_engine(allowed.iter().copied().filter(is_candidate), max_gateways)
+            else {
+                return;
+            };
+            subset.insert(next.id);
+            chosen.push(next);
+            *self.gateway_counts.entry(next.id).or_default() += 1;
         }
     }
 
-    /// The part of an engine that is one of its users'.
-    pub fn part(&self, engine: u32) -> Option<f64> {
-        self.users.get(&engine).filter(|users| **users > 0).map(|users| 1.0 / *users as f64)
+    /// The most preferred engine below its bound, or where all are at their bound the one with the fewest gateways.
+    fn next_engine<'a>(
+        &self,
+        candidates: impl Iterator<Item = &'a ReadyEngine> + Clone,
+        max_gateways: usize,
+    ) -> Option<&'a ReadyEngine> {
+        let gateways = |ready: &ReadyEngine| self.gateway_counts.get(&ready.id).copied();
+        let is_below_bound = |ready: &&ReadyEngine| gateways(ready).is_some_and(|n| n < max_gateways);
+        candidates.clone().find(is_below_bound).or_else(|| candidates.min_by_key(|ready| gateways(ready)))
     }
-}
 
-impl Settings {
-    /// How many gateways an engine may have for this need: all that are wanted, spread evenly, and a little more.
-    fn bound(&self, gateways: usize, need: &Need) -> usize {
-        let wanted = gateways as f64 * self.least.min(need.len()) as f64;
-        (wanted / need.len() as f64 * (1.0 + self.slack)).ceil().max(1.0) as usize
+    /// A gateway's fraction of an engine among the gateways that use it.
+    pub fn fraction(&self, engine: u32) -> Option<f64> {
+        let gateways = self.gateway_counts.get(&engine).filter(|gateways| **gateways > 0)?;
+        Some(1.0 / *gateways as f64)
     }
 }
--- a/crates/subsetting/src/survey.rs
+++ b/crates/subsetting/src/survey.rs
@@ -1,72 +1,100 @@
-//! What a plan comes to before it is switched on: who uses whom, how even engines' gateways are, what moves when one gateway or
-//! engine goes.
+//! What a plan comes to before it is switched on: who uses whom, how even the engines' numbers of gateways are, and what
+//! moves when a gateway or engine leaves.
 
-use crate::plan::{Plan, Settings};
-use crate::{Gateway, Listed, needs};
+use crate::plan::{PlanSettings, SubsetPlan};
+use crate::{Gateway, ReadyEngine, requirements};
 use larchfall_policy::interface::RequestClass;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
-/// So many goings of each kind are worked out at most: of 1,000 gateways not every one.
-const GOINGS: usize = 24;
+/// Departures of each kind that are computed at most: of 1,000 gateways not every one.
+const MAX_DEPARTURES: usize = 24;
 
+/// What a plan comes to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Survey {
-    pub plan: Plan,
-    /// Pairs of a gateway and an engine that it uses, and pairs that there would be without subsets.
-    pub pairs: (usize, usize),
-    /// Gateways of an engine: least, mean, most.
-    pub users: (usize, f64, usize),
-    /// Pairs that are new to those that stay, in parts of what the one that went had: as a gateway goes, and as an engine goes.
-    pub moved: (f64, f64),
+pub struct PlanSurvey {
+    /// The plan.
+    pub plan: SubsetPlan,
+    /// Pairs of a gateway and an engine that it uses.
+    pub pairs: usize,
+    /// Pairs that there would be without subsets.
+    pub all_pairs: usize,
+    /// How many gateways an engine has.
+    pub gateways_per_engine: Spread,
+    /// What a departure moves.
+    pub moved: Moved,
 }
 
-fn new_pairs(before: &Plan, after: &Plan) -> usize {
+/// The spread of a count.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Spread {
+    /// The smallest.
+    pub min: usize,
+    /// The mean.
+    pub mean: f64,
+    /// The largest.
+    pub max: usize,
+}
+
+/// Pairs that are new to those that stay, in the mean, as a fraction of the pairs of the one that leaves.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Moved {
+    /// As a gateway leaves.
+    pub by_gateway: f64,
+    /// As an engine leaves.
+    pub by_engine: f64,
+}
+
+fn new_pairs(before: &SubsetPlan, after: &SubsetPlan) -> usize {
     let new = |(gateway, now): (&u64, &BTreeSet<u32>)| {
-        before.chosen.get(gateway).map_or(0, |was| now.difference(was).count())
+        before.subsets.get(gateway).map_or(0, |was| now.difference(was).count())
     };
-    after.chosen.iter().map(new).sum()
+    after.subsets.iter().map(new).sum()
 }
 
 /// Some of them, spread over all.
-fn some<T: Copy>(all: &[T]) -> impl Iterator<Item = T> + '_ {
-    let step = all.len().div_ceil(GOINGS).max(1);
+fn sample<T: Copy>(all: &[T]) -> impl Iterator<Item = T> + '_ {
+    let step = all.len().div_ceil(MAX_DEPARTURES).max(1);
     all.iter().copied().step_by(step)
 }
 
+fn mean(fractions: impl Iterator<Item = f64>) -> f64 {
+    let fractions: Vec<f64> = fractions.collect();
+    fractions.iter().sum::<f64>() / fractions.len().max(1) as f64
+}
+
+/// Computes the plan of these gateways and engines, and what departures would move.
 pub fn survey(
-    settings: Settings,
+    settings: PlanSettings,
     gateways: &BTreeSet<Gateway>,
-    engines: &[Listed],
+    engines: &[ReadyEngine],
     classes: &[RequestClass],
-) -> Survey {
-    let make = |gateways: &BTreeSet<Gateway>, engines: &[Listed]| {
-        Plan::make(settings, gateways, engines, &needs(engines, classes))
+) -> PlanSurvey {
+    let compute = |gateways: &BTreeSet<Gateway>, engines: &[ReadyEngine]| {
+        SubsetPlan::compute(settings, gateways, engines, &requirements(engines, classes))
+    };
+    let plan = compute(gateways, engines);
+    let gateway_list: Vec<Gateway> = gateways.iter().copied().collect();
+    let moved_by_gateway = |left: Gateway| {
+        let rest = gateways.iter().copied().filter(|gateway| *gateway != left).collect();
+        let pairs = plan.subsets.get(&left.key).map_or(0, BTreeSet::len);
+        new_pairs(&plan, &compute(&rest, engines)) as f64 / pairs.max(1) as f64
+    };
+    let moved_by_engine = |left: ReadyEngine| {
+        let rest: Vec<ReadyEngine> = engines.iter().copied().filter(|ready| ready.id != left.id).collect();
+        let pairs = plan.gateway_counts.get(&left.id).copied().unwrap_or(0);
+        new_pairs(&plan, &compute(gateways, &rest)) as f64 / pairs.max(1) as f64
     };
-    let plan = make(gateways, engines);
-    let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len().max(1) as f64;
-    let list: Vec<Gateway> = gateways.iter().copied().collect();
-    let as_gateway_goes = |gone: Gateway| {
-        let rest: BTreeSet<Gateway> = gateways.iter().copied().filter(|gateway| *gateway != gone).collect();
-        let had = plan.chosen.get(&gone.number).map_or(0, BTreeSet::len);
-        new_pairs(&plan, &make(&rest, engines)) as f64 / had.max(1) as f64
+    let moved = Moved {
+        by_gateway: mean(sample(&gateway_list).map(moved_by_gateway)),
+        by_engine: mean(sample(engines).map(moved_by_engine)),
     };
-    let as_engine_goes = |gone: Listed| {
-        let rest: Vec<Listed> = engines.iter().copied().filter(|x| x.id != gone.id).collect();
-        let had = plan.users.get(&gone.id).copied().unwrap_or(0);
-        new_pairs(&plan, &make(gateways, &rest)) as f64 / had.max(1) as f64
+    let counts = || plan.gateway_counts.values().copied();
+    let pairs: usize = counts().sum();
+    let gateways_per_engine = Spread {
+        min: counts().min().unwrap_or(0),
+        mean: pairs as f64 / engines.len().max(1) as f64,
+        max: counts().max().unwrap_or(0),
     };
-    let by_gateway: Vec<f64> = some(&list).map(as_gateway_goes).collect();
-    let by_engine: Vec<f64> = some(engines).map(as_engine_goes).collect();
-    let users: BTreeMap<u32, usize> = plan.users.clone();
-    let pairs: usize = users.values().sum();
-    Survey {
-        pairs: (pairs, gateways.len() * engines.len()),
-        users: (
-            users.values().copied().min().unwrap_or(0),
-            pairs as f64 / engines.len().max(1) as f64,
-            users.values().copied().max().unwrap_or(0),
-        ),
-        moved: (mean(&by_gateway), mean(&by_engine)),
-        plan,
-    }
+    let all_pairs = gateways.len() * engines.len();
+    PlanSurvey { pairs, all_pairs, gateways_per_engine, moved, plan }
 }
