--- a/crates/gateway/src/engine/attempt.rs
+++ b/crates/gateway/src/engine/attempt.rs
@@ -2,12 +2,12 @@
 //! cancelled and how its result is read stand in modules of their own.
 
 use super::connection::{self, CallError, ConnectError, Connection};
+use crate::codec::engine_http::{self, Reply, StatementCall};
 use crate::request_context::RequestContext;
 use crate::state::State;
 use crate::state::connection_permits::PermitWait;
 use crate::state::connection_pool::ConnectionPermit;
 use crate::state::engine_table::EngineInstance;
-use crate::wire::http::{self, Reply, Start};
 use larchfall_policy::attempt_ledger::proves_end;
 use larchfall_policy::interface::{AttemptEvidence, AttemptParameters, LastObservation, LoadReport, Outcome};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -188,16 +188,16 @@
 
     /// The call that starts the statement, with the time that its client has left now.
     fn start_call(&self) -> Vec<u8> {
-        let start = Start {
+        let call = StatementCall {
             id: &self.context.id,
             class: &self.state.settings.names.classes[self.context.class],
-            patience: self.deadline().since(self.state.clock.now()),
-            reference: self.context.idempotency_key.as_deref(),
+            remaining: self.deadline().since(self.state.clock.now()),
+            idempotency_key: self.context.idempotency_key.as_deref(),
             memory_mb: self.parameters.memory_mb,
             priority: self.parameters.priority,
             statement: &self.context.statement,
         };
-        http::start(self.instance.address, &start)
+        engine_http::start_statement(self.instance.address, &call)
     }
 
     /// An end with what was last observed of the attempt. What does not prove that nothing runs is logged.
--- a/crates/gateway/src/engine/connection.rs
+++ b/crates/gateway/src/engine/connection.rs
@@ -1,9 +1,10 @@
 //! One connection to an engine, which carries one call at a time.
 
+use crate::codec::Decoded;
+use crate::codec::engine_http::{self, Reply};
 use crate::state::State;
 use crate::state::clock::Clock;
 use crate::state::engine_table::EngineInstance;
-use crate::wire::http::{self, Reply};
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
@@ -114,7 +115,9 @@
     fn read_reply(&mut self, clock: &Clock, deadline: Timestamp) -> Result<Reply, CallError> {
         let mut deadline = deadline;
         loop {
-            if let Some((reply, length)) = http::parse(&self.input).map_err(|_| CallError::Broken)? {
+            if let Some(Decoded { value: reply, length }) =
+                engine_http::decode(&self.input).map_err(|_| CallError::Broken)?
+            {
                 self.input.drain(..length);
                 // 100 and its like only announce a reply.
                 if reply.status / 100 == 1 {
--- a/crates/gateway/src/engine/result_pages.rs
+++ b/crates/gateway/src/engine/result_pages.rs
@@ -3,7 +3,7 @@
 use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_clean};
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::Connection;
-use crate::wire::http::{self, Reply};
+use crate::codec::engine_http::{self, Reply};
 use larchfall_policy::interface::{LastObservation, LoadReport, Outcome, ProgressUpdate};
 use larchfall_policy::time::Duration;
 use slog::warn;
@@ -21,8 +21,8 @@
     pub(super) fn collect_pages(&self, connection: Option<Connection>, first: Reply) -> AttemptEnd {
         // Whoever has the result has the request.
         self.same_process.set(true);
-        let report = first.report;
-        let pages = first.pages.unwrap_or(1);
+        let report = first.load;
+        let pages = first.page_count.unwrap_or(1);
         if pages > MAX_PAGES {
             warn!(self.state.log, "result ignored"; "pages" => pages);
             return self.abandon_result(connection, Outcome::Errored, report);
@@ -70,7 +70,7 @@
             *connection = self.connect(self.deadline()).ok();
         }
         if let Some(mut open) = connection.take() {
-            let poll = http::page(self.instance.address, &self.context.id, 0);
+            let poll = engine_http::fetch_page(self.instance.address, &self.context.id, 0);
             let reply = self.call(&mut open, &poll, POLL_TIMEOUT);
             *connection = reply.ok().and_then(|reply| keep_if_clean(Some(open), reply.closes));
         }
@@ -96,14 +96,14 @@
     }
 
     fn fetch_page(&self, connection: &mut Option<Connection>, number: u32) -> Option<Vec<u8>> {
-        let call = http::page(self.instance.address, &self.context.id, number);
+        let call = engine_http::fetch_page(self.instance.address, &self.context.id, number);
         for _ in 0..MAX_PAGE_TRIES {
             if connection.is_none() {
                 *connection = self.connect(self.deadline()).ok();
             }
             let Some(open) = connection else { continue };
             match self.call(open, &call, PAGE_TIMEOUT) {
-                Ok(reply) if reply.status == 200 && reply.page == Some(number) => {
+                Ok(reply) if reply.status == 200 && reply.page_number == Some(number) => {
                     *connection = keep_if_clean(connection.take(), reply.closes);
                     return Some(reply.body);
                 }
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -1,14 +1,14 @@
 //! What the gateway keeps in memory, part by part, without the program.
 
 use crate::in_process::{in_coroutine, ms};
+use larchfall_gateway::codec::discovery::{EndpointEntry, WatchEvent};
+use larchfall_gateway::codec::message_pack::{self, Response};
 use larchfall_gateway::state::client_connections::ClientConnections;
 use larchfall_gateway::state::counters::Counters;
 use larchfall_gateway::state::engine_table::{EndpointChanges, EngineTable};
 use larchfall_gateway::state::limits::Limits;
 use larchfall_gateway::state::response_writer::{IdCheck, MAX_OPEN_REQUESTS};
 use larchfall_gateway::state::stall_detector::StallDetector;
-use larchfall_gateway::wire::discovery::{Entry, Event};
-use larchfall_gateway::wire::rpc;
 use larchfall_policy::interface::{EngineState, Outcome};
 use larchfall_policy::time::{Duration, Timestamp};
 use may::io::WaitIo;
@@ -95,21 +95,25 @@
     }
 }
 
-fn entry(id: u32, port: u16, state: EngineState) -> Entry {
+fn entry(id: u32, port: u16, state: EngineState) -> EndpointEntry {
     let address = SocketAddrV4::new([10, 0, 0, 1].into(), port);
-    Entry { id, address, state, zone: 0, kind: 0, cell: 0, started_ms: 5 }
+    EndpointEntry { id, address, state, zone: 0, kind: 0, cell: 0, started_ms: 5 }
 }
 
 #[test]
 fn engines_are_told_apart_by_id_and_each_event_is_applied_once() {
     use EngineState::{Gone, Ready};
     struct Step<'a> {
-        event: Event,
+        event: WatchEvent,
         updated: &'a [usize],
         added: &'a [usize],
         replaced: &'a [usize],
     }
-    let event = |number, whole, entries: &[Entry]| Event { number, whole, entries: entries.to_vec() };
+    let event = |revision, full_list, entries: &[EndpointEntry]| WatchEvent {
+        revision,
+        full_list,
+        entries: entries.to_vec(),
+    };
     let steps = [
         Step {
             event: event(1, true, &[entry(7, 1, Ready), entry(8, 2, Ready)]),
@@ -161,12 +165,12 @@
             (IdCheck::Accepted, IdCheck::Reused, IdCheck::Reused)
         );
         writer.open(3, 30);
-        assert!(writer.respond(3, &rpc::Answer::Returned(b"rows")));
-        assert!(!writer.respond(3, &rpc::Answer::Errored("again")), "one answer and no more");
+        assert!(writer.respond(3, &Response::Returned(b"rows")));
+        assert!(!writer.respond(3, &Response::Errored("again")), "one answer and no more");
         assert_eq!(writer.record_id(4), IdCheck::Accepted);
         writer.open(4, 40);
         assert_eq!((writer.cancel(4), writer.cancel(4)), (Some(40), None));
-        assert!(!writer.respond(4, &rpc::Answer::Pong), "nobody waits for it");
+        assert!(!writer.respond(4, &Response::Pong), "nobody waits for it");
         let mut written = Vec::new();
         let take = |max: usize, written: &mut Vec<u8>| {
             writer.write(|bytes| {
@@ -179,13 +183,13 @@
         assert!(!writer.is_idle() && !connections.are_idle());
         take(100, &mut written).unwrap();
         let mut complete = Vec::new();
-        rpc::encode(&mut complete, 3, &rpc::Answer::Returned(b"rows"));
+        message_pack::encode(&mut complete, 3, &Response::Returned(b"rows"));
         assert_eq!(written, complete);
         assert!(writer.is_idle() && connections.are_idle());
         // What nobody reads is bounded: past that, answers shrink to an error.
-        writer.send(5, &rpc::Answer::Returned(&[0; 200]));
+        writer.send(5, &Response::Returned(&[0; 200]));
         let mut written = Vec::new();
-        writer.send(6, &rpc::Answer::Returned(&[0; 200]));
+        writer.send(6, &Response::Returned(&[0; 200]));
         take(1000, &mut written).unwrap();
         assert!(written.len() < 300, "{} bytes", written.len());
         for id in 0..MAX_OPEN_REQUESTS as u32 {
