--- a/crates/gateway/src/cli/subsets.rs
+++ b/crates/gateway/src/cli/subsets.rs
@@ -6,7 +6,7 @@
 use super::table::format_table;
 use crate::config::Config;
 use crate::state::engine_table::EngineTable;
-use larchfall_operator_config::Subsets;
+use larchfall_operator_config::SubsettingConfig;
 use larchfall_subsetting::survey::{Moved, PlanSurvey, Spread, survey};
 use larchfall_subsetting::{Gateway, ReadyEngine};
 use plotters::prelude::*;
@@ -41,7 +41,7 @@
     let files = paths.load()?;
     let subsets = files
         .operator_config
-        .and_then(|file| file.site.subsets)
+        .and_then(|file| file.config.subsetting)
         .filter(|_| (1..=MAX_GATEWAYS).contains(&gateways))
         .ok_or(SubsetsError::Usage { max_gateways: MAX_GATEWAYS })?;
     let engines = listed_engines(&files.config);
@@ -66,7 +66,7 @@
 fn survey_gateways(
     config: &Config,
     engines: &[ReadyEngine],
-    subsets: &Subsets,
+    subsets: &SubsettingConfig,
     gateways: usize,
 ) -> PlanSurvey {
     let zones = config.settings.names.zones.len().max(1);
@@ -76,7 +76,7 @@
         zone: Some(i % zones),
     };
     let gateways: BTreeSet<Gateway> = (0..gateways).map(gateway).collect();
-    survey(subsets.plan, &gateways, engines, &config.settings.given.classes)
+    survey(subsets.plan, &gateways, engines, &config.settings.policy.classes)
 }
 
 fn format_survey(engines: &[ReadyEngine], survey: &PlanSurvey) -> String {
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -8,7 +8,7 @@
 use larchfall_health_gossip::datagram::{Datagram, MAX_ENTRIES};
 use larchfall_health_gossip::health_gossip::{self, PeerOutcome, ProcessSummary};
 use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
-use larchfall_operator_config::Signals as Settings;
+use larchfall_operator_config::HealthGossipConfig;
 use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
 use slog::info;
@@ -37,17 +37,17 @@
 
 /// This gateway's part in sharing observations of engines.
 pub struct HealthGossip {
-    settings: Settings,
+    settings: HealthGossipConfig,
     inner: Mutex<Inner>,
     counters: Counters,
 }
 
 impl HealthGossip {
     /// Has the policy note from now on what it observes.
-    pub fn new(state: &State, settings: Settings, seed: u64, now: Timestamp) -> HealthGossip {
+    pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> HealthGossip {
         state.policy.enable_observations(LIMITS.processes);
         let inner = Inner {
-            gossip: health_gossip::HealthGossip::new(LIMITS, settings.weigh, settings.turn),
+            gossip: health_gossip::HealthGossip::new(LIMITS, settings.weigh, settings.probe_slot),
             due: now,
             random: WyRand::new_seed(seed),
         };
@@ -66,7 +66,7 @@
             if now < inner.due {
                 return;
             }
-            inner.due = now + self.settings.every;
+            inner.due = now + self.settings.interval;
         }
         self.send_observations(state, cluster);
         self.count_observations(state, cluster, now);
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -8,7 +8,7 @@
 use larchfall_leases::fencing::Fenced;
 use larchfall_leases::load_sharing::{quota_allocator_role, role_index};
 use larchfall_leases::messages::{MemberId, Payload, paginate};
-use larchfall_operator_config::{Keepers, Kinds};
+use larchfall_operator_config::{QuotaConfig, QuotaKinds};
 use larchfall_policy::interface::{RequestClass, SlowStartPolicy};
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::capacity::Capacity;
@@ -43,9 +43,9 @@
     pub fn new(platform: &Settings) -> QuotaInputs {
         let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
         QuotaInputs {
-            gateways: platform.given.fleet.gateways,
-            slow_start: platform.given.slow_start.clone(),
-            classes: platform.given.classes.clone(),
+            gateways: platform.policy.fleet.gateways,
+            slow_start: platform.policy.slow_start.clone(),
+            classes: platform.policy.classes.clone(),
             tenants: platform.names.tenants.iter().map(tenant).collect(),
         }
     }
@@ -55,28 +55,28 @@
 pub(super) struct QuotaExchange {
     pub(super) quotas: Mutex<QuotaManager>,
     /// Which kinds of capacity are allocated, by the operator's file.
-    kinds: Kinds,
+    kinds: QuotaKinds,
     inputs: QuotaInputs,
 }
 
 impl QuotaExchange {
     pub(super) fn new(
         state: &State,
-        keepers: Keepers,
+        config: QuotaConfig,
         margin: u32,
         inputs: QuotaInputs,
         now: Timestamp,
     ) -> QuotaExchange {
-        let Keepers { keepers, length, kinds } = keepers;
+        let QuotaConfig { allocators, lifetime, kinds } = config;
         let strict = QuotaTerms {
             max_gateways: inputs.gateways,
-            length,
+            length: lifetime,
             drift_margin_per_mille: margin,
             usage_window: inputs.slow_start.window,
             strict: true,
         };
         let soft = QuotaTerms { usage_window: Duration::ZERO, strict: false, ..strict };
-        let settings = QuotaSettings { strict, soft, allocators: keepers, max_capacities: MAX_CAPACITIES };
+        let settings = QuotaSettings { strict, soft, allocators, max_capacities: MAX_CAPACITIES };
         let quotas = QuotaManager::new(settings, now);
         if kinds.slow_start {
             state.policy.enable_quotas(quotas.strict_default_fraction());
