--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -143,7 +143,7 @@
         increment(&self.counters.received);
         let version = bytes.first();
         if let Some(gossip) = &self.health_gossip
-            && version == Some(&larchfall_health_gossip::wire::VERSION)
+            && version == Some(&larchfall_health_gossip::datagram::VERSION)
         {
             gossip.on_datagram(state, self, bytes, from);
         } else if let Some(leases) = &self.leases
