--- a/crates/gateway/tests/gateway/protocol_cost.rs
+++ b/crates/gateway/tests/gateway/protocol_cost.rs
@@ -113,8 +113,9 @@
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let text = config("127.0.0.1:0", discovery.address, Some(engine.address), 1024);
     let gateway = Gateway::start_site(discovery, &text, Some(&site(REST)));
-    let mut client = gateway.rest_client();
     let message_pack = message_pack_cost(&gateway);
+    // Opened only now: a connection without calls for 10 s is closed.
+    let mut client = gateway.rest_client();
     let single_page = single_page_cost(&gateway, &mut client);
     let page_of_many = page_of_many_cost(&gateway, &mut client);
     // What waits in the window: nineteen pages, the first was handed out and is kept.
