--- /dev/null
+++ b/crates/gateway/src/client/message_pack/requests.rs
@@ -0,0 +1,124 @@
+//! What becomes of each message: requests are admitted, others are answered at once.
+
+use super::inbox::{Inbox, Received};
+use crate::admission::{self, RequestError};
+use crate::client::CloseReason;
+use crate::codec::client_request::ClientRequest;
+use crate::codec::message_pack::{Message, Response};
+use crate::request_context::{FinalAnswer, ResultReader};
+use crate::state::response_writer::{IdCheck, ResponseWriter};
+use crate::state::{State, lock};
+use larchfall_policy::time::Timestamp;
+use std::sync::{Arc, Mutex};
+
+/// Handles the complete messages of an inbox.
+pub(super) fn handle_messages(
+    state: &Arc<State>,
+    writer: &Arc<ResponseWriter>,
+    inbox: &mut Inbox,
+) -> Result<(), CloseReason> {
+    let mut handled = 0;
+    while let Some(Received { message, length, sent }) = inbox.next(handled)? {
+        handled += length;
+        match message {
+            Message::Ping { message_id } => {
+                open(writer, message_id)?;
+                state.counters.update(|counters| counters.pings += 1);
+                writer.send(message_id, &Response::Pong);
+            }
+            Message::Abort { message_ids } => {
+                for request in message_ids.into_iter().filter_map(|id| writer.cancel(id)) {
+                    state.policy.record_disconnection(request);
+                }
+            }
+            Message::Unusable { message_id, reason } => {
+                open(writer, message_id)?;
+                state.counters.update(|counters| counters.unusable += 1);
+                writer.send(message_id, &Response::Errored(&reason.to_string()));
+            }
+            Message::Request { message_id, request } => {
+                if open(writer, message_id)? {
+                    admit(state, writer, message_id, &request, sent);
+                } else {
+                    reject_over_limits(state, writer, message_id);
+                }
+            }
+        }
+    }
+    inbox.drop_handled(handled);
+    writer.record_read(handled > 0, !inbox.is_empty(), state.clock.now());
+    Ok(())
+}
+
+/// Whether a request may be opened under this message id; one that was used before ends the connection.
+fn open(writer: &ResponseWriter, message_id: u32) -> Result<bool, CloseReason> {
+    match writer.record_id(message_id) {
+        IdCheck::Accepted => Ok(true),
+        IdCheck::TooManyOpen => Ok(false),
+        IdCheck::Reused => Err(CloseReason::DuplicateMessageId),
+    }
+}
+
+fn admit(
+    state: &Arc<State>,
+    writer: &Arc<ResponseWriter>,
+    message_id: u32,
+    request: &ClientRequest,
+    sent: Timestamp,
+) {
+    let admitted = admission::admit(state, request, sent, |index| {
+        writer.open(message_id, index);
+        Arc::new(BufferedResult { writer: writer.clone(), message_id, rows: Mutex::default() })
+    });
+    match admitted {
+        Ok(()) => {}
+        Err(RequestError::Invalid(invalid)) => {
+            writer.send(message_id, &Response::Errored(&invalid.to_string()));
+        }
+        Err(RequestError::TooManyInFlight) => reject_over_limits(state, writer, message_id),
+    }
+}
+
+/// Rejects a request that was never admitted and tells its client when to try again: a client that sends hundreds at
+/// once may otherwise do so again at once.
+fn reject_over_limits(state: &State, writer: &ResponseWriter, message_id: u32) {
+    state.counters.update(|counters| counters.over_limits += 1);
+    writer.send(message_id, &Response::Rejected(state.settings.max_retry_after));
+}
+
+/// The result of one request. Its rows are kept here until all have come, since a response holds the complete result.
+struct BufferedResult {
+    writer: Arc<ResponseWriter>,
+    message_id: u32,
+    rows: Mutex<Vec<u8>>,
+}
+
+impl ResultReader for BufferedResult {
+    fn has_room(&self) -> bool {
+        true
+    }
+
+    fn push_rows(&self, mut rows: Vec<u8>) {
+        let mut all = lock(&self.rows);
+        if all.is_empty() {
+            *all = rows;
+        } else {
+            all.append(&mut rows);
+        }
+    }
+
+    fn restart(&self) -> bool {
+        *lock(&self.rows) = Vec::new();
+        true
+    }
+
+    fn finish(&self, answer: FinalAnswer) -> bool {
+        let rows = std::mem::take(&mut *lock(&self.rows));
+        let response = match answer {
+            FinalAnswer::Returned => Response::Returned(&rows),
+            FinalAnswer::Rejected(retry_after) => Response::Rejected(retry_after),
+            FinalAnswer::Errored(why) => Response::Errored(why),
+        };
+        self.writer.respond(self.message_id, &response)
+    }
+}
--- a/crates/gateway/src/engine/cancellation.rs
+++ b/crates/gateway/src/engine/cancellation.rs
@@ -2,9 +2,9 @@
 
 use super::attempt::{Attempt, AttemptEnd, POLL_TIMEOUT, RETRY_PAUSE, keep_if_clean};
 use super::connection::{ConnectError, Connection, connect};
+use crate::codec::engine_http;
 use crate::state::State;
 use crate::state::engine_table::EngineInstance;
-use crate::wire::http;
 use larchfall_policy::interface::{AttemptEvidence, LastObservation, Outcome};
 use larchfall_policy::time::Duration;
 
@@ -34,7 +34,7 @@
         timeout: Duration,
         outcome: Outcome,
     ) -> AttemptEnd {
-        let cancel = http::give_up(self.instance.address, &self.context.id);
+        let cancel = engine_http::cancel_statement(self.instance.address, &self.context.id);
         let began = self.state.clock.now();
         let waits_for_key = outcome == Outcome::Cancelled && self.context.in_order;
         let mut deadline = began + if waits_for_key { ENGINE_FORGETS_AFTER } else { timeout };
@@ -69,7 +69,7 @@
 
     /// Tells the engine to stop on a coroutine of its own, which has the permit of this attempt from now on.
     pub(super) fn cancel_in_background(&self, connection: Option<Connection>) {
-        let cancel = http::give_up(self.instance.address, &self.context.id);
+        let cancel = engine_http::cancel_statement(self.instance.address, &self.context.id);
         let state = self.state.clone();
         let instance = self.instance;
         let permit = self.permit.take();
--- a/crates/gateway/src/state/engine_table.rs
+++ b/crates/gateway/src/state/engine_table.rs
@@ -1,6 +1,6 @@
 //! Engines by their id in the discovery service's list, and by the small index under which the policy knows them.
 
-use crate::wire::discovery::{Entry, Event};
+use crate::codec::discovery::{EndpointEntry, WatchEvent};
 use larchfall_health_gossip::Process;
 use larchfall_policy::interface::{Engine, EngineState};
 use larchfall_policy::time::Timestamp;
@@ -21,7 +21,7 @@
 
 /// An entry of the endpoint list.
 struct Endpoint {
-    entry: Entry,
+    entry: EndpointEntry,
     generation: u64,
 }
 
@@ -172,22 +172,22 @@
     }
 
     /// Applies an event. One with a number that is not above the present revision changes nothing.
-    pub fn apply(&mut self, event: &Event) -> EndpointChanges {
+    pub fn apply(&mut self, event: &WatchEvent) -> EndpointChanges {
         let mut changes = EndpointChanges::default();
-        if event.number <= self.revision {
+        if event.revision <= self.revision {
             return changes;
         }
-        self.revision = event.number;
+        self.revision = event.revision;
         for entry in &event.entries {
             self.apply_entry(entry, &mut changes);
         }
-        if event.whole {
+        if event.full_list {
             self.drop_unlisted(&mut changes);
         }
         changes
     }
 
-    fn apply_entry(&mut self, entry: &Entry, changes: &mut EndpointChanges) {
+    fn apply_entry(&mut self, entry: &EndpointEntry, changes: &mut EndpointChanges) {
         let Some(index) = self.index(entry.id) else {
             // An engine that is gone before it was heard of is never known.
             if entry.state != EngineState::Gone {
@@ -209,7 +209,7 @@
         changes.updated.push(EngineUpdate { index, engine: engine_of(entry) });
     }
 
-    fn insert(&mut self, entry: &Entry) -> usize {
+    fn insert(&mut self, entry: &EndpointEntry) -> usize {
         self.generations += 1;
         let index = self.endpoints.insert(Endpoint { entry: *entry, generation: self.generations });
         self.index_by_id.insert(entry.id, index);
@@ -228,7 +228,7 @@
     }
 }
 
-fn engine_of(entry: &Entry) -> Engine {
+fn engine_of(entry: &EndpointEntry) -> Engine {
     Engine {
         zone: entry.zone,
         kind: entry.kind,
--- a/crates/gateway/src/state/response_writer.rs
+++ b/crates/gateway/src/state/response_writer.rs
@@ -2,7 +2,7 @@
 //! whoever has a response leaves it here and wakes that coroutine.
 
 use super::lock;
-use crate::wire::rpc::{self, Answer};
+use crate::codec::message_pack::{self, Response};
 use larchfall_policy::time::Timestamp;
 use may::io::WaitIoWaker;
 use std::collections::BTreeMap;
@@ -125,22 +125,22 @@
     }
 
     /// Responds to an open request, once; false when nobody waits for it any more.
-    pub fn respond(&self, id: u32, answer: &Answer) -> bool {
+    pub fn respond(&self, id: u32, response: &Response) -> bool {
         if lock(&self.connection).open_requests.remove(&id).is_none() {
             return false;
         }
-        self.send(id, answer);
+        self.send(id, response);
         true
     }
 
     /// Responds to a message that opened no request.
-    pub fn send(&self, id: u32, answer: &Answer) {
+    pub fn send(&self, id: u32, response: &Response) {
         let mut connection = lock(&self.connection);
         let before = connection.unread.len();
         // A client that does not read must not fill the memory of all.
         let is_full = self.unread_by_all.is_exceeded();
-        let answer = if is_full { &Answer::Errored("unread answers fill the memory") } else { answer };
-        rpc::encode(&mut connection.unread, id, answer);
+        let response = if is_full { &Response::Errored("unread answers fill the memory") } else { response };
+        message_pack::encode(&mut connection.unread, id, response);
         self.unread_by_all.add(connection.unread.len() - before);
         drop(connection);
         self.waker.wakeup();
--- a/crates/gateway/tests/gateway/in_process.rs
+++ b/crates/gateway/tests/gateway/in_process.rs
@@ -1,6 +1,6 @@
 //! What tests of single parts share: times, timers with their thread, and a coroutine to run in.
 
-use larchfall_gateway::run::parts::unix_time;
+use larchfall_gateway::platform::unix_time;
 use larchfall_gateway::state::clock::Clock;
 use larchfall_gateway::state::timers::Timers;
 use larchfall_policy::time::{Duration, Timestamp};
