--- a/crates/gateway/src/client/paged_rest/pages.rs
+++ b/crates/gateway/src/client/paged_rest/pages.rs
@@ -3,7 +3,7 @@
 use super::responses;
 use super::service::RestService;
 use crate::state::State;
-use crate::state::result_pages::PageLookup;
+use crate::state::result_pages::AwaitedPage;
 use larchfall_paged_rest::call::{Call, Response};
 use larchfall_paged_rest::cursor::{FinalAnswer, Page};
 use larchfall_paged_rest::document::{self, PageContent, PageLinks};
@@ -22,7 +22,7 @@
     service: &RestService,
     address: PageAddress,
     since: Timestamp,
-) -> PageLookup {
+) -> AwaitedPage {
     let empty = || PageContent {
         elapsed_ms: state.clock.now().since(since).micros() / 1000,
         ..PageContent::default()
@@ -36,15 +36,15 @@
     service: &RestService,
     call: &Call,
     address: PageAddress,
-    found: PageLookup,
+    found: AwaitedPage,
 ) -> Response {
     match found {
-        PageLookup::Page(page, final_answer) => {
+        AwaitedPage::Page(page, final_answer) => {
             count_delivered(state, final_answer);
             responses::ok(page_document(service, call, address, &page))
         }
         // The address is one that this gateway made, so the page was there once.
-        PageLookup::Gone | PageLookup::Unknown => responses::unusable(410, "this page is gone"),
+        AwaitedPage::Gone | AwaitedPage::Unknown => responses::unusable(410, "this page is gone"),
     }
 }
 
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -7,7 +7,7 @@
 use super::service::RestService;
 use crate::admission::{self, RequestError};
 use crate::state::State;
-use crate::state::result_pages::PageLookup;
+use crate::state::result_pages::AwaitedPage;
 use larchfall_paged_rest::call::{Call, Response};
 use larchfall_paged_rest::cursor::{Page, ResultEnd};
 use larchfall_paged_rest::page_address::PageAddress;
@@ -82,7 +82,7 @@
 ) -> Response {
     match pages::find(state, service, first_page, received) {
         // No address was given out yet: a client that tries again does so with the statement.
-        PageLookup::Page(Page { end: Some(ResultEnd::Rejected), content, .. }, final_answer) => {
+        AwaitedPage::Page(Page { end: Some(ResultEnd::Rejected), content, .. }, final_answer) => {
             pages::count_delivered(state, final_answer);
             service.pages.abandon(first_page.result);
             let retry_after = content.error.and_then(|error| error.retry_after_millis);
--- a/crates/gateway/src/state/result_pages.rs
+++ b/crates/gateway/src/state/result_pages.rs
@@ -3,7 +3,7 @@
 
 use super::lock;
 use super::timers::Timers;
-use larchfall_paged_rest::cursor::{self, FinalAnswer, Page, ResultEnd};
+use larchfall_paged_rest::cursor::{FinalAnswer, Page, PageLookup, ResultEnd};
 use larchfall_paged_rest::document::PageContent;
 use larchfall_paged_rest::page_address::PageAddress;
 use larchfall_paged_rest::results::{AbandonedResult, ResultId, ResultLimits, ResultStore};
@@ -40,7 +40,7 @@
 
 /// What a request for a page brought within its time.
 #[derive(Debug, PartialEq)]
-pub enum PageLookup {
+pub enum AwaitedPage {
     /// The page and, the first time that the last page is handed out, the final answer.
     Page(Page<PageContent>, Option<FinalAnswer>),
     /// A page before the one that was asked for last.
@@ -112,7 +112,7 @@
         timers: &Timers,
         timeout: Duration,
         empty_page: impl Fn() -> PageContent,
-    ) -> PageLookup {
+    ) -> AwaitedPage {
         let deadline = timers.clock().now() + timeout;
         loop {
             let blocker = Blocker::current();
@@ -122,12 +122,12 @@
                 open.results.push_empty(address.result, address.token, empty_page());
             }
             match open.results.get(address.result, address.token, now) {
-                cursor::PageLookup::Found { page, final_answer } => {
-                    return PageLookup::Page(page, final_answer);
+                PageLookup::Found { page, final_answer } => {
+                    return AwaitedPage::Page(page, final_answer);
                 }
-                cursor::PageLookup::Gone => return PageLookup::Gone,
-                cursor::PageLookup::Unknown => return PageLookup::Unknown,
-                cursor::PageLookup::NotReady => open.add_waiter(address.result, &blocker),
+                PageLookup::Gone => return AwaitedPage::Gone,
+                PageLookup::Unknown => return AwaitedPage::Unknown,
+                PageLookup::NotReady => open.add_waiter(address.result, &blocker),
             }
             drop(open);
             timers.park_until(&blocker, deadline);
