--- a/crates/gateway/tests/gateway/common.rs
+++ b/crates/gateway/tests/gateway/common.rs
@@ -1,4 +1,4 @@
-//! One gateway as a program of its own, with toy engines and a toy discovery service around it.
+//! One gateway as a program of its own, with stub engines and a stub discovery service around it.
 
 use larchfall_fault_tests::process;
 use larchfall_stub::discovery::Discovery;
@@ -48,7 +48,7 @@
         Gateway::start_site(discovery, text, None)
     }
 
-    /// With the operator's own settings beside the configuration, and the paged protocol among them.
+    /// A gateway with an operator's file, which has the paged REST protocol on.
     pub(crate) fn start_site(discovery: Discovery, text: &str, site: Option<&str>) -> Gateway {
         let mut gateway = process::Gateway::start(PROGRAM, discovery, text, site, &[]);
         gateway.rest = site.map(|_| process::address_in(&gateway.log.wait_for("listening for paged REST,")));
@@ -56,7 +56,7 @@
     }
 }
 
-/// An address at which nobody listens, nor will: a client's own end holds the port.
+/// An address at which nobody listens or will: a client's own end holds the port.
 pub(crate) struct Nobody {
     pub(crate) address: SocketAddr,
     _held: (TcpListener, TcpStream),
@@ -68,7 +68,7 @@
     Nobody { address: stream.local_addr().unwrap(), _held: (listener, stream) }
 }
 
-/// A listener whose queue is full: who connects next is up only once `let_in` has taken the others out of it.
+/// A listener whose queue is full: the next connection is established only once `accept_next` has emptied it.
 pub(crate) struct Full {
     listener: TcpListener,
     filled: usize,
@@ -91,15 +91,15 @@
     }
 
     /// Waits until the gateway is about to connect here.
-    pub(crate) fn until_dialled(&self) {
+    pub(crate) fn wait_for_connect(&self) {
         let port = format!(":{:04X} 02 ", self.address().port());
-        wait_for("the front to connect", || {
+        wait_for("the gateway to connect", || {
             std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&port).then_some(())
         });
     }
 
     /// The gateway's own connection.
-    pub(crate) fn let_in(&self) -> TcpStream {
+    pub(crate) fn accept_next(&self) -> TcpStream {
         for _ in 0..self.filled {
             self.listener.accept().unwrap();
         }
@@ -107,7 +107,7 @@
     }
 }
 
-/// An engine that is seen to have come this far.
+/// Waits until an engine has seen this.
 pub(crate) fn until_seen(engine: &Engine, what: &str, seen: impl Fn(&larchfall_stub::engine::Seen) -> bool) {
     wait_for(what, || seen(&engine.seen()).then_some(()));
 }
--- a/crates/gateway/tests/gateway/rest.rs
+++ b/crates/gateway/tests/gateway/paged_rest.rs
@@ -1,4 +1,5 @@
-//! The paged protocol on loopback sockets: a gateway with its site file, toy engines and toy clients of both kinds.
+//! The paged REST protocol on loopback sockets: a gateway with an operator's file, stub engines and clients of both
+//! protocols.
 
 use crate::common::{Gateway, config, site, until_seen, wait_for};
 use larchfall_paged_rest::document::{Document, StatementState};
@@ -47,7 +48,7 @@
     serde_json::from_slice(&answer.body).unwrap()
 }
 
-/// All documents from the first one on, and how often the last was asked for.
+/// All documents of a result from the first one on.
 fn follow(client: &mut RestClient, first: &Answer) -> Vec<Document> {
     let mut all = vec![document(first)];
     while let Some(next) = all.last().unwrap().next_uri.clone() {
@@ -93,7 +94,7 @@
 
 #[test]
 fn each_end_of_a_request_has_its_one_answer() {
-    // What the engine does, the class, the answer's status and error, how often the statement came.
+    // What the engine does, the class, the response's status and error, how often the statement came.
     let cases = [
         (Act::Serve(Duration::from_millis(500), pages(&["late\n"])), "look", 200, None, 1),
         (Act::Serve(Duration::ZERO, pages(&[""])), "once", 200, None, 1),
@@ -124,7 +125,7 @@
 type UnusableCase<'a> = (&'a [(&'a str, &'a str)], &'a str, &'a str);
 
 #[test]
-fn what_can_not_be_used_is_named_and_sent_to_no_engine() {
+fn an_unusable_statement_is_named_and_sent_to_no_engine() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn calls_come_in_chunks_in_a_row_and_with_a_word_before_the_body() {
+fn calls_come_chunked_pipelined_and_with_an_expectation() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn a_client_that_walks_away_is_given_up() {
+fn an_abandoned_result_cancels_its_request() {
     let slow = engine(Act::Serve(FOREVER, pages(&["never\n"])));
     let many = engine(Act::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n", "4\n", "5\n", "6\n"])));
     // The engine, how many pages the client reads after the first, and whether it says that it goes.
@@ -216,13 +217,13 @@
 }
 
 #[test]
-fn a_page_lost_after_others_were_handed_on_ends_the_result_and_before_that_it_begins_anew() {
+fn a_lost_page_restarts_a_result_only_while_none_of_its_rows_were_delivered() {
     for (class, act) in [("once", Act::LosePage), ("look", Act::LosePage)] {
         let engine = engine(act);
         let gateway = gateway(Some(engine.address));
         let mut client = gateway.rest_client();
         let first = post(&mut client, class, "select 1");
-        // None of its rows was handed on: once-only ends in an error, what may run again was tried again.
+        // None of its rows was delivered: what runs only once ends in an error, what may run again was tried again.
         if class == "once" {
             let all = follow(&mut client, &first);
             assert!(rows(&all).is_empty() && all.last().unwrap().error.is_some());
@@ -274,10 +275,10 @@
             head.extend([("Idempotency-Key", &reference[..]), ("X-Trino-Session", &session[..])]);
             client.send("POST", "/v1/statement", &head, statement.as_bytes()).unwrap();
         }
-        wait_for("it to be taken", || {
+        wait_for("it to be admitted", || {
             gateway.signal("-USR1");
-            let taken = format!("class: load, admitted: {},", if n == 5 { 5 } else { n + 1 });
-            (gateway.log.count(&taken) > 0).then_some(())
+            let admitted = format!("class: load, admitted: {},", if n == 5 { 5 } else { n + 1 });
+            (gateway.log.count(&admitted) > 0).then_some(())
         });
     }
     for _ in 0..3 {
@@ -312,7 +313,7 @@
     let mut whole = gateway.client();
     let ping = whole.ping().unwrap();
     assert_eq!(whole.answer().unwrap(), (ping, Whole::Pong));
-    // As many results as may be in the making; the next is told to come back.
+    // As many results as may be in flight; the next is rejected.
     drop((silent, trickle));
     let mut others: Vec<RestClient> = (0..6).map(|_| gateway.rest_client()).collect();
     for other in &mut others {
@@ -327,7 +328,7 @@
 }
 
 #[test]
-fn the_operators_file_is_taken_whole_or_not_at_all() {
+fn the_operators_file_is_used_whole_or_not_at_all() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
@@ -343,7 +344,7 @@
 }
 
 #[test]
-fn told_to_stop_a_gateway_lets_results_be_read_and_takes_nothing_new() {
+fn a_stopping_gateway_lets_results_be_read_and_admits_nothing_new() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n"])));
     let mut gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
@@ -353,7 +354,7 @@
     let refused = post(&mut gateway.rest_client(), "once", "select 2");
     assert_eq!((refused.status, refused.field("retry-after")), (503, Some("1")));
     assert_eq!(rows(&follow(&mut client, &first)), ["1", "2", "3"]);
-    // What was read to its end is kept for a while, and keeps no gateway from ending.
+    // A delivered result is kept for a while, and keeps no gateway from ending.
     assert!(gateway.ended().success());
     gateway.log.wait_for("reason: stopped");
 }
--- a/crates/gateway/tests/gateway/races.rs
+++ b/crates/gateway/tests/gateway/races.rs
@@ -109,10 +109,10 @@
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
-    engine.until_dialled();
+    engine.wait_for_connect();
     drop(client);
     gateway.log.wait_for("reason: client-closed");
-    let stream = engine.let_in();
+    let stream = engine.accept_next();
     let mut next = gateway.client();
     // Whatever went out has come by then, and this one goes out on the connection that is up.
     next.send("look", &fields(NEXT, "25000"), "").unwrap();
@@ -144,9 +144,9 @@
         gateway.log.last("discovery_events: ")?.contains("discovery_events: 2,").then_some(())
     });
     drop((first, held));
-    second.until_dialled();
+    second.wait_for_connect();
     wait_for("the window to end", || (began.elapsed() > Duration::from_millis(1600)).then_some(()));
-    let stream = second.let_in();
+    let stream = second.accept_next();
     assert!(matches!(client.answer().unwrap(), (id, Answer::Error(..)) if id == sent));
     drop(gateway);
     assert_eq!(all_of(stream), "", "a retry after its window");
@@ -256,9 +256,9 @@
     let began = Instant::now();
     let mut client = gateway.client();
     client.send("look", &fields(ID, "5000"), "").unwrap();
-    full.until_dialled();
+    full.wait_for_connect();
     thread::sleep(Duration::from_millis(500));
-    let call = read_call(&mut BufReader::new(full.let_in())).unwrap();
+    let call = read_call(&mut BufReader::new(full.accept_next())).unwrap();
     assert!(time_passed_on(&call.head) <= left(began), "connected late: {}", call.head);
 }
 
--- a/crates/gateway/tests/gateway/sockets/restarts.rs
+++ b/crates/gateway/tests/gateway/sockets/restarts.rs
@@ -35,11 +35,11 @@
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
-    engine.until_dialled();
+    engine.wait_for_connect();
     let stopped = Instant::now();
     gateway.stop();
     gateway.list(2, &[(1, address, 1)]);
-    let mut stream = engine.let_in();
+    let mut stream = engine.accept_next();
     wait_for("the grace to run out", || (stopped.elapsed() > Duration::from_millis(2500)).then_some(()));
     gateway.signal("-CONT");
     assert_eq!(client.answer().unwrap(), (1, Answer::Error("Rejected".into(), Some("500".into()))));
