--- a/crates/gateway/src/client/paged_rest/service.rs
+++ b/crates/gateway/src/client/paged_rest/service.rs
@@ -13,6 +13,7 @@
     settings: Mutex<Arc<PagedRestConfig>>,
     /// As at the start: a reload does not change the limits of what is open.
     max_connections: usize,
+    /// Open results.
     pub pages: ResultPages,
     pub(super) address_key: AddressKey,
     ids: Mutex<WyRand>,
--- a/crates/gateway/src/codec/client_request.rs
+++ b/crates/gateway/src/codec/client_request.rs
@@ -14,19 +14,25 @@
 /// A request with all its fields read, before its class and tenant are looked up.
 #[derive(Debug, PartialEq)]
 pub struct ClientRequest<'a> {
+    /// The name of its class.
     pub class: &'a str,
+    /// Its id: 16 hex digits.
     pub id: &'a str,
     /// The id as a number.
     pub id_number: u64,
+    /// The name of its tenant; empty where it names none.
     pub tenant: &'a str,
     /// How long its client waits for the answer; `None` where the client does not say.
     pub timeout: Option<Duration>,
+    /// Engines drop a repeat that has the same key.
     pub idempotency_key: Option<&'a str>,
+    /// Requests of the same key run one after the other.
     pub order_key: Option<u64>,
     /// Estimated time on one core.
     pub work: Option<Duration>,
     /// Estimated memory.
     pub memory_mb: Option<f64>,
+    /// What an engine is to run.
     pub statement: &'a [u8],
 }
 
--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -16,11 +16,17 @@
 /// One engine as the discovery service lists it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry {
+    /// Its number, which stays the same over restarts.
     pub id: u32,
+    /// Where it listens.
     pub address: SocketAddrV4,
+    /// Whether it takes new attempts.
     pub state: EngineState,
+    /// Index of its zone.
     pub zone: usize,
+    /// Index of its kind.
     pub kind: usize,
+    /// Its cell within the zone.
     pub cell: usize,
     /// Unix time in milliseconds, 0 for long ago.
     pub started_ms: u64,
@@ -29,9 +35,11 @@
 /// A change of the endpoint list.
 #[derive(Debug, PartialEq)]
 pub struct WatchEvent {
+    /// The list's version after this change.
     pub revision: u64,
     /// All entries there are; otherwise only those that changed.
     pub full_list: bool,
+    /// What the change says of endpoints.
     pub entries: Vec<EndpointEntry>,
 }
 
@@ -40,11 +48,13 @@
 pub enum Frame {
     /// Nothing changed.
     Heartbeat,
+    /// The list changed.
     Event(WatchEvent),
 }
 
 /// Why bytes of the discovery service, or the configuration's list, can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum DiscoveryError {
     #[error("frame of {bytes} bytes")]
     FrameLength { bytes: usize },
@@ -60,6 +70,7 @@
 
 /// Why an endpoint of the configuration's list can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum EndpointError {
     #[error("instanceId '{value}' is not of the form s-0123abcd")]
     Id { value: String },
@@ -131,6 +142,7 @@
 /// these structs, so they keep them.
 #[derive(Deserialize)]
 pub struct Known {
+    /// The list's version.
     #[serde(rename = "rev")]
     pub revision: u64,
     #[serde(default, rename = "notices")]
--- a/crates/gateway/src/codec/engine_http.rs
+++ b/crates/gateway/src/codec/engine_http.rs
@@ -13,12 +13,19 @@
 
 /// A call that starts a statement on an engine.
 pub struct StatementCall<'a> {
+    /// The request's id.
     pub id: &'a str,
+    /// The name of its class.
     pub class: &'a str,
+    /// Time until its deadline.
     pub remaining: Duration,
+    /// Its idempotency key.
     pub idempotency_key: Option<&'a str>,
+    /// Memory to grant; `None` leaves it to the engine.
     pub memory_mb: Option<f64>,
+    /// Engines serve the higher one first.
     pub priority: u8,
+    /// What the engine is to run.
     pub statement: &'a [u8],
 }
 
@@ -60,6 +67,7 @@
 /// An engine's reply to any of the calls.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reply {
+    /// HTTP's status.
     pub status: u16,
     /// The engine says that the query never ran.
     pub declined: bool,
@@ -67,10 +75,13 @@
     pub page_count: Option<u32>,
     /// Which page this is.
     pub page_number: Option<u32>,
+    /// How far the query is.
     pub progress: Option<ProgressUpdate>,
+    /// The engine's load.
     pub load: LoadReport,
     /// The engine ends the connection after this.
     pub closes: bool,
+    /// Rows, where it is a page.
     pub body: Vec<u8>,
 }
 
@@ -83,6 +94,7 @@
 
 /// Why bytes are not a reply that can be used. The connection ends with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum ReplyError {
     #[error("head too long")]
     HeadTooLong,
--- a/crates/gateway/src/codec/message_pack/decode.rs
+++ b/crates/gateway/src/codec/message_pack/decode.rs
@@ -25,26 +25,35 @@
 /// What a client sends. Each message but `Abort` has a number by which its response is known.
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
+    /// A request to run.
     Request {
+        /// Its number on the connection.
         message_id: u32,
+        /// Its fields.
         request: ClientRequest<'a>,
     },
+    /// Asks only for a response.
     Ping {
+        /// Its number on the connection.
         message_id: u32,
     },
     /// The client stopped waiting for the responses to these.
     Abort {
+        /// Numbers of earlier messages.
         message_ids: Vec<u32>,
     },
     /// A request that has a number and can't be used.
     Unusable {
+        /// Its number on the connection.
         message_id: u32,
+        /// What its client is told.
         reason: RequestError,
     },
 }
 
 /// Why a request can't be used. Its client is told in these words, and the connection goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum RequestError {
     #[error("method is no text")]
     MethodNotText,
--- a/crates/gateway/src/codec/message_pack/encode.rs
+++ b/crates/gateway/src/codec/message_pack/encode.rs
@@ -12,6 +12,7 @@
     Rejected(Option<Duration>),
     /// Nothing is promised about what the request did; why.
     Errored(&'a str),
+    /// The response to a ping.
     Pong,
 }
 
--- a/crates/gateway/src/codec/message_pack/mod.rs
+++ b/crates/gateway/src/codec/message_pack/mod.rs
@@ -13,6 +13,7 @@
 
 /// Why bytes are not a message of the protocol. The connection ends with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum MessageError {
     #[error("message too long")]
     TooLong,
--- a/crates/gateway/src/codec/mod.rs
+++ b/crates/gateway/src/codec/mod.rs
@@ -10,6 +10,7 @@
 /// A value that was read from the start of some bytes.
 #[derive(Debug, PartialEq)]
 pub struct Decoded<T> {
+    /// The value.
     pub value: T,
     /// How many of the bytes it takes.
     pub length: usize,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,6 +3,8 @@
 //! keeps. `cli` is the command line; `startup`, `reload` and `shutdown` are the life of the process; `cluster` is what
 //! gateways do among themselves.
 
+#![deny(missing_docs)]
+
 pub mod admission;
 pub mod cli;
 pub mod client;
