--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -8,14 +8,14 @@
 use std::io;
 use std::net::SocketAddrV4;
 
-/// The file as it is written; `expecting` keeps the words in which a wrong shape is refused.
+/// The file as it is written. Refusals of a wrong shape show the names of these structs and how many fields they have, so
+/// they keep their names.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Raw")]
-struct ConfigFile {
+struct Raw {
     name: String,
     listen: String,
     seed: String,
-    limits: LimitsFields,
+    limits: RawLimits,
     #[serde(rename = "board")]
     discovery: String,
     known: Known,
@@ -23,8 +23,7 @@
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct RawLimits")]
-struct LimitsFields {
+struct RawLimits {
     memory_mb: usize,
     sockets: usize,
 }
@@ -107,7 +106,7 @@
 
 /// Checks the text of a configuration file.
 pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
-    let file: ConfigFile = serde_json::from_slice(text)?;
+    let file: Raw = serde_json::from_slice(text)?;
     let settings = larchfall_config::read(file.settings.to_string().as_bytes())?;
     if settings.names.classes.is_empty() {
         return Err(ConfigError::NoRequestClass);
