--- a/crates/gateway/src/cli/subsets.rs
+++ b/crates/gateway/src/cli/subsets.rs
@@ -7,8 +7,8 @@
 use crate::config::Config;
 use crate::state::engine_table::EngineTable;
 use larchfall_operator_config::SubsettingConfig;
-use larchfall_subsetting::survey::{Survey, survey};
-use larchfall_subsetting::{Gateway, Listed};
+use larchfall_subsetting::survey::{Moved, PlanSurvey, Spread, survey};
+use larchfall_subsetting::{Gateway, ReadyEngine};
 use plotters::prelude::*;
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -54,57 +54,57 @@
 }
 
 /// The engines that the configuration names.
-fn listed_engines(config: &Config) -> Vec<Listed> {
+fn listed_engines(config: &Config) -> Vec<ReadyEngine> {
     let mut engines = EngineTable::default();
     for event in &config.known {
         engines.apply(event);
     }
-    engines.ready().into_iter().map(|ready| Listed { id: ready.id, told: ready.engine }).collect()
+    engines.ready().into_iter().map(|ready| ReadyEngine { id: ready.id, engine: ready.engine }).collect()
 }
 
 /// Gateways by number, spread over the zones that the configuration names.
 fn survey_gateways(
     config: &Config,
-    engines: &[Listed],
+    engines: &[ReadyEngine],
     subsets: &SubsettingConfig,
     gateways: usize,
-) -> Survey {
+) -> PlanSurvey {
     let zones = config.settings.names.zones.len().max(1);
     let gateway = |i: usize| Gateway {
         // These names are what earlier versions hashed: another name is another plan.
-        number: xxh3_64(format!("front {i}").as_bytes()),
+        key: xxh3_64(format!("front {i}").as_bytes()),
         zone: Some(i % zones),
     };
     let gateways: BTreeSet<Gateway> = (0..gateways).map(gateway).collect();
     survey(subsets.plan, &gateways, engines, &config.settings.policy.classes)
 }
 
-fn format_survey(engines: &[Listed], survey: &Survey) -> String {
-    let row = |engine: &Listed| {
-        let users = survey.plan.users.get(&engine.id).copied().unwrap_or(0);
+fn format_survey(engines: &[ReadyEngine], survey: &PlanSurvey) -> String {
+    let row = |engine: &ReadyEngine| {
+        let users = survey.plan.gateway_counts.get(&engine.id).copied().unwrap_or(0);
         vec![
             format!("{:08x}", engine.id),
-            engine.told.zone.to_string(),
-            engine.told.kind.to_string(),
-            engine.told.cell.to_string(),
+            engine.engine.zone.to_string(),
+            engine.engine.kind.to_string(),
+            engine.engine.cell.to_string(),
             users.to_string(),
         ]
     };
     let rows = format_table(&["engine", "zone", "kind", "cell", "fronts"], engines.iter().map(row).collect());
-    let (pairs, all_pairs) = survey.pairs;
-    let (fewest, mean, most) = survey.users;
-    let (as_gateway_goes, as_engine_goes) = survey.moved;
+    let PlanSurvey { pairs, all_pairs, gateways_per_engine, moved, .. } = survey;
+    let Spread { min, mean, max } = gateways_per_engine;
+    let Moved { by_gateway, by_engine } = moved;
     format!(
-        "{rows}\n{pairs} pairs of {all_pairs}; fronts of an engine: {fewest} at least, {mean:.1} in the mean, {most} at most\n\
-         new to those that stay, in parts of what the one that went had: {as_gateway_goes:.2} as a front goes, {as_engine_goes:.2} as an engine goes"
+        "{rows}\n{pairs} pairs of {all_pairs}; fronts of an engine: {min} at least, {mean:.1} in the mean, {max} at most\n\
+         new to those that stay, in parts of what the one that went had: {by_gateway:.2} as a front goes, {by_engine:.2} as an engine goes"
     )
 }
 
 /// Gateways by engine as bars, from the engine with the fewest on.
-fn draw_chart(path: &str, survey: &Survey) -> Result<(), SubsetsError> {
+fn draw_chart(path: &str, survey: &PlanSurvey) -> Result<(), SubsetsError> {
     let failed =
         |error: &dyn Display| SubsetsError::Chart { path: path.to_owned(), reason: error.to_string() };
-    let mut users: Vec<usize> = survey.plan.users.values().copied().collect();
+    let mut users: Vec<usize> = survey.plan.gateway_counts.values().copied().collect();
     users.sort();
     let area = SVGBackend::new(path, CHART_PIXELS).into_drawing_area();
     area.fill(&WHITE).map_err(|error| failed(&error))?;
--- a/crates/gateway/src/cluster/leases/status.rs
+++ b/crates/gateway/src/cluster/leases/status.rs
@@ -6,7 +6,8 @@
 use larchfall_leases::load_sharing::ReportAges;
 use larchfall_leases::manager::{KnownLease, LastEnd, RoleStatus};
 use larchfall_policy::time::Timestamp;
-use larchfall_quotas::keeper::Fairness;
+use larchfall_quotas::fairness::Fairness;
+use larchfall_quotas::manager::{AllocationStatus, QuotaStatus};
 use slog::info;
 use std::collections::BTreeMap;
 
@@ -54,16 +55,17 @@
         let Some(exchange) = &self.quotas else { return Vec::new() };
         let now = self.now();
         let quotas = lock(&exchange.quotas);
-        let allocated: BTreeMap<u64, Fairness> = quotas.kept(now).collect();
-        let row = |(key, fraction, is_granted): (u64, f64, bool)| {
-            let source = if is_granted { "handed out" } else { "by itself" };
-            let mut row = vec![exchange.capacity_name(key), format!("{fraction:.4}"), source.to_owned()];
-            if let Some(fairness) = allocated.get(&key) {
+        let by_capacity = |status: AllocationStatus| (status.capacity, status.fairness);
+        let allocated: BTreeMap<u64, Fairness> = quotas.allocations(now).map(by_capacity).collect();
+        let row = |QuotaStatus { capacity, fraction, granted }| {
+            let source = if granted { "handed out" } else { "by itself" };
+            let mut row = vec![exchange.capacity_name(capacity), format!("{fraction:.4}"), source.to_owned()];
+            if let Some(fairness) = allocated.get(&capacity) {
                 row.extend(fairness_cells(fairness));
             }
             row
         };
-        let mut rows: Vec<Vec<String>> = quotas.parts(now).map(row).collect();
+        let mut rows: Vec<Vec<String>> = quotas.quotas(now).map(row).collect();
         rows.sort();
         rows
     }
@@ -99,17 +101,17 @@
         let Some(exchange) = &self.quotas else { return };
         let now = self.now();
         let quotas = lock(&exchange.quotas);
-        let granted = quotas.parts(now).filter(|(_, _, is_granted)| *is_granted).count();
+        let granted = quotas.quotas(now).filter(|quota| quota.granted).count();
         let fractions: Vec<String> = quotas
-            .parts(now)
-            .map(|(key, fraction, _)| format!("{}:{fraction:.4}", exchange.capacity_name(key)))
+            .quotas(now)
+            .map(|quota| format!("{}:{:.4}", exchange.capacity_name(quota.capacity), quota.fraction))
             .collect();
-        info!(state.log, "quotas"; "fractions" => fractions.join(" "), "allocated" => quotas.kept(now).count(),
+        info!(state.log, "quotas"; "fractions" => fractions.join(" "), "allocated" => quotas.allocations(now).count(),
             "granted" => granted);
-        for (key, fairness) in quotas.kept(now) {
-            info!(state.log, "quota allocation"; "capacity" => exchange.capacity_name(key),
-                "gateways" => fairness.gateways, "in_use" => fairness.in_use, "jain" => fairness.jain,
-                "factor" => fairness.factor.unwrap_or(f64::INFINITY));
+        for AllocationStatus { capacity, fairness } in quotas.allocations(now) {
+            info!(state.log, "quota allocation"; "capacity" => exchange.capacity_name(capacity),
+                "gateways" => fairness.gateways, "in_use" => fairness.in_use, "jain" => fairness.jain_index,
+                "factor" => fairness.best_to_worst.unwrap_or(f64::INFINITY));
         }
     }
 }
@@ -118,7 +120,7 @@
     [
         fairness.gateways.to_string(),
         format!("{:.4}", fairness.in_use),
-        format!("{:.4}", fairness.jain),
-        fairness.factor.map_or("none".to_owned(), |factor| format!("{factor:.2}")),
+        format!("{:.4}", fairness.jain_index),
+        fairness.best_to_worst.map_or("none".to_owned(), |factor| format!("{factor:.2}")),
     ]
 }
--- a/crates/gateway/src/state/engine_table.rs
+++ b/crates/gateway/src/state/engine_table.rs
@@ -1,7 +1,7 @@
 //! Engines by their id in the discovery service's list, and by the small index under which the policy knows them.
 
 use crate::codec::discovery::{EndpointEntry, WatchEvent};
-use larchfall_health_gossip::Process;
+use larchfall_health_gossip::EngineProcess;
 use larchfall_policy::interface::{Engine, EngineState};
 use larchfall_policy::time::Timestamp;
 use slab::Slab;
@@ -34,8 +34,8 @@
         self.entry.state == EngineState::Ready
     }
 
-    fn process(&self) -> Process {
-        Process { id: self.entry.id, started_ms: self.entry.started_ms }
+    fn process(&self) -> EngineProcess {
+        EngineProcess { id: self.entry.id, started_ms: self.entry.started_ms }
     }
 }
 
@@ -86,7 +86,7 @@
     /// Its index.
     pub index: usize,
     /// The process that is listed.
-    pub process: Process,
+    pub process: EngineProcess,
     /// Its state in the list.
     pub state: EngineState,
 }
@@ -136,12 +136,12 @@
     }
 
     /// The process that has this index, as gateways name it to each other.
-    pub fn process(&self, engine: usize) -> Option<Process> {
+    pub fn process(&self, engine: usize) -> Option<EngineProcess> {
         self.endpoints.get(engine).map(Endpoint::process)
     }
 
     /// The index of a process, unless it is gone or was replaced.
-    pub fn index_of_process(&self, process: Process) -> Option<usize> {
+    pub fn index_of_process(&self, process: EngineProcess) -> Option<usize> {
         let index = self.index(process.id)?;
         let endpoint = self.endpoints.get(index)?;
         (!endpoint.is_gone() && endpoint.process() == process).then_some(index)
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -8,9 +8,9 @@
 use larchfall_operator_config::SubsettingConfig;
 use larchfall_policy::interface::{EngineHealth, Fleet, RequestClass};
 use larchfall_policy::time::Timestamp;
-use larchfall_subsetting::aperture::{Aperture, Sight};
-use larchfall_subsetting::plan::Plan;
-use larchfall_subsetting::{Gateway, Listed, needs};
+use larchfall_subsetting::aperture::{Aperture, SubsetHealth};
+use larchfall_subsetting::plan::SubsetPlan;
+use larchfall_subsetting::{Gateway, ReadyEngine, requirements};
 use slog::info;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     fn members(&self, state: &State, cluster: Option<&Cluster>) -> Members {
         let Some(cluster) = cluster else {
             // The platform's settings say nothing of zones.
-            let numbered = |number: usize| Gateway { number: number as u64, zone: None };
+            let numbered = |number: usize| Gateway { key: number as u64, zone: None };
             return Members {
                 me: numbered(self.fleet.me),
                 alive: (0..self.fleet.gateways.max(1)).map(numbered).collect(),
@@ -48,7 +48,7 @@
         let zone_index = |zone: &str| state.settings.names.zones.iter().position(|known| known == zone);
         let alive_zones = cluster.alive_zones();
         let named = |name: &str, zone: Option<&String>| Gateway {
-            number: xxh3_64(name.as_bytes()),
+            key: xxh3_64(name.as_bytes()),
             zone: zone.and_then(|zone| zone_index(zone)),
         };
         Members {
@@ -68,8 +68,8 @@
 #[derive(Default)]
 struct Assignment {
     gateways: BTreeSet<Gateway>,
-    engines: Vec<Listed>,
-    plan: Plan,
+    engines: Vec<ReadyEngine>,
+    plan: SubsetPlan,
 }
 
 /// Starts the coroutine. Until its first pass the policy uses the engines that are known now.
@@ -84,29 +84,29 @@
     let mut assignment = Assignment::default();
     let mut used = BTreeSet::new();
     while !state.shutdown.is_complete() {
-        let engines: Vec<Listed> = state
+        let engines: Vec<ReadyEngine> = state
             .policy
             .ready_engines()
             .into_iter()
-            .map(|ready| Listed { id: ready.id, told: ready.engine })
+            .map(|ready| ReadyEngine { id: ready.id, engine: ready.engine })
             .collect();
         let Members { me, alive } = subsetting.members(state, cluster);
         if alive != assignment.gateways || engines != assignment.engines {
-            let needs = needs(&engines, &subsetting.classes);
-            let plan = Plan::make(subsetting.settings.plan, &alive, &engines, &needs);
+            let requirements = requirements(&engines, &subsetting.classes);
+            let plan = SubsetPlan::compute(subsetting.settings.plan, &alive, &engines, &requirements);
             assignment = Assignment { gateways: alive, engines, plan };
         }
         let now = state.clock.now();
         if !used.is_empty() {
             observe_used(state, &mut aperture, &assignment, me, &used, now);
         }
-        let now_used = aperture.used(&assignment.plan, me, &assignment.engines);
+        let now_used = aperture.engines_in_use(&assignment.plan, me, &assignment.engines);
         if now_used != used {
             log_change(state, &assignment, &aperture, &used, &now_used);
             used = now_used;
         }
         let fractions: BTreeMap<u32, f64> =
-            used.iter().filter_map(|id| Some((*id, assignment.plan.part(*id)?))).collect();
+            used.iter().filter_map(|id| Some((*id, assignment.plan.fraction(*id)?))).collect();
         state.policy.set_subset(&used, &fractions);
         state.sleep(subsetting.settings.check_interval);
     }
@@ -122,14 +122,14 @@
     now: Timestamp,
 ) {
     let ready: BTreeSet<u32> = assignment.engines.iter().map(|engine| engine.id).collect();
-    let mut sight = Sight { used: used.len(), ..Sight::default() };
+    let mut subset_health = SubsetHealth { used: used.len(), ..SubsetHealth::default() };
     for id in used {
         let health = state.policy.engine_health(*id).unwrap_or(UNKNOWN);
-        sight.bad += usize::from(health.ejected || !ready.contains(id));
-        sight.congested += usize::from(health.congested);
+        subset_health.unhealthy += usize::from(health.ejected || !ready.contains(id));
+        subset_health.congested += usize::from(health.congested);
     }
-    let assigned = assignment.plan.chosen.get(&me.number).map_or(0, BTreeSet::len);
-    aperture.look(sight, assignment.engines.len().saturating_sub(assigned), now);
+    let assigned = assignment.plan.subsets.get(&me.key).map_or(0, BTreeSet::len);
+    aperture.observe(subset_health, assignment.engines.len().saturating_sub(assigned), now);
 }
 
 fn log_change(
@@ -142,6 +142,6 @@
     let ids: Vec<String> = now.iter().take(LOGGED_ENGINES).map(|id| format!("{id:08x}")).collect();
     info!(state.log, "subset changed"; "added" => now.difference(before).count(),
         "removed" => before.difference(now).count(), "gateways" => assignment.gateways.len(),
-        "beyond_assignment" => aperture.beyond(), "ids" => ids.join(" "),
+        "beyond_assignment" => aperture.extra_engines(), "ids" => ids.join(" "),
         "engines" => assignment.engines.len(), "used" => now.len());
 }
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -3,7 +3,8 @@
 use crate::error::ConfigError;
 use crate::table::{Table, default_count, default_ms};
 use larchfall_policy::time::Duration;
-use larchfall_subsetting::{aperture, plan};
+use larchfall_subsetting::aperture::ApertureSettings;
+use larchfall_subsetting::plan::PlanSettings;
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -11,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsettingConfig {
     /// How engines are assigned.
-    pub plan: plan::Settings,
+    pub plan: PlanSettings,
     /// How the size of a subset follows the load.
-    pub aperture: aperture::Settings,
+    pub aperture: ApertureSettings,
     /// Time between two looks at whether the subset has the right size.
     pub check_interval: Duration,
 }
@@ -41,8 +42,8 @@
     let shrinks = table.duration(&raw.shrinks_ms, "shrinks-ms", 10, 3_600_000)?;
     let check_interval = table.duration(&raw.look_ms, "look-ms", 10, 60_000)?;
     Ok(SubsettingConfig {
-        plan: plan::Settings { least, slack },
-        aperture: aperture::Settings { grows, shrinks },
+        plan: PlanSettings { min_engines: least, load_slack: slack },
+        aperture: ApertureSettings { grow_interval: grows, shrink_interval: shrinks },
         check_interval,
     })
 }
