--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -6,7 +6,7 @@
 use crate::state::{State, lock};
 use larchfall_health_gossip::EngineProcess;
 use larchfall_health_gossip::datagram::{Datagram, MAX_ENTRIES};
-use larchfall_health_gossip::health_gossip::{self, PeerOutcome, ProcessSummary};
+use larchfall_health_gossip::health_gossip::{HealthGossip, PeerOutcome, ProcessSummary};
 use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
 use larchfall_operator_config::HealthGossipConfig;
 use larchfall_policy::time::{Duration, Timestamp};
@@ -21,7 +21,7 @@
 const LIMITS: StoreLimits = StoreLimits { gateways: 1024, processes: 1024 };
 
 struct Inner {
-    gossip: health_gossip::HealthGossip,
+    gossip: HealthGossip,
     due: Timestamp,
     random: WyRand,
 }
@@ -36,22 +36,22 @@
 }
 
 /// This gateway's part in sharing observations of engines.
-pub struct HealthGossip {
+pub struct GossipService {
     settings: HealthGossipConfig,
     inner: Mutex<Inner>,
     counters: Counters,
 }
 
-impl HealthGossip {
+impl GossipService {
     /// Has the policy note from now on what it observes.
-    pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> HealthGossip {
+    pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> GossipService {
         state.policy.enable_observations(LIMITS.processes);
         let inner = Inner {
-            gossip: health_gossip::HealthGossip::new(LIMITS, settings.weigh, settings.probe_slot),
+            gossip: HealthGossip::new(LIMITS, settings.weigh, settings.probe_slot),
             due: now,
             random: WyRand::new_seed(seed),
         };
-        HealthGossip { settings, inner: Mutex::new(inner), counters: Counters::default() }
+        GossipService { settings, inner: Mutex::new(inner), counters: Counters::default() }
     }
 
     pub(super) fn due_in(&self, now: Timestamp) -> Duration {
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::state::{State, lock};
 use counters::{DatagramCounters, increment};
-use health_gossip::HealthGossip;
+use health_gossip::GossipService;
 use larchfall_membership::fleet_size::FleetSize;
 use larchfall_membership::membership::{Membership, MembershipSettings};
 use larchfall_operator_config::LeaseConfig;
@@ -41,7 +41,7 @@
     /// Roles of which each is held by one gateway at a time, where the operator's file has them.
     leases: Option<Arc<LeaseService>>,
     /// What gateways observed of engines, where the operator's file has it.
-    health_gossip: Option<HealthGossip>,
+    health_gossip: Option<GossipService>,
 }
 
 /// The number of gateways to count.
@@ -66,7 +66,7 @@
     /// Leased roles, where they are on.
     pub leases: Option<Arc<LeaseService>>,
     /// Observations of engines shared with others, where that is on.
-    pub health_gossip: Option<HealthGossip>,
+    pub health_gossip: Option<GossipService>,
 }
 
 impl Cluster {
--- a/crates/gateway/src/startup/cluster.rs
+++ b/crates/gateway/src/startup/cluster.rs
@@ -1,7 +1,7 @@
 //! Joins the other gateways, where the operator's file has a `[fronts]` table.
 
 use super::StartupError;
-use crate::cluster::health_gossip::HealthGossip;
+use crate::cluster::health_gossip::GossipService;
 use crate::cluster::leases::quota_exchange::QuotaInputs;
 use crate::cluster::leases::{LeaseService, LeaseSetup, OpenedLeases, RecordWriter};
 use crate::cluster::{Cluster, ClusterSetup};
@@ -66,7 +66,7 @@
         member_name,
         gateway_count,
         leases,
-        health_gossip: health_gossip.map(|settings| HealthGossip::new(state, settings, seed, now)),
+        health_gossip: health_gossip.map(|settings| GossipService::new(state, settings, seed, now)),
     })
     .map_err(|source| StartupError::ClusterAddress { address, source })?;
     info!(state.log, "listening to members"; "name" => cluster.member_name(), "address" => cluster.address().to_string());
