--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,7 +5,8 @@
 use larchfall_policy::types::*;
 
 /// The engine itself said the end.
-pub const SAID: AttemptEvidence = AttemptEvidence { last: LastObservation::Ended, same_process: true };
+pub const ENDED_BY_ENGINE: AttemptEvidence =
+    AttemptEvidence { last: LastObservation::Ended, same_process: true };
 
 pub const LOOK_UP: usize = 0;
 pub const REPORT: usize = 1;
@@ -138,7 +139,7 @@
             outcome,
             took: Duration::from_millis(took_ms),
             over: outcome == Outcome::Returned,
-            seen: SAID,
+            seen: ENDED_BY_ENGINE,
             work: None,
             report,
         };
@@ -146,8 +147,8 @@
     }
 }
 
-pub fn sent_to(place: RoutingDecision) -> Option<usize> {
-    match place {
+pub fn sent_to(decision: RoutingDecision) -> Option<usize> {
+    match decision {
         RoutingDecision::Send(d) => Some(d.engine),
         _ => None,
     }
--- a/crates/policy/tests/key_order.rs
+++ b/crates/policy/tests/key_order.rs
@@ -1,4 +1,4 @@
-//! The key_order of a key against a plain world of engines that run what came to them until it is known not to:
+//! The ledger of a key against a simple model of engines that run what reached them until it is known not to:
 //! every order of two requests by model checking, longer ones by chance.
 
 use larchfall_policy::attempt_ledger::proves_end;
@@ -11,35 +11,35 @@
 const KEY: u64 = 7;
 /// In ticks: an engine gives up what it was not asked for in this long; a call that was cut off comes in within
 /// one more, and the gateway reckons with another for its own clock.
-const FORGETS: u64 = 2;
-const RECKONED: u64 = FORGETS + 2;
+const ENGINE_FORGETS: u64 = 2;
+const EXPECTED_LIFETIME: u64 = ENGINE_FORGETS + 2;
 /// One that takes no connection any more runs on what it has for so long after it was last asked.
-const RUNS_ON: u64 = RECKONED + 1;
+const DRAINING_LIFETIME: u64 = EXPECTED_LIFETIME + 1;
 /// What the gateway reckons with.
-const LETS_GO: Duration = Duration::from_micros(RUNS_ON + 2);
+const UNOBSERVED_LIFETIME: Duration = Duration::from_micros(DRAINING_LIFETIME + 2);
 
-fn at(tick: u64) -> Timestamp {
+fn time_of(tick: u64) -> Timestamp {
     Timestamp::from_micros(1_000 + tick)
 }
 
 /// A connection and whether the process there has spoken of the attempt as its own.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Link {
+struct Connection {
     process: usize,
     same_process: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Is {
-    Outside,
-    Waits,
-    Out { engine: usize, link: Option<Link> },
-    Over,
+enum RequestState {
+    NotAdmitted,
+    Waiting,
+    InFlight { engine: usize, connection: Option<Connection> },
+    Finished,
 }
 
-/// A attempt at a process, on its way there or running.
+/// An attempt at a process, on its way there or running.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct There {
+struct RemoteAttempt {
     request: usize,
     process: usize,
     since: u64,
@@ -49,10 +49,10 @@
 struct World {
     key_order: KeyOrder,
     now: u64,
-    requests: Vec<(Is, u8)>,
-    flying: Vec<There>,
-    running: Vec<There>,
-    ended: Vec<There>,
+    requests: Vec<(RequestState, u8)>,
+    flying: Vec<RemoteAttempt>,
+    running: Vec<RemoteAttempt>,
+    ended: Vec<RemoteAttempt>,
     /// By address: the process that listens there, if any. One that listens no more runs on what it has.
     listens: Vec<Option<usize>>,
     processes: usize,
@@ -63,15 +63,15 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Take(usize),
+enum Action {
+    Admit(usize),
     Send(usize, usize),
     Arrive(usize),
     Finish(usize),
     Cut(usize),
     Ask(usize),
     Stop(usize),
-    GiveUp(usize),
+    Abandon(usize),
     Panic(usize),
     Leave(usize),
     Close(usize),
@@ -82,7 +82,7 @@
     Tick,
 }
 
-/// How the gateway reads what is said: with care, or as it did before the key_order, when every 204 was an end, or
+/// How the gateway reads what is said: with care, or as it did before there was a ledger, when every 204 was an end, or
 /// when an engine about to go was held to forget like any other, or to be gone within a fixed time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Reading {
@@ -108,10 +108,14 @@
         World {
             key_order: KeyOrder::new(
                 Duration::ZERO,
-                if x.reading == Reading::Forgotten { Duration::from_micros(RECKONED) } else { LETS_GO },
+                if x.reading == Reading::Forgotten {
+                    Duration::from_micros(EXPECTED_LIFETIME)
+                } else {
+                    UNOBSERVED_LIFETIME
+                },
             ),
             now: 0,
-            requests: vec![(Is::Outside, 0); x.requests],
+            requests: vec![(RequestState::NotAdmitted, 0); x.requests],
             flying: Vec::new(),
             running: Vec::new(),
             ended: Vec::new(),
@@ -124,106 +128,117 @@
     }
 
     fn on_its_way(&self, b: usize) -> bool {
-        let link =
-            |process| matches!(&self.requests[b].0, Is::Out { link: Some(l), .. } if l.process == process);
-        self.flying.iter().any(|f| f.request == b && link(f.process))
+        let connection = |process| matches!(&self.requests[b].0, RequestState::InFlight { connection: Some(l), .. } if l.process == process);
+        self.flying.iter().any(|f| f.request == b && connection(f.process))
     }
 
-    fn may(&self, act: Act, x: &Bounds) -> bool {
+    fn may(&self, act: Action, x: &Bounds) -> bool {
         let is = |b: usize| &self.requests[b].0;
-        let out = |b: usize| matches!(is(b), Is::Out { .. });
+        let out = |b: usize| matches!(is(b), RequestState::InFlight { .. });
         match act {
-            Act::Take(b) => *is(b) == Is::Outside && (b == 0 || *is(b - 1) != Is::Outside),
-            Act::Send(b, e) => {
-                *is(b) == Is::Waits
+            Action::Admit(b) => {
+                *is(b) == RequestState::NotAdmitted && (b == 0 || *is(b - 1) != RequestState::NotAdmitted)
+            }
+            Action::Send(b, e) => {
+                *is(b) == RequestState::Waiting
                     && self.requests[b].1 < x.tries
                     && self.listens[e].is_some()
-                    && self.key_order.is_next(KEY, b, at(self.now))
+                    && self.key_order.is_next(KEY, b, time_of(self.now))
+            }
+            Action::Arrive(i) => i < self.flying.len(),
+            Action::Finish(i) => i < self.running.len(),
+            Action::Cut(b) => {
+                matches!(is(b), RequestState::InFlight { connection: Some(_), .. }) && self.cuts < x.cuts
             }
-            Act::Arrive(i) => i < self.flying.len(),
-            Act::Finish(i) => i < self.running.len(),
-            Act::Cut(b) => matches!(is(b), Is::Out { link: Some(_), .. }) && self.cuts < x.cuts,
-            Act::Ask(b) | Act::Stop(b) => out(b) && !self.on_its_way(b),
-            Act::GiveUp(b) | Act::Panic(b) => out(b),
-            Act::Leave(b) => *is(b) == Is::Waits,
-            Act::Close(e) | Act::Drain(e) => self.listens[e].is_some(),
-            Act::Gone => !self.drains.is_empty(),
-            Act::Replace(e) => self.listens[e].is_none() && self.processes < x.processes,
-            Act::Tick => self.now < x.ticks && !(0..x.requests).any(|b| self.on_its_way(b)),
+            Action::Ask(b) | Action::Stop(b) => out(b) && !self.on_its_way(b),
+            Action::Abandon(b) | Action::Panic(b) => out(b),
+            Action::Leave(b) => *is(b) == RequestState::Waiting,
+            Action::Close(e) | Action::Drain(e) => self.listens[e].is_some(),
+            Action::Gone => !self.drains.is_empty(),
+            Action::Replace(e) => self.listens[e].is_none() && self.processes < x.processes,
+            Action::Tick => self.now < x.ticks && !(0..x.requests).any(|b| self.on_its_way(b)),
         }
     }
 
-    fn all(x: &Bounds) -> Vec<Act> {
-        let mut acts = vec![Act::Tick];
+    fn all(x: &Bounds) -> Vec<Action> {
+        let mut acts = vec![Action::Tick];
         for b in 0..x.requests {
-            acts.extend([Act::Take(b), Act::Arrive(b), Act::Finish(b), Act::Cut(b), Act::Ask(b)]);
-            acts.extend([Act::Stop(b), Act::GiveUp(b), Act::Panic(b), Act::Leave(b)]);
-            acts.extend((0..x.engines).map(|e| Act::Send(b, e)));
+            acts.extend([
+                Action::Admit(b),
+                Action::Arrive(b),
+                Action::Finish(b),
+                Action::Cut(b),
+                Action::Ask(b),
+            ]);
+            acts.extend([Action::Stop(b), Action::Abandon(b), Action::Panic(b), Action::Leave(b)]);
+            acts.extend((0..x.engines).map(|e| Action::Send(b, e)));
         }
-        acts.extend((0..x.engines).flat_map(|e| [Act::Close(e), Act::Drain(e), Act::Replace(e)]));
-        acts.push(Act::Gone);
+        acts.extend((0..x.engines).flat_map(|e| [Action::Close(e), Action::Drain(e), Action::Replace(e)]));
+        acts.push(Action::Gone);
         acts
     }
 
-    fn act(&mut self, act: Act, x: &Bounds) {
+    fn act(&mut self, act: Action, x: &Bounds) {
         match act {
-            Act::Take(b) => {
-                self.requests[b].0 = Is::Waits;
+            Action::Admit(b) => {
+                self.requests[b].0 = RequestState::Waiting;
                 self.key_order.admit(KEY, b);
             }
-            Act::Send(b, e) => {
-                if self.requests[..b].iter().any(|(is, _)| *is != Is::Over) {
+            Action::Send(b, e) => {
+                if self.requests[..b].iter().any(|(is, _)| *is != RequestState::Finished) {
                     self.broken = Some("sent while an earlier one is not over");
                 }
                 let process = self.listens[e].unwrap();
                 self.key_order.on_attempt_started(KEY, b, self.requests[b].1, process);
-                self.flying.push(There { request: b, process, since: self.now });
-                let link = Some(Link { process, same_process: true });
-                self.requests[b].0 = Is::Out { engine: e, link };
+                self.flying.push(RemoteAttempt { request: b, process, since: self.now });
+                let connection = Some(Connection { process, same_process: true });
+                self.requests[b].0 = RequestState::InFlight { engine: e, connection };
             }
-            Act::Arrive(i) => {
+            Action::Arrive(i) => {
                 let call = self.flying.remove(i);
                 if self.running.iter().any(|r| r.request != call.request) {
                     self.broken = Some("two of a key run at once");
                 }
-                self.running.push(There { since: self.now, ..call });
+                self.running.push(RemoteAttempt { since: self.now, ..call });
             }
-            Act::Finish(i) => self.ended.push(self.running.remove(i)),
-            Act::Cut(b) => {
+            Action::Finish(i) => self.ended.push(self.running.remove(i)),
+            Action::Cut(b) => {
                 self.cuts += 1;
-                if let Is::Out { link, .. } = &mut self.requests[b].0 {
-                    *link = None;
+                if let RequestState::InFlight { connection, .. } = &mut self.requests[b].0 {
+                    *connection = None;
                 }
             }
-            Act::Ask(b) | Act::Stop(b) => self.call(b, act == Act::Stop(b), x),
-            Act::GiveUp(b) => self.end(b, LastObservation::Silent, x),
-            Act::Panic(b) => {
+            Action::Ask(b) | Action::Stop(b) => self.call(b, act == Action::Stop(b), x),
+            Action::Abandon(b) => self.end(b, LastObservation::Silent, x),
+            Action::Panic(b) => {
                 self.end(b, LastObservation::Lost, x);
                 self.leave(b);
             }
-            Act::Leave(b) => self.leave(b),
-            Act::Close(e) => self.listens[e] = None,
-            Act::Drain(e) => self.drains.extend(self.listens[e].take()),
-            Act::Gone => {
+            Action::Leave(b) => self.leave(b),
+            Action::Close(e) => self.listens[e] = None,
+            Action::Drain(e) => self.drains.extend(self.listens[e].take()),
+            Action::Gone => {
                 let gone = self.drains.remove(0);
                 self.running.retain(|r| r.process != gone);
             }
-            Act::Replace(e) => {
+            Action::Replace(e) => {
                 self.listens[e] = Some(self.processes);
                 self.processes += 1;
             }
-            Act::Tick => {
+            Action::Tick => {
                 self.now += 1;
                 let now = self.now;
                 self.flying.retain(|f| now - f.since <= 1);
                 let listens = &self.listens;
-                let held = |r: &There| if listens.contains(&Some(r.process)) { FORGETS } else { RUNS_ON };
+                let held = |r: &RemoteAttempt| {
+                    if listens.contains(&Some(r.process)) { ENGINE_FORGETS } else { DRAINING_LIFETIME }
+                };
                 let drains = &self.drains;
                 self.running.retain(|r| drains.contains(&r.process) || now - r.since <= held(r));
                 if x.reading != Reading::FixedTime {
-                    self.key_order.hold(at(now + 2), |process| drains.contains(&process));
+                    self.key_order.hold(time_of(now + 2), |process| drains.contains(&process));
                 }
-                self.key_order.remove_idle_keys(at(now));
+                self.key_order.remove_idle_keys(time_of(now));
             }
         }
     }
@@ -231,12 +246,12 @@
     /// A call for news or to stop, on the connection there is or on a new one.
     fn call(&mut self, b: usize, stop: bool, x: &Bounds) {
         let now = self.now;
-        let Is::Out { engine, link } = &mut self.requests[b].0 else { return };
-        if link.is_none() {
-            *link = self.listens[*engine].map(|process| Link { process, same_process: false });
+        let RequestState::InFlight { engine, connection } = &mut self.requests[b].0 else { return };
+        if connection.is_none() {
+            *connection = self.listens[*engine].map(|process| Connection { process, same_process: false });
         }
-        let Some(l) = link else { return self.end(b, LastObservation::Refused, x) };
-        let here = |t: &There| t.request == b && t.process == l.process;
+        let Some(l) = connection else { return self.end(b, LastObservation::Refused, x) };
+        let here = |t: &RemoteAttempt| t.request == b && t.process == l.process;
         if stop {
             self.running.retain(|r| !here(r));
             return self.end(b, LastObservation::Stopped, x);
@@ -253,34 +268,34 @@
     }
 
     fn end(&mut self, b: usize, last: LastObservation, x: &Bounds) {
-        let Is::Out { link, .. } = &self.requests[b].0 else { return };
+        let RequestState::InFlight { connection, .. } = &self.requests[b].0 else { return };
         let trusted = x.reading == Reading::Trusting && last == LastObservation::Stopped;
-        let same = trusted || link.as_ref().is_some_and(|l| l.same_process);
+        let same = trusted || connection.as_ref().is_some_and(|l| l.same_process);
         let seen = AttemptEvidence { last, same_process: same };
         let number = self.requests[b].1;
-        self.key_order.on_attempt_finished(KEY, b, number, seen, false, at(self.now));
-        self.requests[b] = (Is::Waits, number + 1);
+        self.key_order.on_attempt_finished(KEY, b, number, seen, false, time_of(self.now));
+        self.requests[b] = (RequestState::Waiting, number + 1);
     }
 
     fn leave(&mut self, b: usize) {
-        self.requests[b].0 = Is::Over;
+        self.requests[b].0 = RequestState::Finished;
         self.key_order.remove(KEY, b);
     }
 }
 
 impl Model for Bounds {
     type State = World;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
         vec![World::new(self)]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
+    fn actions(&self, world: &World, acts: &mut Vec<Action>) {
         acts.extend(World::all(self).into_iter().filter(|a| world.broken.is_none() && world.may(*a, self)));
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
+    fn next_state(&self, world: &World, act: Action) -> Option<World> {
         let mut next = world.clone();
         next.act(act, self);
         Some(next)
@@ -291,7 +306,7 @@
             Property::always("rule 5", |_: &Bounds, w: &World| w.broken.is_none()),
             // Else an key_order that lets nobody go would pass.
             Property::sometimes("both end", |_: &Bounds, w: &World| {
-                w.requests.iter().all(|(is, _)| *is == Is::Over) && w.ended.len() == 2
+                w.requests.iter().all(|(is, _)| *is == RequestState::Finished) && w.ended.len() == 2
             }),
         ]
     }
@@ -337,7 +352,7 @@
 
 #[test]
 fn an_index_that_serves_again_is_not_taken_for_the_one_before() {
-    let mut key_order = KeyOrder::new(Duration::ZERO, LETS_GO);
+    let mut key_order = KeyOrder::new(Duration::ZERO, UNOBSERVED_LIFETIME);
     key_order.admit(KEY, 0);
     key_order.on_attempt_started(KEY, 0, 0, 0);
     key_order.on_attempt_finished(
@@ -346,22 +361,22 @@
         0,
         AttemptEvidence { last: LastObservation::Lost, same_process: false },
         false,
-        at(0),
+        time_of(0),
     );
     key_order.remove(KEY, 0);
     key_order.admit(KEY, 0);
-    let over = RUNS_ON + 2;
-    assert!(!key_order.is_next(KEY, 0, at(over - 1)), "what may run is another batch's");
-    assert!(key_order.is_next(KEY, 0, at(over)));
+    let over = DRAINING_LIFETIME + 2;
+    assert!(!key_order.is_next(KEY, 0, time_of(over - 1)), "what may run is another request's");
+    assert!(key_order.is_next(KEY, 0, time_of(over)));
     key_order.remove(KEY, 0);
-    key_order.remove_idle_keys(at(over));
-    assert_eq!(key_order, KeyOrder::new(Duration::ZERO, LETS_GO), "nothing is left of the key");
+    key_order.remove_idle_keys(time_of(over));
+    assert_eq!(key_order, KeyOrder::new(Duration::ZERO, UNOBSERVED_LIFETIME), "nothing is left of the key");
 }
 
 #[test]
 fn a_key_rests_after_all_that_was_not_the_engines_own_end() {
     use LastObservation::*;
-    const QUIET: u64 = 300_000;
+    const COOLDOWN: u64 = 300_000;
     // (what was seen, whether the outcome itself asks for a rest, whether the key rests)
     let cases = [
         (Ended, false, false),
@@ -372,14 +387,21 @@
         (Ended, true, true),
     ];
     for (last, unsure, rests) in cases {
-        let mut key_order = KeyOrder::new(Duration::from_micros(QUIET), LETS_GO);
+        let mut key_order = KeyOrder::new(Duration::from_micros(COOLDOWN), UNOBSERVED_LIFETIME);
         key_order.admit(KEY, 0);
         key_order.on_attempt_started(KEY, 0, 0, 0);
-        key_order.on_attempt_finished(KEY, 0, 0, AttemptEvidence { last, same_process: true }, unsure, at(0));
+        key_order.on_attempt_finished(
+            KEY,
+            0,
+            0,
+            AttemptEvidence { last, same_process: true },
+            unsure,
+            time_of(0),
+        );
         key_order.remove(KEY, 0);
         key_order.admit(KEY, 1);
-        assert_eq!(key_order.is_next(KEY, 1, at(QUIET - 1)), !rests, "{last:?} {unsure}");
-        assert!(key_order.is_next(KEY, 1, at(QUIET)), "{last:?} {unsure}");
+        assert_eq!(key_order.is_next(KEY, 1, time_of(COOLDOWN - 1)), !rests, "{last:?} {unsure}");
+        assert!(key_order.is_next(KEY, 1, time_of(COOLDOWN)), "{last:?} {unsure}");
     }
 }
 
--- a/crates/policy/tests/policy/cancellation.rs
+++ b/crates/policy/tests/policy/cancellation.rs
@@ -15,21 +15,21 @@
         (LOAD, None, false),
     ] {
         let mut gateway = typical_config().start(2);
-        let (b, place) =
+        let (b, decision) =
             gateway.admit(0, Request { work: Some(Duration::from_millis(2000)), ..request(class) });
-        assert!(sent_to(place).is_some());
-        if let Some(share) = done {
-            gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::Done(share));
+        assert!(sent_to(decision).is_some());
+        if let Some(fraction) = done {
+            gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::Done(fraction));
         } else {
             for tick in 1..=10 {
                 gateway.policy.tick(ms(tick * 250));
             }
         }
-        let place = gateway.policy.route(ms(if done.is_some() { 1001 } else { 2500 }), b);
+        let decision = gateway.policy.route(ms(if done.is_some() { 1001 } else { 2500 }), b);
         assert_eq!(
-            place == RoutingDecision::CancelAttempt(0),
+            decision == RoutingDecision::CancelAttempt(0),
             off,
-            "group {class}, done {done:?}: {place:?}"
+            "group {class}, done {done:?}: {decision:?}"
         );
         if off && done.is_some() {
             // What is as slow elsewhere was estimated wrong: once is enough.
@@ -44,7 +44,8 @@
 #[test]
 fn attempts_that_wait_past_their_objective_are_cancelled_where_engines_swap() {
     // (engines page, asked at ms, call it off); the goal is 1.4 s
-    for (swaps_when_out_of_memory, at, off) in [(true, 1500, true), (true, 1300, false), (false, 1500, false)]
+    for (swaps_when_out_of_memory, time, off) in
+        [(true, 1500, true), (true, 1300, false), (false, 1500, false)]
     {
         let mut config = typical_config();
         config.caps.swaps_when_out_of_memory = swaps_when_out_of_memory;
@@ -52,9 +53,9 @@
         let (b, _) = gateway.admit(0, request(LOOK_UP));
         gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::WaitsForHolder);
         assert_eq!(
-            gateway.policy.route(ms(at), b) == RoutingDecision::CancelAttempt(0),
+            gateway.policy.route(ms(time), b) == RoutingDecision::CancelAttempt(0),
             off,
-            "{swaps_when_out_of_memory} at {at}"
+            "{swaps_when_out_of_memory} at {time}"
         );
     }
 }
--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -16,17 +16,17 @@
         (gone, true, 60_000, false),
         (engine(), false, 60_000, false),
     ];
-    for (told, out, after, forgotten) in cases {
+    for (listed, out, after, forgotten) in cases {
         let mut gateway = typical_config().start(1);
         let (b, _) = gateway.admit(0, request(LOOK_UP));
-        gateway.policy.update_engine(ms(1), 0, told);
+        gateway.policy.update_engine(ms(1), 0, listed);
         if !out {
             gateway.end(2, b, 0, Outcome::Returned, 2);
         }
         assert_eq!(
             gateway.policy.forget_engine(ms(1 + after), 0),
             forgotten,
-            "{told:?} out {out} after {after}"
+            "{listed:?} out {out} after {after}"
         );
         gateway.policy.update_engine(ms(70_000), 0, engine());
         let next = Request { deadline: ms(90_000), ..request(LOOK_UP) };
@@ -51,9 +51,9 @@
             (0..30).for_each(|_| gateway.policy.admit(ms(0), 9, one.clone()));
             // Turns go on within the rule's window, and all of them count against its budget.
             let sent = (0..8).flat_map(|turn| (0..9).map(move |n| (turn * 250, turn as usize * 9 + n)));
-            let sent = sent.filter(|(at, b)| {
-                gateway.policy.admit(ms(*at), *b, one.clone());
-                sent_to(gateway.policy.route(ms(*at), *b)).is_some()
+            let sent = sent.filter(|(time, b)| {
+                gateway.policy.admit(ms(*time), *b, one.clone());
+                sent_to(gateway.policy.route(ms(*time), *b)).is_some()
             });
             all += sent.count() as f64 * work as f64 / 1000.0;
         }
@@ -100,8 +100,8 @@
         (config.fleet.gateways, config.caps.load_probe_cost) = (300, price);
         let mut gateway = config.start(2);
         let mut probes = 0;
-        for at in 0..4_000 {
-            let (b, _) = gateway.admit(at, request(LOOK_UP));
+        for time in 0..4_000 {
+            let (b, _) = gateway.admit(time, request(LOOK_UP));
             gateway.policy.on_client_disconnected(b);
             probes += gateway.policy.health_checks().len();
         }
--- a/crates/policy/tests/policy/limits.rs
+++ b/crates/policy/tests/policy/limits.rs
@@ -61,10 +61,10 @@
         let mut config = typical_config();
         config.fleet.gateways = gateways;
         let mut gateway = config.start(engines);
-        let share = engines as f64 * 12.0 / gateways as f64;
+        let fraction = engines as f64 * 12.0 / gateways as f64;
         let peak = gateway.send_all(100, class) as f64 * threads;
         assert!(
-            peak >= share && peak < share * 3.0 + threads,
+            peak >= fraction && peak < fraction * 3.0 + threads,
             "{gateways} fronts, {engines} engines: {peak}"
         );
         (0..40).for_each(|_| gateway.policy.tick(ms(1)));
@@ -84,15 +84,15 @@
         let mut gateway = config.start(engines);
         let mut peaks = Vec::new();
         for round in 0..40 {
-            let at = round * 250;
+            let time = round * 250;
             let mut out = Vec::new();
-            while let (b, RoutingDecision::Send(_)) = gateway.admit(at, request(LOOK_UP)) {
+            while let (b, RoutingDecision::Send(_)) = gateway.admit(time, request(LOOK_UP)) {
                 out.push(b);
             }
-            gateway.policy.tick(ms(at));
+            gateway.policy.tick(ms(time));
             peaks.push(out.len());
             for b in out {
-                gateway.end(at + 249, b, 0, Outcome::Returned, took);
+                gateway.end(time + 249, b, 0, Outcome::Returned, took);
             }
         }
         assert_eq!(peaks[39] > peaks[0], grows, "{gateways} fronts, {took} ms: {peaks:?}");
@@ -113,16 +113,16 @@
         let mut config = typical_config();
         config.classes[LOOK_UP].waits_for_data_lock = true;
         let mut gateway = config.start(1);
-        for at in (0..60_000).step_by(5000) {
+        for time in (0..60_000).step_by(5000) {
             for _ in 0..4 {
-                let (b, _) = gateway.admit(at, Request { deadline: ms(at + 20_000), ..request(LOOK_UP) });
+                let (b, _) = gateway.admit(time, Request { deadline: ms(time + 20_000), ..request(LOOK_UP) });
                 if stood {
-                    gateway.policy.on_progress(ms(at + 50), b, 0, ProgressUpdate::WaitsForHolder);
+                    gateway.policy.on_progress(ms(time + 50), b, 0, ProgressUpdate::WaitsForHolder);
                 }
-                gateway.end(at + took, b, 0, outcome, took);
+                gateway.end(time + took, b, 0, outcome, took);
                 gateway.policy.on_client_disconnected(b);
             }
-            gateway.policy.tick(ms(at + took));
+            gateway.policy.tick(ms(time + took));
         }
         (0..60).for_each(|_| gateway.policy.tick(ms(70_000)));
         let one = Request { deadline: ms(100_000), ..request(LOOK_UP) };
@@ -135,7 +135,7 @@
 #[test]
 fn attempts_in_flight_count_as_late_before_they_answer() {
     // (share done at 1 s, tick at ms, whether one more is pushed back); the goal is 3 s, astray from 6 s.
-    for (done, at, bound) in [
+    for (done, time, bound) in [
         (None, 1200, false),
         (None, 3500, true),
         (Some(0.5), 1200, false),
@@ -146,12 +146,12 @@
         let one = Request { work: Some(Duration::from_millis(1000)), ..request(LOOK_UP) };
         for _ in 0..4 {
             let (b, _) = gateway.admit(0, one.clone());
-            if let Some(share) = done {
-                gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::Done(share));
+            if let Some(fraction) = done {
+                gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::Done(fraction));
             }
         }
-        gateway.policy.tick(ms(at));
-        assert_eq!(sent_to(gateway.admit(at, one).1).is_none(), bound, "{done:?} at {at}");
+        gateway.policy.tick(ms(time));
+        assert_eq!(sent_to(gateway.admit(time, one).1).is_none(), bound, "{done:?} at {time}");
     }
 }
 
@@ -184,16 +184,16 @@
         let mut gateway = config.start(1);
         let mut out = Vec::new();
         for round in 0..400 {
-            let at = round * 250;
-            let one = Request { deadline: ms(at + 9000), ..request(LOOK_UP) };
+            let time = round * 250;
+            let one = Request { deadline: ms(time + 9000), ..request(LOOK_UP) };
             for b in std::mem::take(&mut out) {
                 let report = LoadReport { in_hand: times.map(|t| t * 6.0), ..LoadReport::default() };
-                gateway.end_with(at, b, Outcome::Returned, 100, report);
+                gateway.end_with(time, b, Outcome::Returned, 100, report);
             }
-            while let (b, RoutingDecision::Send(_)) = gateway.admit(at, one.clone()) {
+            while let (b, RoutingDecision::Send(_)) = gateway.admit(time, one.clone()) {
                 out.push(b);
             }
-            gateway.policy.tick(ms(at));
+            gateway.policy.tick(ms(time));
         }
         assert!((least..=most).contains(&out.len()), "{times:?}: {} out", out.len());
     }
--- a/crates/policy/tests/policy/outlier_detection.rs
+++ b/crates/policy/tests/policy/outlier_detection.rs
@@ -24,16 +24,17 @@
     ] {
         let mut gateway = typical_config().start(1);
         for (i, outcome) in outcomes.iter().enumerate() {
-            let at = 100 * i as u64;
-            let (b, place) = gateway.admit(at, request(LOOK_UP));
-            assert_eq!(sent_to(place), Some(0));
-            gateway.end(at + 1, b, 0, *outcome, 1);
+            let time = 100 * i as u64;
+            let (b, decision) = gateway.admit(time, request(LOOK_UP));
+            assert_eq!(sent_to(decision), Some(0));
+            gateway.end(time + 1, b, 0, *outcome, 1);
             gateway.policy.on_client_disconnected(b);
         }
         gateway.policy.update_engine(ms(700), 1, engine());
-        let at_0 = (0..40).filter(|_| sent_to(gateway.admit(700, request(LOOK_UP)).1) == Some(0)).count();
+        let sent_to_first =
+            (0..40).filter(|_| sent_to(gateway.admit(700, request(LOOK_UP)).1) == Some(0)).count();
         // One trial may be among them.
-        assert_eq!(at_0 > 1, used, "{outcomes:?}: {at_0} of 40");
+        assert_eq!(sent_to_first > 1, used, "{outcomes:?}: {sent_to_first} of 40");
     }
 }
 
@@ -41,26 +42,26 @@
 #[test]
 fn failures_that_all_engines_share_eject_none() {
     // Share of bad outcomes at all of four engines, then at engine 0 alone; which of them are left out.
-    for (at_all, at_one, left_out) in [(0.0, 0.0, 0), (0.08, 0.0, 0), (0.0, 1.0, 1), (0.08, 1.0, 1)] {
+    for (bad_at_all, bad_at_one, ejected) in [(0.0, 0.0, 0), (0.08, 0.0, 0), (0.0, 1.0, 1), (0.08, 1.0, 1)] {
         let mut gateway = typical_config().start(4);
         let (mut ended, mut bad) = (0, [0.0; 2]);
-        for at in 0..2000 {
-            let (b, place) = gateway.admit(at, request(LOOK_UP));
-            let Some(e) = sent_to(place) else { continue };
+        for time in 0..2000 {
+            let (b, decision) = gateway.admit(time, request(LOOK_UP));
+            let Some(e) = sent_to(decision) else { continue };
             ended += 1;
-            bad[0] += at_all;
-            bad[1] += if e == 0 && ended > 1500 { at_one } else { 0.0 };
+            bad[0] += bad_at_all;
+            bad[1] += if e == 0 && ended > 1500 { bad_at_one } else { 0.0 };
             let over = bad.iter().position(|b| *b >= 1.0);
             let outcome = if over.is_some() { Outcome::Reset } else { Outcome::Returned };
             over.into_iter().for_each(|i| bad[i] -= 1.0);
-            gateway.end(at, b, 0, outcome, 1);
+            gateway.end(time, b, 0, outcome, 1);
             gateway.policy.on_client_disconnected(b);
         }
         let lines = gateway.policy.take_events();
-        let failing = lines.iter().filter(|e| matches!(e, PolicyEvent::EngineEjected { .. })).count();
-        let sound = lines.iter().filter(|e| matches!(e, PolicyEvent::EngineRestored { .. })).count();
-        assert_eq!(failing - sound, left_out, "{at_all} at all, {at_one} at one: {lines:?}");
-        assert!(failing <= left_out, "{at_all} at all, {at_one} at one: {lines:?}");
+        let ejected_count = lines.iter().filter(|e| matches!(e, PolicyEvent::EngineEjected { .. })).count();
+        let restored = lines.iter().filter(|e| matches!(e, PolicyEvent::EngineRestored { .. })).count();
+        assert_eq!(ejected_count - restored, ejected, "{bad_at_all} at all, {bad_at_one} at one: {lines:?}");
+        assert!(ejected_count <= ejected, "{bad_at_all} at all, {bad_at_one} at one: {lines:?}");
     }
 }
 
@@ -88,20 +89,20 @@
         let mut gateway = typical_config().start(3);
         // They are warm, and so is the net.
         (0..30).for_each(|i| {
-            let (b, place) = gateway.admit(i, request(LOOK_UP));
-            assert!(sent_to(place).is_some());
+            let (b, decision) = gateway.admit(i, request(LOOK_UP));
+            assert!(sent_to(decision).is_some());
             gateway.end(i, b, 0, Outcome::Returned, 1);
         });
         (0..2).for_each(|_| gateway.policy.record_engine_outcome(ms(100), 2, true, Evidence::Gossip));
         gateway.policy.update_engine(ms(100), 2, Engine { zone: 1, ..engine() });
         let back = (1..=1000).find(|tick| {
-            let at = 100 + tick * 50;
-            gateway.policy.tick(ms(at));
+            let time = 100 + tick * 50;
+            gateway.policy.tick(ms(time));
             let sent: Vec<_> = (0..out)
-                .map(|_| gateway.admit(at, Request { deadline: ms(90_000), ..request(LOOK_UP) }))
+                .map(|_| gateway.admit(time, Request { deadline: ms(90_000), ..request(LOOK_UP) }))
                 .collect();
-            sent.into_iter().filter(|(_, place)| sent_to(*place).is_some()).for_each(|(b, _)| {
-                gateway.end(at + 10, b, 0, Outcome::Returned, 10);
+            sent.into_iter().filter(|(_, decision)| sent_to(*decision).is_some()).for_each(|(b, _)| {
+                gateway.end(time + 10, b, 0, Outcome::Returned, 10);
             });
             gateway.policy.engine_health(2) == Some(EngineHealth::default())
         });
@@ -112,21 +113,21 @@
 
 #[test]
 fn with_most_engines_unhealthy_none_is_left_out() {
-    // (engines, of them failing, whether failing ones still get requests)
-    for (engines, failing, used) in [(4, 1, false), (4, 2, false), (4, 3, true), (4, 4, true)] {
-        let mut gateway = typical_config().start(failing);
-        for at in 0..8 {
-            for _ in 0..failing {
-                let (b, place) = gateway.admit(at, request(LOOK_UP));
-                if sent_to(place).is_some() {
-                    gateway.end(at, b, 0, Outcome::Reset, 1);
+    // (engines, of them unhealthy, whether those still get requests)
+    for (engines, unhealthy, used) in [(4, 1, false), (4, 2, false), (4, 3, true), (4, 4, true)] {
+        let mut gateway = typical_config().start(unhealthy);
+        for time in 0..8 {
+            for _ in 0..unhealthy {
+                let (b, decision) = gateway.admit(time, request(LOOK_UP));
+                if sent_to(decision).is_some() {
+                    gateway.end(time, b, 0, Outcome::Reset, 1);
                     gateway.policy.on_client_disconnected(b);
                 }
             }
         }
-        (failing..engines).for_each(|e| gateway.policy.update_engine(ms(50), e, engine()));
+        (unhealthy..engines).for_each(|e| gateway.policy.update_engine(ms(50), e, engine()));
         let sent = (0..20).filter_map(|_| sent_to(gateway.admit(50, request(LOOK_UP)).1));
-        assert_eq!(sent.filter(|e| *e < failing).count() > 0, used, "{failing} of {engines}");
+        assert_eq!(sent.filter(|e| *e < unhealthy).count() > 0, used, "{unhealthy} of {engines}");
     }
 }
 
@@ -135,14 +136,15 @@
     for (started, used) in [(None, false), (Some(ms(50)), true)] {
         let mut gateway =
             PolicyConfig { slow_start: SlowStartPolicy::default(), ..typical_config() }.start(1);
-        for at in 0..4 {
-            let (b, _) = gateway.admit(at, request(LOOK_UP));
-            gateway.end(at, b, 0, Outcome::Reset, 1);
+        for time in 0..4 {
+            let (b, _) = gateway.admit(time, request(LOOK_UP));
+            gateway.end(time, b, 0, Outcome::Reset, 1);
             gateway.policy.on_client_disconnected(b);
         }
         gateway.policy.update_engine(ms(60), 1, engine());
         gateway.policy.update_engine(ms(60), 0, Engine { started, ..engine() });
-        let at_0 = (0..10).filter(|_| sent_to(gateway.admit(60, request(LOOK_UP)).1) == Some(0)).count();
-        assert_eq!(at_0 > 0, used, "{started:?}: {at_0} of 10");
+        let sent_to_first =
+            (0..10).filter(|_| sent_to(gateway.admit(60, request(LOOK_UP)).1) == Some(0)).count();
+        assert_eq!(sent_to_first > 0, used, "{started:?}: {sent_to_first} of 10");
     }
 }
--- a/crates/policy/tests/policy/requests.rs
+++ b/crates/policy/tests/policy/requests.rs
@@ -19,12 +19,12 @@
     config.classes[LOAD].in_order = true;
     let mut gateway = config.start(2);
     let keyed = Request { key: Some(9), ..request(LOAD) };
-    let (first, place) = gateway.admit(0, keyed.clone());
-    assert!(sent_to(place).is_some());
+    let (first, decision) = gateway.admit(0, keyed.clone());
+    assert!(sent_to(decision).is_some());
     let (second, _) = gateway.admit(1, keyed);
     gateway.policy.abandon(ms(10), first);
-    for (at, turn) in [(20, false), (2_159, false), (2_160, true)] {
-        assert_eq!(sent_to(gateway.policy.route(ms(at), second)).is_some(), turn, "at {at}");
+    for (time, turn) in [(20, false), (2_159, false), (2_160, true)] {
+        assert_eq!(sent_to(gateway.policy.route(ms(time), second)).is_some(), turn, "at {time}");
     }
 }
 
@@ -39,9 +39,9 @@
         (LOAD, 200, 90, false),
     ] {
         let one = Request { work: Some(Duration::from_millis(work)), deadline: ms(left), ..request(class) };
-        let (_, place) = typical_config().start(2).admit(0, one);
-        assert_eq!(sent_to(place).is_some(), sent, "group {class}, {work} ms, {left} left: {place:?}");
-        assert!(sent || matches!(place, RoutingDecision::Reject(Some(_))));
+        let (_, decision) = typical_config().start(2).admit(0, one);
+        assert_eq!(sent_to(decision).is_some(), sent, "group {class}, {work} ms, {left} left: {decision:?}");
+        assert!(sent || matches!(decision, RoutingDecision::Reject(Some(_))));
     }
 }
 
@@ -49,12 +49,12 @@
 fn memory_grants_follow_reports_of_spilling() {
     for (spills, more) in [(true, true), (false, false)] {
         let mut gateway = typical_config().start(4);
-        let grant = |place| match place {
+        let grant = |decision| match decision {
             RoutingDecision::Send(AttemptParameters { memory_mb: Some(mb), .. }) => mb,
             other => panic!("{other:?}"),
         };
-        let (b, place) = gateway.admit(0, request(LOOK_UP));
-        let before = grant(place);
+        let (b, decision) = gateway.admit(0, request(LOOK_UP));
+        let before = grant(decision);
         if spills {
             gateway.policy.on_progress(ms(10), b, 0, ProgressUpdate::SpillsMb(50.0));
         }
@@ -92,9 +92,9 @@
             let mut config = typical_config();
             change(&mut config);
             let mut gateway = config.start(engines);
-            let (b, place) =
+            let (b, decision) =
                 gateway.admit(0, Request { work: None, memory_mb: None, tenant: Some(0), ..request(REPORT) });
-            assert_eq!(sent_to(place).is_some(), engines == 1, "case {i}");
+            assert_eq!(sent_to(decision).is_some(), engines == 1, "case {i}");
             let more = (0..40).filter(|_| sent_to(gateway.admit(0, request(LOOK_UP)).1).is_some()).count();
             assert!(more < 40, "case {i}: nothing binds");
             gateway.policy.tick(ms(250));
@@ -112,13 +112,13 @@
     let cases = [(0, Outcome::TimedOut, true), (2, Outcome::TimedOut, false), (2, Outcome::Full, true)];
     for (class, outcome, harmless) in cases {
         let mut gateway = typical_config().start(2);
-        let (b, place) = gateway.admit(0, request(class));
-        assert!(sent_to(place).is_some());
+        let (b, decision) = gateway.admit(0, request(class));
+        assert!(sent_to(decision).is_some());
         gateway.policy.set_shutdown_deadline(ms(3000));
         assert_eq!(gateway.policy.route(ms(2000), b), RoutingDecision::Wait);
         assert_eq!(gateway.end(2990, b, 0, outcome, 2990), AfterAttempt::RouteAgain);
-        let place = gateway.policy.route(ms(2990), b);
-        assert_eq!(matches!(place, RoutingDecision::Reject(_)), harmless, "{outcome:?}: {place:?}");
-        assert!(harmless || place == RoutingDecision::Fail, "{outcome:?}: {place:?}");
+        let decision = gateway.policy.route(ms(2990), b);
+        assert_eq!(matches!(decision, RoutingDecision::Reject(_)), harmless, "{outcome:?}: {decision:?}");
+        assert!(harmless || decision == RoutingDecision::Fail, "{outcome:?}: {decision:?}");
     }
 }
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -11,18 +11,19 @@
 #[test]
 fn rule_1_every_attempt_ends_before_the_deadline() {
     // (taken at ms, time limit at ms, sent at all)
-    for (at, limit, sends) in
+    for (time, limit, sends) in
         [(0, 1000, true), (0, 20, true), (0, 15, false), (0, 5, false), (100, 50, false)]
     {
         let mut gateway = typical_config().start(2);
-        let (_, place) = gateway.admit(at, Request { deadline: ms(limit), work: None, ..request(LOOK_UP) });
-        match place {
+        let (_, decision) =
+            gateway.admit(time, Request { deadline: ms(limit), work: None, ..request(LOOK_UP) });
+        match decision {
             RoutingDecision::Send(d) => {
-                assert!(sends && ms(at) + d.time_out + Duration::from_millis(5) < ms(limit))
+                assert!(sends && ms(time) + d.time_out + Duration::from_millis(5) < ms(limit))
             }
             other => assert!(
                 !sends && matches!(other, RoutingDecision::Reject(Some(_))),
-                "{at} {limit}: {other:?}"
+                "{time} {limit}: {other:?}"
             ),
         }
     }
@@ -31,21 +32,21 @@
 #[test]
 fn rule_1_a_request_waiting_for_its_key_is_checked_in_time() {
     // (asked at ms, time limit at ms, asked again at ms): its look, or the last safe moment
-    for (at, limit, again) in [(0, 1000, 20), (0, 30, 15), (970, 1000, 985)] {
+    for (time, limit, again) in [(0, 1000, 20), (0, 30, 15), (970, 1000, 985)] {
         let mut config = typical_config();
         config.classes[LOAD].in_order = true;
         let mut gateway = config.start(1);
         gateway.admit(0, Request { key: Some(1), work: None, ..request(LOAD) });
         let waiting = Request { key: Some(1), deadline: ms(limit), work: None, ..request(LOAD) };
-        let (b, place) = gateway.admit(at, waiting);
-        assert_eq!((place, gateway.policy.next_check(ms(at), b)), (RoutingDecision::Wait, ms(again)));
+        let (b, decision) = gateway.admit(time, waiting);
+        assert_eq!((decision, gateway.policy.next_check(ms(time), b)), (RoutingDecision::Wait, ms(again)));
         assert!(matches!(gateway.policy.route(ms(limit - 15), b), RoutingDecision::Reject(_)));
     }
 }
 
 #[test]
 fn rule_2_what_may_have_run_is_neither_retried_nor_rejected() {
-    let referenced = |scope| Idempotency::IdempotentWithKey { scope, window: Duration::from_millis(3000) };
+    let with_key = |scope| Idempotency::IdempotentWithKey { scope, window: Duration::from_millis(3000) };
     let cases = [
         // effect, outcome, at ms, sent again, else pushed back
         (Idempotency::Idempotent, Outcome::Reset, 100, true, true),
@@ -56,28 +57,28 @@
         (Idempotency::NonIdempotent, Outcome::Reset, 100, false, false),
         (Idempotency::NonIdempotent, Outcome::TimedOut, 100, false, false),
         (Idempotency::NonIdempotent, Outcome::Cancelled, 100, false, false),
-        (referenced(DeduplicationScope::All), Outcome::Reset, 100, true, true),
-        (referenced(DeduplicationScope::All), Outcome::Reset, 3000, false, true),
-        (referenced(DeduplicationScope::Zone), Outcome::Reset, 100, false, false),
-        (referenced(DeduplicationScope::Cell), Outcome::Reset, 100, false, false),
-        (referenced(DeduplicationScope::Cell), Outcome::ConnectFailed, 100, true, true),
+        (with_key(DeduplicationScope::All), Outcome::Reset, 100, true, true),
+        (with_key(DeduplicationScope::All), Outcome::Reset, 3000, false, true),
+        (with_key(DeduplicationScope::Zone), Outcome::Reset, 100, false, false),
+        (with_key(DeduplicationScope::Cell), Outcome::Reset, 100, false, false),
+        (with_key(DeduplicationScope::Cell), Outcome::ConnectFailed, 100, true, true),
     ];
-    for (effect, outcome, at, again, push_back) in cases {
+    for (effect, outcome, time, again, push_back) in cases {
         let mut config = typical_config();
         config.classes[LOAD].effect = effect;
         let mut gateway = config.start(1);
-        let (b, place) = gateway.admit(0, request(LOAD));
-        assert_eq!(sent_to(place), Some(0));
+        let (b, decision) = gateway.admit(0, request(LOAD));
+        assert_eq!(sent_to(decision), Some(0));
         gateway.policy.update_engine(ms(1), 0, Engine { state: EngineState::Gone, ..engine() });
         gateway.policy.update_engine(ms(1), 1, Engine { zone: 1, cell: 1, ..engine() });
-        assert_eq!(gateway.end(at, b, 0, outcome, at), AfterAttempt::RouteAgain);
-        let place = gateway.policy.route(ms(at), b);
-        assert_eq!(sent_to(place).is_some(), again, "{effect:?} {outcome:?} at {at}: {place:?}");
+        assert_eq!(gateway.end(time, b, 0, outcome, time), AfterAttempt::RouteAgain);
+        let decision = gateway.policy.route(ms(time), b);
+        assert_eq!(sent_to(decision).is_some(), again, "{effect:?} {outcome:?} at {time}: {decision:?}");
         if !again {
             assert_eq!(
-                matches!(place, RoutingDecision::Reject(_)),
+                matches!(decision, RoutingDecision::Reject(_)),
                 push_back,
-                "{effect:?} {outcome:?}: {place:?}"
+                "{effect:?} {outcome:?}: {decision:?}"
             );
         }
     }
@@ -101,13 +102,13 @@
         let mut config = typical_config();
         config.caps.single_attempt = single_attempt;
         let mut gateway = config.start(3);
-        let (b, place) = gateway.admit(0, request(LOOK_UP));
-        assert!(sent_to(place).is_some());
+        let (b, decision) = gateway.admit(0, request(LOOK_UP));
+        assert!(sent_to(decision).is_some());
         let answer = AttemptResult { over: false, ..AttemptResult::bare(Outcome::Cancelled, seen) };
         assert_eq!(gateway.policy.on_attempt_finished(ms(100), b, 0, &answer), AfterAttempt::RouteAgain);
-        let place = gateway.policy.route(ms(100), b);
-        assert_eq!(sent_to(place).is_some(), again, "{single_attempt} {seen:?}: {place:?}");
-        assert!(again || matches!(place, RoutingDecision::Reject(_)), "{place:?}");
+        let decision = gateway.policy.route(ms(100), b);
+        assert_eq!(sent_to(decision).is_some(), again, "{single_attempt} {seen:?}: {decision:?}");
+        assert!(again || matches!(decision, RoutingDecision::Reject(_)), "{decision:?}");
     }
 }
 
@@ -149,19 +150,19 @@
         (nine, &[5_000, 0][..], 13_999, true, &[]),
         (nine, &[0, 10_000][..], 10_001, true, &[]),
     ];
-    for (holds, heard, at, sends, events) in cases {
+    for (holds, heard, time, sends, events) in cases {
         let mut config = typical_config();
         config.caps.endpoint_list_lifetime = holds;
         let mut gateway = config.start(2);
-        heard.iter().for_each(|at| gateway.policy.confirm_endpoint_list(ms(*at)));
+        heard.iter().for_each(|time| gateway.policy.confirm_endpoint_list(ms(*time)));
         let one = Request { deadline: ms(90_000), ..request(LOOK_UP) };
-        let (_, place) = gateway.admit(at, one.clone());
-        assert_eq!(sent_to(place).is_some(), sends, "{holds:?} {heard:?} {at}: {place:?}");
-        assert!(sends || matches!(place, RoutingDecision::Reject(Some(_))), "{place:?}");
-        gateway.policy.tick(ms(at));
+        let (_, decision) = gateway.admit(time, one.clone());
+        assert_eq!(sent_to(decision).is_some(), sends, "{holds:?} {heard:?} {time}: {decision:?}");
+        assert!(sends || matches!(decision, RoutingDecision::Reject(Some(_))), "{decision:?}");
+        gateway.policy.tick(ms(time));
         assert_eq!(gateway.policy.take_events(), events);
-        gateway.policy.confirm_endpoint_list(ms(at));
-        assert!(sent_to(gateway.admit(at, one).1).is_some(), "heard again");
+        gateway.policy.confirm_endpoint_list(ms(time));
+        assert!(sent_to(gateway.admit(time, one).1).is_some(), "heard again");
     }
 }
 
@@ -193,8 +194,8 @@
                 Request { work: Some(Duration::from_millis(work)), deadline: ms(60_000), ..request(LOOK_UP) };
             for i in 0..100 {
                 // Each returns in time, so that only the cold rule holds anything back.
-                let (b, place) = gateway.admit(20_000 + i, one.clone());
-                if let Some(_e) = sent_to(place) {
+                let (b, decision) = gateway.admit(20_000 + i, one.clone());
+                if let Some(_e) = sent_to(decision) {
                     sent += 1;
                     gateway.end(20_000 + i, b, 0, Outcome::Returned, work);
                 }
@@ -232,10 +233,10 @@
         config.classes[LOAD].in_order = true;
         let mut gateway = config.start(3);
         let keyed = |k| Request { key: Some(k), ..request(LOAD) };
-        let (first, place) = gateway.admit(0, keyed(9));
-        assert!(sent_to(place).is_some());
-        let (second, place) = gateway.admit(1, keyed(9));
-        assert_eq!(place, RoutingDecision::Wait);
+        let (first, decision) = gateway.admit(0, keyed(9));
+        assert!(sent_to(decision).is_some());
+        let (second, decision) = gateway.admit(1, keyed(9));
+        assert_eq!(decision, RoutingDecision::Wait);
         assert!(sent_to(gateway.admit(1, keyed(8)).1).is_some(), "another key is free");
         let unordered = Request { key: Some(9), ..request(LOOK_UP) };
         assert!(sent_to(gateway.admit(1, unordered).1).is_some(), "its group asks for no order");
@@ -244,7 +245,7 @@
             assert_eq!(
                 gateway.policy.route(ms(60), second),
                 RoutingDecision::Wait,
-                "a dispatch of the first is still out"
+                "an attempt of the first is still out"
             );
         }
         gateway.end(100, first, 0, outcome, 100);
@@ -301,10 +302,10 @@
     let (short, _) = gateway.admit(500, request(LOOK_UP));
     gateway.end(600, short, 0, Outcome::Returned, 100);
     gateway.end(900, long, 0, Outcome::Returned, 900);
-    let mut further = |at, allowed| {
-        let (b, _) = gateway.admit(at, request(LOOK_UP));
-        gateway.end(at, b, 0, Outcome::Full, 1);
-        assert_eq!(sent_to(gateway.policy.route(ms(at), b)).is_some(), allowed, "at {at}");
+    let mut further = |time, allowed| {
+        let (b, _) = gateway.admit(time, request(LOOK_UP));
+        gateway.end(time, b, 0, Outcome::Full, 1);
+        assert_eq!(sent_to(gateway.policy.route(ms(time), b)).is_some(), allowed, "at {time}");
     };
     further(999, true);
     further(1_100, false);
@@ -313,7 +314,7 @@
 
 #[test]
 fn rule_2_what_was_cut_off_and_then_rejected_may_have_run() {
-    for (same_process, place) in
+    for (same_process, decision) in
         [(true, RoutingDecision::Reject(Some(Duration::from_millis(500)))), (false, RoutingDecision::Fail)]
     {
         let mut gateway =
@@ -322,6 +323,6 @@
         let seen = AttemptEvidence { last: LastObservation::Declined, same_process };
         let answer = AttemptResult { over: false, ..AttemptResult::bare(Outcome::Full, seen) };
         gateway.policy.on_attempt_finished(ms(1), b, 0, &answer);
-        assert_eq!(gateway.policy.route(ms(1), b), place, "{same_process}");
+        assert_eq!(gateway.policy.route(ms(1), b), decision, "{same_process}");
     }
 }
--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -33,26 +33,32 @@
         let mut config = typical_config();
         config.fleet.gateways = gateways;
         let mut gateway = config.start(2);
-        let mut at = 0;
+        let mut time = 0;
         for _ in 0..40 {
-            at += 1000;
-            let one = Request { deadline: ms(at + 5000), ..request(LOOK_UP) };
-            let (b, RoutingDecision::Send(d)) = gateway.admit(at, one) else { continue };
+            time += 1000;
+            let one = Request { deadline: ms(time + 5000), ..request(LOOK_UP) };
+            let (b, RoutingDecision::Send(d)) = gateway.admit(time, one) else { continue };
             let (took, busy) = if d.engine == 0 { (took, busy) } else { (100, busy.map(|_| 0.5)) };
             let (took, work) = (Duration::from_millis(took), Some(Duration::from_millis(100)));
             let report = LoadReport { in_hand: None, busy };
-            let answer =
-                AttemptResult { outcome: Outcome::Returned, took, over: true, seen: SAID, work, report };
-            gateway.policy.on_attempt_finished(ms(at) + took, b, 0, &answer);
-            gateway.policy.tick(ms(at + 900));
+            let answer = AttemptResult {
+                outcome: Outcome::Returned,
+                took,
+                over: true,
+                seen: ENDED_BY_ENGINE,
+                work,
+                report,
+            };
+            gateway.policy.on_attempt_finished(ms(time) + took, b, 0, &answer);
+            gateway.policy.tick(ms(time + 900));
         }
         let mut to_1 = 0;
         for i in 0..8 {
-            let now = at + 900 + later + i;
+            let now = time + 900 + later + i;
             // A data set of its own each, so that none is warm; each leaves before the next comes.
             let one = Request { deadline: ms(now + 5000), data_set: 90 + i as u32, ..request(LOOK_UP) };
-            let (b, place) = gateway.admit(now, one);
-            to_1 += usize::from(sent_to(place) == Some(1));
+            let (b, decision) = gateway.admit(now, one);
+            to_1 += usize::from(sent_to(decision) == Some(1));
             gateway.end(now, b, 0, Outcome::Cancelled, 0);
             gateway.policy.on_client_disconnected(b);
         }
@@ -79,15 +85,15 @@
             (connection_cost, Duration::from_millis(kept));
         let mut gateway = config.start(2);
         gateway.policy.update_engine(ms(1), 1, Engine { zone: zone_1, ..engine() });
-        let mut at_0 = 0;
-        for at in 0..20 {
-            let data_set = if one_set { 5 } else { 100 + at as u32 };
-            let (b, place) = gateway.admit(3 * at, Request { data_set, ..request(LOOK_UP) });
-            at_0 += usize::from(sent_to(place) == Some(0));
-            gateway.end(3 * at, b, 0, Outcome::Returned, 1);
+        let mut sent_to_first = 0;
+        for time in 0..20 {
+            let data_set = if one_set { 5 } else { 100 + time as u32 };
+            let (b, decision) = gateway.admit(3 * time, Request { data_set, ..request(LOOK_UP) });
+            sent_to_first += usize::from(sent_to(decision) == Some(0));
+            gateway.end(3 * time, b, 0, Outcome::Returned, 1);
         }
         let case = format!("zone {zone_1}, one set {one_set}, price {connection_cost}, kept {kept}");
-        assert_eq!(at_0 == 20 || at_0 == 0, one_engine, "{case}: {at_0} of 20");
+        assert_eq!(sent_to_first == 20 || sent_to_first == 0, one_engine, "{case}: {sent_to_first} of 20");
     }
 }
 
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -38,7 +38,7 @@
     work: (u64, u64, u64),
     traffic: Traffic,
     /// Gateways hear of the engine up to so much apart.
-    told_within: u64,
+    listed_within: u64,
     /// So many of ten gateways are started anew in the middle.
     restarted: usize,
 }
@@ -61,11 +61,11 @@
     /// The rule's budget and slack in requests of mean work, for a window that begins then.
     fn most(&self, config: &PolicyConfig, from: Timestamp) -> f64 {
         let slow_start = &config.slow_start;
-        let bears = slow_start.multiple
+        let budget_of = slow_start.multiple
             * slow_start.capacity_factor(Some(ms(STARTS)), from)
             * 16.0
             * slow_start.window.secs();
-        let n = bears * 1000.0 / self.mean();
+        let n = budget_of * 1000.0 / self.mean();
         n + if n < 30.0 { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 }
     }
 
@@ -74,12 +74,12 @@
         let mut chance = WyRand::new_seed(seed);
         let mut sent = Vec::new();
         for me in 0..self.gateways {
-            let told = STARTS + chance.generate_range(0..=self.told_within);
+            let listed = STARTS + chance.generate_range(0..=self.listed_within);
             let restarts = STARTS + LASTS / 2;
             let anew = chance.generate_range(0..10_usize) < self.restarted;
             let thin = chance.generate_range(0..1000_u64);
             for (from, until, born) in [
-                (told, if anew { restarts } else { STARTS + LASTS }, 0),
+                (listed, if anew { restarts } else { STARTS + LASTS }, 0),
                 (restarts, STARTS + LASTS, restarts),
             ] {
                 if born > 0 && !anew {
@@ -96,44 +96,46 @@
                     SLOW_START,
                     Engine { started: Some(ms(STARTS)), ..engine() },
                 );
-                for at in (from..until).step_by(STEP as usize) {
+                for time in (from..until).step_by(STEP as usize) {
                     let comes = match self.traffic {
                         Traffic::Dense => true,
                         Traffic::Even => chance.generate_range(0..2_u32) == 0,
-                        Traffic::ThinThenSurge => at >= STARTS + 3_000 || at % 1000 / STEP == thin / STEP,
+                        Traffic::ThinThenSurge => time >= STARTS + 3_000 || time % 1000 / STEP == thin / STEP,
                     };
                     if comes {
                         let heavy = chance.generate_range(0..100) < self.work.2;
-                        sent.extend(self.one(&mut gateway, at, heavy).map(|work| (at, work / self.mean())));
+                        sent.extend(
+                            self.one(&mut gateway, time, heavy).map(|work| (time, work / self.mean())),
+                        );
                     }
                 }
             }
         }
-        sent.sort_by_key(|(at, _)| *at);
+        sent.sort_by_key(|(time, _)| *time);
         sent
     }
 
-    fn request(&self, at: u64, heavy: bool) -> Request {
+    fn request(&self, time: u64, heavy: bool) -> Request {
         let (class, work) = if heavy { (HEAVY, self.work.1) } else { (LIGHT, self.work.0) };
-        Request { work: Some(Duration::from_millis(work)), deadline: ms(at + 60_000), ..request(class) }
+        Request { work: Some(Duration::from_millis(work)), deadline: ms(time + 60_000), ..request(class) }
     }
 
     /// The gateway knows the usual work of each class, and how often each is asked for.
-    fn learn(&self, gateway: &mut Gateway, at: u64) {
+    fn learn(&self, gateway: &mut Gateway, time: u64) {
         for n in 0..100 {
-            let (b, place) = gateway.admit(at, self.request(at, n < self.work.2));
-            assert_eq!(sent_to(place), None);
+            let (b, decision) = gateway.admit(time, self.request(time, n < self.work.2));
+            assert_eq!(sent_to(decision), None);
             gateway.policy.on_client_disconnected(b);
         }
     }
 
     /// The work in ms that goes out; it comes back at once, so that only the rule holds anything back.
-    fn one(&self, gateway: &mut Gateway, at: u64, heavy: bool) -> Option<f64> {
-        let request = self.request(at, heavy);
+    fn one(&self, gateway: &mut Gateway, time: u64, heavy: bool) -> Option<f64> {
+        let request = self.request(time, heavy);
         let work = request.work.unwrap();
-        let (b, place) = gateway.admit(at, request);
-        sent_to(place)?;
-        gateway.end(at, b, 0, Outcome::Returned, 1);
+        let (b, decision) = gateway.admit(time, request);
+        sent_to(decision)?;
+        gateway.end(time, b, 0, Outcome::Returned, 1);
         Some(work.secs() * 1000.0)
     }
 
@@ -142,9 +144,9 @@
         let (config, sent) = (self.config(), self.play(seed));
         let window = config.slow_start.window.micros() / 1000;
         let (mut worst, mut from, mut sum) = (0.0_f64, 0, 0.0);
-        for (at, work) in &sent {
+        for (time, work) in &sent {
             sum += work;
-            while sent[from].0 + window < *at {
+            while sent[from].0 + window < *time {
                 sum -= sent[from].1;
                 from += 1;
             }
@@ -162,11 +164,11 @@
         // Some hundred requests, some tens, a few, and none that fits.
         for work in [one(150), one(300), one(1_500), one(10_000), (150, 1_500, 10), (100, 4_000, 3)] {
             for traffic in [Traffic::Dense, Traffic::ThinThenSurge, Traffic::Even] {
-                cases.push(Case { gateways, work, traffic, told_within: 0, restarted: 0 });
+                cases.push(Case { gateways, work, traffic, listed_within: 0, restarted: 0 });
             }
             let traffic = Traffic::Dense;
-            cases.push(Case { gateways, work, traffic, told_within: 2_500, restarted: 0 });
-            cases.push(Case { gateways, work, traffic, told_within: 0, restarted: 7 });
+            cases.push(Case { gateways, work, traffic, listed_within: 2_500, restarted: 0 });
+            cases.push(Case { gateways, work, traffic, listed_within: 0, restarted: 7 });
         }
     }
     let played = |case: &Case| {
@@ -191,7 +193,7 @@
 fn an_engine_in_slow_start_is_used() {
     for gateways in [1, 5, 30, 300] {
         let case =
-            Case { gateways, work: (300, 300, 0), traffic: Traffic::Even, told_within: 0, restarted: 0 };
+            Case { gateways, work: (300, 300, 0), traffic: Traffic::Even, listed_within: 0, restarted: 0 };
         let worst = case.worst(1);
         assert!(worst > 0.25, "{gateways} fronts: {worst:.2} of the budget at most");
     }
