--- a/crates/fault-tests/examples/sighted.rs
+++ b/crates/fault-tests/examples/gossip_simulation.rs
@@ -1,7 +1,7 @@
 //! What it costs a fleet to find out that an engine is dead, to try it, and to have it back; and what a lie costs:
-//! cargo run --release -p larchfall-fault-tests --example sighted [SIZE ...]
+//! cargo run --release -p larchfall-fault-tests --example gossip_simulation [SIZE ...]
 
-use larchfall_fault_tests::sighted::{Seen, Setting, Sighted, Telling};
+use larchfall_fault_tests::simulation::health_gossip::{Seen, Setting, Sighted, Telling};
 use larchfall_policy::time::Duration;
 
 const TURN: Duration = Duration::from_millis(1_000);
--- a/crates/fault-tests/examples/divide.rs
+++ b/crates/fault-tests/examples/quota_division.rs
@@ -1,6 +1,6 @@
 //! One capacity divided among many gateways with uneven demand that moves: with even parts, with parts that a keeper hands
 //! out, and by a divider that knows all at once. In one process, by seed.
-//! cargo run --release -p larchfall-fault-tests --example divide [Gateways ...]
+//! cargo run --release -p larchfall-fault-tests --example quota_division [GATEWAYS ...]
 
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_quotas::divide::{Ask, divide};
--- a/crates/fault-tests/examples/subsets.rs
+++ b/crates/fault-tests/examples/subset_algorithms.rs
@@ -1,8 +1,8 @@
 //! Ways to choose subsets of engines for gateways, held against each other: how even engines' loads are, and what moves when
 //! one gateway or engine goes. In one process, by seed.
-//! cargo run --release -p larchfall-fault-tests --example subsets [Gateways ENGINES LEAST]
+//! cargo run --release -p larchfall-fault-tests --example subset_algorithms [GATEWAYS ENGINES SIZE]
 
-use larchfall_fault_tests::process::name;
+use larchfall_fault_tests::gateway_config::gateway_name;
 use larchfall_policy::interface::Engine;
 use larchfall_subsetting::plan::{Plan, Settings};
 use larchfall_subsetting::rank::order;
@@ -33,7 +33,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (n, m, least) in sizes {
         let gateways: Vec<Gateway> = (0..n)
-            .map(|i| Gateway { number: xxhash_rust::xxh3::xxh3_64(name(i).as_bytes()), zone: None })
+            .map(|i| Gateway { number: xxhash_rust::xxh3::xxh3_64(gateway_name(i).as_bytes()), zone: None })
             .collect();
         let engines: Vec<Listed> = (0..m as u32)
             .map(|id| Listed { id, told: Engine { cell: id as usize % 4, ..Engine::default() } })
--- a/crates/fault-tests/src/lib.rs
+++ b/crates/fault-tests/src/lib.rs
@@ -1,15 +1,18 @@
-//! What tests and measurements of several gateways need around them: a net between processes that breaks, and whole
-//! fleets of members in one process.
+//! What tests and measurements of several gateways need: gateways as processes, with a network, clocks and disks that break;
+//! stub engines and clients around them; an audit of what they recorded; and simulations of whole clusters in one process.
 
 pub mod audit;
-pub mod duties;
-pub mod fleet;
+pub mod fault_script;
+pub mod fenced_resource;
+pub mod gateway_cluster;
+pub mod gateway_config;
+pub mod gateway_process;
 pub mod load;
-pub mod net;
-pub mod probed;
-pub mod process;
-pub mod relay;
-pub mod script;
-pub mod sighted;
-pub mod storm;
-pub mod vault;
+pub mod network;
+pub mod probing_cluster;
+pub mod process_log;
+pub mod proxy;
+pub mod scenario;
+pub mod simulation;
+pub mod sync;
+pub mod wait;
--- a/crates/fault-tests/tests/probing.rs
+++ b/crates/fault-tests/tests/probing.rs
@@ -1,46 +1,52 @@
 //! One gateway asks the engines for all: several processes, engines that count who asks, a holder that is killed.
 
-use larchfall_fault_tests::probed::Probed;
-use larchfall_fault_tests::process::wait_for;
+use larchfall_fault_tests::load::LoadPlan;
+use larchfall_fault_tests::probing_cluster::{ProbingCluster, ProbingSetup};
+use larchfall_fault_tests::process_log::field;
+use larchfall_fault_tests::wait::wait_until;
 use std::time::Duration;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall-faulty");
-const PACE: Duration = Duration::from_millis(15);
-const TAKES: Duration = Duration::from_millis(10);
-const GOAL: Duration = Duration::from_millis(1000);
-const DURATION: Duration = Duration::from_millis(2500);
+const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall-faulty-host");
+const INTERVAL: Duration = Duration::from_millis(15);
+const SERVICE_TIME: Duration = Duration::from_millis(10);
+const PLAN: LoadPlan =
+    LoadPlan { objective: Duration::from_millis(1000), duration: Duration::from_millis(2500) };
 
 #[test]
 fn engines_are_asked_as_often_whatever_the_fleet_and_by_all_again_where_nobody_asks_for_them() {
-    let probed = Probed::start(PROGRAM, 6, 3, TAKES, true, 91);
-    let held = || {
-        probed
-            .fleet
-            .up()
-            .filter(|i| probed.fleet.gateway(*i).log.count("lease acquired, lease: probing:") > 0)
-            .count()
+    let mut probing = ProbingCluster::start(ProbingSetup {
+        program: PROGRAM,
+        gateways: 6,
+        engines: 3,
+        service_time: SERVICE_TIME,
+        shared: true,
+        seed: 91,
+    });
+    let cluster = &probing.cluster;
+    let times = |gateway: usize, what: &str| {
+        cluster.gateway(gateway).log.count(&format!("lease {what}, lease: probing:"))
     };
-    wait_for("both duties to be held", || (held() > 0).then_some(()));
-    let told = |i: usize| {
-        probed.fleet.gateway(i).signal("-USR1");
-        let line = probed.fleet.gateway(i).log.last("lease counters")?;
-        line.split("load_reports: ").nth(1)?.split(',').next()?.parse::<u64>().ok().filter(|n| *n > 0)
+    wait_until("a probing lease to be held", || cluster.running().any(|i| times(i, "acquired") > 0));
+    let received_reports = |gateway: usize| {
+        cluster.gateway(gateway).signal("-USR1");
+        let line = cluster.gateway(gateway).log.last("lease counters");
+        let reports = line.and_then(|line| field(&line, "load_reports")?.parse::<u64>().ok());
+        reports.is_some_and(|reports| reports > 0)
     };
-    wait_for("others to be told", || (0..6).filter(|i| told(*i).is_some()).count().ge(&5).then_some(()));
-    let shown = probed.load(PACE, GOAL, DURATION);
+    wait_until("others to receive load reports", || (0..6).filter(|i| received_reports(*i)).count() >= 5);
+    let shared = probing.load(INTERVAL, PLAN);
     // Four times a second by its holder, and a few by gateways that had none fresh.
-    assert!(shown.probes < 6.0, "{shown:?}");
-    assert_eq!(shown.ledger.wrong, 0, "{shown:?}");
+    assert!(shared.load_requests_per_second < 6.0, "{shared:?}");
+    assert_eq!(shared.counts.wrong, 0, "{shared:?}");
 
-    // No elector left, so nobody asks for all: each gateway asks by itself again once what it was told is old.
-    let mut probed = probed;
-    (0..3).for_each(|i| probed.fleet.gateways[i] = None);
-    wait_for("leases to end", || {
-        let last = |i: usize| probed.fleet.gateway(i).log.count("lease lost, lease: probing:");
-        let holds = |i: usize| probed.fleet.gateway(i).log.count("lease acquired, lease: probing:");
-        (3..6).all(|i| last(i) >= holds(i)).then_some(())
-    });
-    let alone = probed.load(PACE, GOAL, DURATION);
-    assert!(alone.probes > shown.probes, "{alone:?} after {shown:?}");
-    assert_eq!(alone.ledger.wrong, 0, "{alone:?}");
+    // No voter is left, so nobody asks for all: each gateway asks by itself again once what it was told is old.
+    (0..3).for_each(|gateway| probing.cluster.kill(gateway));
+    let cluster = &probing.cluster;
+    let times = |gateway: usize, what: &str| {
+        cluster.gateway(gateway).log.count(&format!("lease {what}, lease: probing:"))
+    };
+    wait_until("leases to end", || (3..6).all(|i| times(i, "lost") >= times(i, "acquired")));
+    let alone = probing.load(INTERVAL, PLAN);
+    assert!(alone.load_requests_per_second > shared.load_requests_per_second, "{alone:?} after {shared:?}");
+    assert_eq!(alone.counts.wrong, 0, "{alone:?}");
 }
--- a/crates/gateway/tests/gateway/cluster.rs
+++ b/crates/gateway/tests/gateway/cluster.rs
@@ -2,8 +2,10 @@
 //! names the seed.
 
 use crate::common::{PROGRAM, wait_for};
-use larchfall_fault_tests::net::{Link, SOUND};
-use larchfall_fault_tests::process::{Fleet, Gateway, PERIOD, gateways_table, name};
+use larchfall_fault_tests::gateway_cluster::GatewayCluster;
+use larchfall_fault_tests::gateway_config::{MembershipConfig, PROTOCOL_PERIOD, gateway_name};
+use larchfall_fault_tests::gateway_process::GatewayProcess;
+use larchfall_fault_tests::network::Link;
 use std::net::UdpSocket;
 use std::process::{Command, Output};
 use std::thread;
@@ -16,32 +18,37 @@
 
 #[test]
 fn a_killed_gateway_is_dead_to_all_members_and_its_next_process_alive() {
-    let mut fleet = Fleet::start(PROGRAM, 8, 11);
-    fleet.joined();
-    fleet.gateways[5] = None;
-    fleet.wait_until_held(&[5], "dead");
-    fleet.begin(5);
-    fleet.joined();
+    let mut cluster = GatewayCluster::start(PROGRAM, 8, 11);
+    cluster.wait_until_joined();
+    cluster.gateways[5] = None;
+    cluster.wait_until_held(&[5], "dead");
+    cluster.start_gateway(5);
+    cluster.wait_until_joined();
     // On SIGTERM it says itself that it leaves: no member has to find it silent.
-    fleet.gateway(3).signal("-TERM");
-    fleet.gateway(3).log.wait_for("shutdown complete");
-    fleet.gateways[3] = None;
-    fleet.wait_until_held(&[3], "left");
-    for by in fleet.up() {
-        assert_eq!(fleet.gateway(by).log.count("name: n03, state: dead"), 0, "{} found it silent", name(by));
+    cluster.gateway(3).signal("-TERM");
+    cluster.gateway(3).log.wait_for("shutdown complete");
+    cluster.gateways[3] = None;
+    cluster.wait_until_held(&[3], "left");
+    for by in cluster.running() {
+        assert_eq!(
+            cluster.gateway(by).log.count("name: n03, state: dead"),
+            0,
+            "{} found it silent",
+            gateway_name(by)
+        );
     }
 }
 
 #[test]
 fn a_gateway_stalled_for_some_periods_declares_no_member_dead_and_is_alive_again() {
-    let fleet = Fleet::start(PROGRAM, 6, 12);
-    fleet.joined();
-    fleet.gateway(2).stop();
-    wait_until_past("five periods", PERIOD * 5);
-    fleet.gateway(2).signal("-CONT");
-    fleet.until_passed(400);
-    assert_eq!(fleet.gateway(2).log.count(", state: dead"), 0, "it declared others dead");
-    fleet.joined();
+    let cluster = GatewayCluster::start(PROGRAM, 6, 12);
+    cluster.wait_until_joined();
+    cluster.gateway(2).suspend();
+    wait_until_past("five periods", PROTOCOL_PERIOD * 5);
+    cluster.gateway(2).resume();
+    cluster.wait_for_datagrams(400);
+    assert_eq!(cluster.gateway(2).log.count(", state: dead"), 0, "it declared others dead");
+    cluster.wait_until_joined();
 }
 
 #[test]
@@ -54,11 +61,11 @@
     let cases =
         [Case { gateways: 8, partitions: 2, seed: 13 }, Case { gateways: 12, partitions: 3, seed: 17 }];
     for Case { gateways, partitions, seed } in cases {
-        let fleet = Fleet::start(PROGRAM, gateways, seed);
-        fleet.joined();
-        fleet.net.set(|a, b| a % partitions != b % partitions, Link { cut: true, ..SOUND });
+        let cluster = GatewayCluster::start(PROGRAM, gateways, seed);
+        cluster.wait_until_joined();
+        cluster.network.set_links(|a, b| a % partitions != b % partitions, Link::CUT);
         wait_for("each partition to declare the others dead", || {
-            let is_dead = |by: usize, of: usize| fleet.held(by, of).as_deref() == Some("dead");
+            let is_dead = |by: usize, of: usize| cluster.member_state(by, of).as_deref() == Some("dead");
             let all_others_dead = |by: usize| {
                 let mut others = (0..gateways).filter(|of| of % partitions != by % partitions);
                 others.all(|of| is_dead(by, of))
@@ -66,10 +73,10 @@
             (0..gateways).all(all_others_dead).then_some(())
         });
         // A file that is reloaded meanwhile changes the seeds, and keeps the members that are known.
-        fleet.gateway(0).reload_site(&gateways_table(&fleet.net, 0, 0, &[1, 3]));
-        fleet.gateway(0).log.wait_for("configuration reloaded");
-        fleet.net.heal();
-        fleet.joined();
+        cluster.gateway(0).reload_operator_config(&MembershipConfig::of(0, &[1, 3]).table(&cluster.network));
+        cluster.gateway(0).log.wait_for("configuration reloaded");
+        cluster.network.heal();
+        cluster.wait_until_joined();
     }
 }
 
@@ -77,90 +84,90 @@
 /// slow start what all gateways together may send it.
 #[test]
 fn the_gateway_count_follows_members_that_are_alive_and_keeps_those_out_of_reach() {
-    let mut fleet = Fleet::start(PROGRAM, 6, 21);
-    fleet.joined();
-    let counted = |fleet: &Fleet, by: usize| {
-        let line = fleet.gateway(by).log.last("gateways counted, count: ")?;
+    let mut cluster = GatewayCluster::start(PROGRAM, 6, 21);
+    cluster.wait_until_joined();
+    let counted = |cluster: &GatewayCluster, by: usize| {
+        let line = cluster.gateway(by).log.last("gateways counted, count: ")?;
         line.split("count: ").nth(1)?.split(',').next()?.parse::<usize>().ok()
     };
-    wait_for("all six to count", || (0..6).all(|i| counted(&fleet, i) == Some(6)).then_some(()));
+    wait_for("all six to count", || (0..6).all(|i| counted(&cluster, i) == Some(6)).then_some(()));
     // Cut off, it declares all others dead in the end, and still counts them; they go on without it.
-    fleet.net.set(|a, b| (a == 5) != (b == 5), Link { cut: true, ..SOUND });
-    wait_for("the others to count five", || (0..5).all(|i| counted(&fleet, i) == Some(5)).then_some(()));
-    assert_eq!(counted(&fleet, 5), Some(6));
-    fleet.net.heal();
-    wait_for("all six again", || (0..6).all(|i| counted(&fleet, i) == Some(6)).then_some(()));
+    cluster.network.set_links(|a, b| (a == 5) != (b == 5), Link::CUT);
+    wait_for("the others to count five", || (0..5).all(|i| counted(&cluster, i) == Some(5)).then_some(()));
+    assert_eq!(counted(&cluster, 5), Some(6));
+    cluster.network.heal();
+    wait_for("all six again", || (0..6).all(|i| counted(&cluster, i) == Some(6)).then_some(()));
     // Two that die are not counted in the end. If more than half died, they might as well be the larger side of a
     // partition.
-    fleet.gateways[4] = None;
-    fleet.gateways[5] = None;
-    wait_for("four to count", || (0..4).all(|i| counted(&fleet, i) == Some(4)).then_some(()));
+    cluster.gateways[4] = None;
+    cluster.gateways[5] = None;
+    wait_for("four to count", || (0..4).all(|i| counted(&cluster, i) == Some(4)).then_some(()));
 }
 
 /// A gateway that gets a fifth of its core, in slices, answers late, is perhaps suspected, and refutes that.
 #[test]
 fn a_gateway_short_of_processor_time_is_not_declared_dead() {
-    let fleet = Fleet::start(PROGRAM, 6, 22);
-    fleet.joined();
+    let cluster = GatewayCluster::start(PROGRAM, 6, 22);
+    cluster.wait_until_joined();
     let from = Instant::now();
-    while from.elapsed() < PERIOD * 25 {
-        fleet.gateway(4).stop();
+    while from.elapsed() < PROTOCOL_PERIOD * 25 {
+        cluster.gateway(4).suspend();
         wait_until_past("a slice", Duration::from_millis(120));
-        fleet.gateway(4).signal("-CONT");
+        cluster.gateway(4).resume();
         wait_until_past("a slice", Duration::from_millis(30));
     }
-    assert_eq!(fleet.deaths(), 0, "seed 22");
-    fleet.joined();
+    assert_eq!(cluster.death_count(), 0, "seed 22");
+    cluster.wait_until_joined();
 }
 
 #[test]
 fn a_flapping_link_has_no_member_declared_dead() {
-    let fleet = Fleet::start(PROGRAM, 6, 18);
-    fleet.joined();
+    let cluster = GatewayCluster::start(PROGRAM, 6, 18);
+    cluster.wait_until_joined();
     for flap in 0..24 {
-        let link = Link { cut: flap % 2 == 0, ..SOUND };
-        fleet.net.set(|a, b| (a == 2) != (b == 2), link);
-        wait_until_past("half a period", PERIOD / 2);
+        let link = Link { cut: flap % 2 == 0, ..Link::HEALTHY };
+        cluster.network.set_links(|a, b| (a == 2) != (b == 2), link);
+        wait_until_past("half a period", PROTOCOL_PERIOD / 2);
     }
-    fleet.net.heal();
-    assert_eq!(fleet.deaths(), 0, "seed 18");
-    fleet.joined();
+    cluster.network.heal();
+    assert_eq!(cluster.death_count(), 0, "seed 18");
+    cluster.wait_until_joined();
 }
 
 #[test]
 fn members_agree_after_most_of_a_fleet_is_killed_at_once_and_started_again() {
-    let mut fleet = Fleet::start(PROGRAM, 12, 19);
-    fleet.joined();
+    let mut cluster = GatewayCluster::start(PROGRAM, 12, 19);
+    cluster.wait_until_joined();
     let killed: Vec<usize> = (0..8).collect();
-    killed.iter().for_each(|i| fleet.gateways[*i] = None);
+    killed.iter().for_each(|i| cluster.gateways[*i] = None);
     // Both seeds are among them: those that stay try the dead at their addresses, and are found so.
-    killed.iter().skip(2).for_each(|i| fleet.begin(*i));
+    killed.iter().skip(2).for_each(|i| cluster.start_gateway(*i));
     let back: Vec<usize> = (2..12).collect();
-    fleet.wait_until_held(&back, "alive");
-    fleet.wait_until_held(&[0, 1], "dead");
-    killed.iter().take(2).for_each(|i| fleet.begin(*i));
-    fleet.joined();
+    cluster.wait_until_held(&back, "alive");
+    cluster.wait_until_held(&[0, 1], "dead");
+    killed.iter().take(2).for_each(|i| cluster.start_gateway(*i));
+    cluster.wait_until_joined();
 }
 
 #[test]
 fn a_restart_is_a_new_generation_and_of_two_processes_with_one_name_the_later_keeps_it() {
-    let mut fleet = Fleet::start(PROGRAM, 6, 20);
-    fleet.joined();
-    let generation = |fleet: &Fleet, by: usize| {
-        let line = fleet.gateway(by).log.last("member changed, name: n04, state: alive")?;
+    let mut cluster = GatewayCluster::start(PROGRAM, 6, 20);
+    cluster.wait_until_joined();
+    let generation = |cluster: &GatewayCluster, by: usize| {
+        let line = cluster.gateway(by).log.last("member changed, name: n04, state: alive")?;
         line.split("generation: ").nth(1)?.split(',').next()?.parse::<u64>().ok()
     };
-    let before = generation(&fleet, 0).unwrap();
-    fleet.begin(4);
+    let before = generation(&cluster, 0).unwrap();
+    cluster.start_gateway(4);
     wait_for("the next generation to be known to all", || {
-        let newer = |by: usize| generation(&fleet, by).is_some_and(|g| g > before);
+        let newer = |by: usize| generation(&cluster, by).is_some_and(|g| g > before);
         [0, 1, 2, 3, 5].into_iter().all(newer).then_some(())
     });
     // A second process under that name, at another address of the net.
-    fleet.gateways[5] = None;
-    fleet.begin_as(5, 4);
-    fleet.gateway(4).log.wait_for("another process has this name");
-    assert_eq!(fleet.gateway(5).log.count("another process has this name"), 0);
+    cluster.gateways[5] = None;
+    cluster.start_gateway_named(5, 4);
+    cluster.gateway(4).log.wait_for("another process has this name");
+    assert_eq!(cluster.gateway(5).log.count("another process has this name"), 0);
 }
 
 #[test]
@@ -172,40 +179,40 @@
         datagrams: u64,
         seed: u64,
     }
-    let lossy = Link { loses: 0.5, doubles: 0.2, delays: Duration::from_millis(25), ..SOUND };
-    let cut = Link { cut: true, ..SOUND };
+    let lossy = Link { loss: 0.5, duplication: 0.2, max_delay: Duration::from_millis(25), ..Link::HEALTHY };
+    let cut = Link::CUT;
     let cases = [
         Case { is_affected: |_, _| true, link: lossy, gateways: 8, datagrams: 2_500, seed: 14 },
         Case { is_affected: |a, b| (a, b) == (1, 4), link: cut, gateways: 6, datagrams: 1_500, seed: 15 },
     ];
     for Case { is_affected, link, gateways, datagrams, seed } in cases {
-        let fleet = Fleet::start(PROGRAM, gateways, seed);
-        fleet.joined();
-        fleet.net.set(is_affected, link);
-        fleet.until_passed(datagrams);
-        assert_eq!(fleet.deaths(), 0, "seed {seed}");
-        fleet.net.heal();
-        fleet.joined();
+        let cluster = GatewayCluster::start(PROGRAM, gateways, seed);
+        cluster.wait_until_joined();
+        cluster.network.set_links(is_affected, link);
+        cluster.wait_for_datagrams(datagrams);
+        assert_eq!(cluster.death_count(), 0, "seed {seed}");
+        cluster.network.heal();
+        cluster.wait_until_joined();
     }
 }
 
 #[test]
 fn corrupt_datagrams_from_unknown_senders_change_nothing() {
-    let fleet = Fleet::start(PROGRAM, 3, 16);
-    fleet.joined();
+    let cluster = GatewayCluster::start(PROGRAM, 3, 16);
+    cluster.wait_until_joined();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for n in 0..20_000_u32 {
         let bytes = [1, n as u8, (n >> 8) as u8, 7, 7, 7];
-        stranger.send_to(&bytes[..usize::from(bytes[1]) % 6], fleet.net.home(1)).unwrap();
+        stranger.send_to(&bytes[..usize::from(bytes[1]) % 6], cluster.network.bind_address(1)).unwrap();
     }
-    let before = fleet.net.passed();
-    wait_for("the others to go on", || (fleet.net.passed() > before + 100).then_some(()));
-    fleet.gateway(1).signal("-USR1");
-    let counters = fleet.gateway(1).log.wait_for("membership counters");
+    let before = cluster.network.delivered();
+    wait_for("the others to go on", || (cluster.network.delivered() > before + 100).then_some(()));
+    cluster.gateway(1).signal("-USR1");
+    let counters = cluster.gateway(1).log.wait_for("membership counters");
     let corrupt = counters.split("corrupt: ").nth(1).unwrap().split(',').next().unwrap();
     assert!(corrupt.parse::<u64>().unwrap() > 0, "{counters}");
-    fleet.gateway(1).log.wait_for("member, ");
-    fleet.joined();
+    cluster.gateway(1).log.wait_for("member, ");
+    cluster.wait_until_joined();
 }
 
 /// A command that asks a running gateway. Scripts of operators call it by the name of earlier versions and read its columns.
@@ -239,22 +246,22 @@
 ];
 
 /// Runs the program with the files of a gateway.
-fn ask(gateway: &Gateway, verb: &str, with_operator_config: bool) -> Output {
+fn ask(gateway: &GatewayProcess, verb: &str, with_operator_config: bool) -> Output {
     let mut command = Command::new(PROGRAM);
-    command.arg(verb).arg("--config").arg(&gateway.file);
+    command.arg(verb).arg("--config").arg(&gateway.config_file);
     if with_operator_config {
-        command.arg("--site").arg(&gateway.site_file);
+        command.arg("--site").arg(&gateway.operator_file);
     }
     command.output().unwrap()
 }
 
 #[test]
 fn status_commands_answer_alike_by_their_new_and_their_former_names() {
-    let fleet = Fleet::start(PROGRAM, 3, 23);
-    fleet.joined();
+    let cluster = GatewayCluster::start(PROGRAM, 3, 23);
+    cluster.wait_until_joined();
     for StatusCommand { verb, former_verb, columns, rows } in STATUS_COMMANDS {
         for verb in [verb, former_verb] {
-            let answered = ask(fleet.gateway(0), verb, true);
+            let answered = ask(cluster.gateway(0), verb, true);
             assert_eq!(answered.status.code(), Some(0), "{verb}: {answered:?}");
             let table = String::from_utf8(answered.stdout).unwrap();
             let words: Vec<&str> = table.lines().next().unwrap().split_whitespace().collect();
@@ -266,8 +273,8 @@
 
 #[test]
 fn status_commands_fail_alike_by_their_new_and_their_former_names() {
-    let fleet = Fleet::start(PROGRAM, 1, 24);
-    let gateway = fleet.gateway(0);
+    let cluster = GatewayCluster::start(PROGRAM, 1, 24);
+    let gateway = cluster.gateway(0);
     gateway.signal("-KILL");
     thread::scope(|scope| {
         for verb in STATUS_COMMANDS.iter().flat_map(|command| [command.verb, command.former_verb]) {
--- a/crates/gateway/tests/gateway/codecs/discovery.rs
+++ b/crates/gateway/tests/gateway/codecs/discovery.rs
@@ -5,7 +5,7 @@
     EndpointEntry, Frame, Known, WatchEvent, decode, encode_watch, known_events,
 };
 use larchfall_policy::interface::EngineState;
-use larchfall_stub::discovery::{Listed, frame};
+use larchfall_stub::discovery::{Endpoint, frame};
 
 fn names() -> Names {
     let list = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
@@ -15,7 +15,7 @@
 #[test]
 fn discovery_frames_and_known_lists_say_the_same() {
     let listed =
-        |id, state| Listed { id, address: "10.1.0.9:7001".parse().unwrap(), state, zone: 1, kind: 0 };
+        |id, state| Endpoint { id, address: "10.1.0.9:7001".parse().unwrap(), state, zone: 1, kind: 0 };
     let input = frame(41, true, &[listed(0x00c4_1f7a, 0), listed(2, 1), listed(3, 2)]);
     for cut in 0..input.len() {
         assert_eq!(decode(&input[..cut]), Ok(None), "cut at {cut}");
@@ -44,7 +44,7 @@
     let mut state = frame(
         1,
         true,
-        &[Listed { id: 1, address: "10.0.0.1:1".parse().unwrap(), state: 7, zone: 0, kind: 0 }],
+        &[Endpoint { id: 1, address: "10.0.0.1:1".parse().unwrap(), state: 7, zone: 0, kind: 0 }],
     );
     assert!(decode(&state).is_err());
     state[23] = 0;
--- a/crates/gateway/tests/gateway/combined_faults.rs
+++ b/crates/gateway/tests/gateway/combined_faults.rs
@@ -3,12 +3,12 @@
 //! log of what really ran; the seed of a run stands in each failure.
 
 use crate::common::{Gateway, config_of, settings, site, wait_for};
-use larchfall_fault_tests::audit::{End, RetryBudget, Run, Sent};
+use larchfall_fault_tests::audit::{DrainAnnouncement, Outcome, RetryBudget, RunRecord, SentRequest};
 use larchfall_paged_rest::document::Document;
 use larchfall_stub::client::{Answer, Client};
-use larchfall_stub::discovery::{Discovery, Listed, frame};
-use larchfall_stub::hall::{Fate, Hall, Ledger};
+use larchfall_stub::discovery::{Discovery, Endpoint, frame};
 use larchfall_stub::rest::{Answer as RestAnswer, RestClient, path};
+use larchfall_stub::stub_engines::{AuditLog, StatementOutcome, StubEngines};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -31,33 +31,36 @@
 /// What clients sent and how it ended.
 #[derive(Default)]
 struct Clients {
-    sent: Mutex<HashMap<String, Sent>>,
+    sent: Mutex<HashMap<String, SentRequest>>,
     flood: Mutex<usize>,
 }
 
 impl Clients {
     fn record_sent(&self, id: &str, class: &'static str) {
-        let sent = Sent { gateway: 0, class, at: Instant::now(), ends: Vec::new() };
+        let sent = SentRequest { process: 0, class, at: Instant::now(), outcomes: Vec::new() };
         self.sent.lock().unwrap().insert(id.to_owned(), sent);
     }
 
-    fn record_end(&self, id: &str, end: End) {
-        self.sent.lock().unwrap().get_mut(id).unwrap().ends.push(end);
+    fn record_end(&self, id: &str, end: Outcome) {
+        self.sent.lock().unwrap().get_mut(id).unwrap().outcomes.push(end);
     }
 }
 
-fn fate(chance: &Mutex<WyRand>, statement: &str) -> Fate {
+fn fate(chance: &Mutex<WyRand>, statement: &str) -> StatementOutcome {
     let mut chance = chance.lock().unwrap();
     let ms = |chance: &mut WyRand, from, to| Duration::from_millis(chance.generate_range(from..to));
     if statement == "flood" {
-        return Fate::Errs(ms(&mut chance, 5, 20));
+        return StatementOutcome::Fails(ms(&mut chance, 5, 20));
     }
     match chance.generate_range(0..100_u32) {
-        0..12 => Fate::Errs(ms(&mut chance, 1, 30)),
-        12..20 => Fate::Declined,
-        20..30 => Fate::CutAndLate(ms(&mut chance, 20, 140), ms(&mut chance, 100, 900)),
-        30..35 => Fate::Runs(Duration::from_secs(60)),
-        _ => Fate::Runs(ms(&mut chance, 5, 60)),
+        0..12 => StatementOutcome::Fails(ms(&mut chance, 1, 30)),
+        12..20 => StatementOutcome::Declined,
+        20..30 => {
+            let delay = ms(&mut chance, 20, 140);
+            StatementOutcome::StartsAfterCut { delay, takes: ms(&mut chance, 100, 900) }
+        }
+        30..35 => StatementOutcome::Succeeds(Duration::from_secs(60)),
+        _ => StatementOutcome::Succeeds(ms(&mut chance, 5, 60)),
     }
 }
 
@@ -116,7 +119,7 @@
         match chance.generate_range(0..40_u32) {
             0 => {
                 // A client that disconnects, with all that it has open.
-                open.values().for_each(|id| clients.record_end(id, End::Left));
+                open.values().for_each(|id| clients.record_end(id, Outcome::Abandoned));
                 open.clear();
                 client = Client::connect(gateway).unwrap();
                 continue;
@@ -124,7 +127,7 @@
             1..4 => {
                 let (message, id) = open.pop_first().unwrap();
                 client.abort(message).unwrap();
-                clients.record_end(&id, End::Left);
+                clients.record_end(&id, Outcome::Abandoned);
                 continue;
             }
             _ => {}
@@ -175,30 +178,30 @@
     first: RestAnswer,
     chance: &mut WyRand,
     seed: u64,
-) -> End {
+) -> Outcome {
     let mut answer = first;
     loop {
         if answer.status == 429 {
-            return End::PushedBack;
+            return Outcome::Rejected;
         }
         assert_eq!(answer.status, 200, "seed {seed}: {}", String::from_utf8_lossy(&answer.body));
         let document: Document = serde_json::from_slice(&answer.body).unwrap();
         let Some(next) = document.next_uri else {
             return match document.error {
-                Some(error) if error.error_name == "QUERY_QUEUE_FULL" => End::PushedBack,
-                Some(error) => End::Errored(error.error_name),
-                None => End::Returned,
+                Some(error) if error.error_name == "QUERY_QUEUE_FULL" => Outcome::Rejected,
+                Some(error) => Outcome::Errored(error.error_name),
+                None => Outcome::Returned,
             };
         };
         match chance.generate_range(0..30_u32) {
             0 => {
                 // Its result is kept for a while, and abandoned then.
                 *client = RestClient::connect(gateway).unwrap();
-                return End::Left;
+                return Outcome::Abandoned;
             }
             1 => {
                 assert_eq!(client.call("DELETE", path(&next), &[], b"").unwrap().status, 204);
-                return End::Left;
+                return Outcome::Abandoned;
             }
             _ => answer = client.call("GET", path(&next), &[], b"").unwrap(),
         }
@@ -237,13 +240,13 @@
 const READY: u8 = 0;
 const DRAINING: u8 = 1;
 
-fn send_list(discovery: &Discovery, hall: &Hall, entries: &[Entry], number: u64) {
-    let listed: Vec<Listed> = entries
+fn send_list(discovery: &Discovery, stub_engines: &StubEngines, entries: &[Entry], number: u64) {
+    let listed: Vec<Endpoint> = entries
         .iter()
         .enumerate()
-        .map(|(i, entry)| Listed {
+        .map(|(i, entry)| Endpoint {
             id: entry.id,
-            address: hall.address(i),
+            address: stub_engines.address(i),
             state: entry.state,
             zone: 0,
             kind: 0,
@@ -254,7 +257,11 @@
 
 /// One engine after the other drains and closes while it runs on what it has, and another listens at its address.
 /// Returns which process drained when.
-fn replace_engines(hall: &mut Hall, discovery: &Discovery, until: Instant) -> Vec<(usize, Instant)> {
+fn replace_engines(
+    stub_engines: &mut StubEngines,
+    discovery: &Discovery,
+    until: Instant,
+) -> Vec<DrainAnnouncement> {
     let mut event = 1;
     let mut entries: Vec<Entry> =
         (0..ENGINES).map(|i| Entry { id: i as u32 + 1, state: READY, process: i }).collect();
@@ -266,37 +273,45 @@
         let i = round % ENGINES;
         entries[i].state = DRAINING;
         event += 1;
-        send_list(discovery, hall, &entries, event);
-        drained.push((entries[i].process, Instant::now()));
+        send_list(discovery, stub_engines, &entries, event);
+        drained.push(DrainAnnouncement { process: entries[i].process, at: Instant::now() });
         thread::sleep(Duration::from_millis(300));
-        hall.close(i);
+        stub_engines.close(i);
         thread::sleep(Duration::from_millis(200));
         let id = (ENGINES + round + 1) as u32;
-        entries[i] = Entry { id, state: READY, process: hall.open(i) };
+        entries[i] = Entry { id, state: READY, process: stub_engines.open(i) };
         thread::sleep(Duration::from_millis(200));
         event += 1;
-        send_list(discovery, hall, &entries, event);
+        send_list(discovery, stub_engines, &entries, event);
         thread::sleep(Duration::from_millis(300));
     }
     drained
 }
 
-fn check_rules(seed: u64, ledger: &Ledger, clients: &Clients, drained: &[(usize, Instant)]) {
+fn check_rules(seed: u64, audit_log: &AuditLog, clients: &Clients, drained: &[DrainAnnouncement]) {
     let sent = clients.sent.lock().unwrap();
     let retry_budget =
         RetryBudget { free: FREE_RETRIES, per_request: RETRIES_PER_REQUEST, window: RETRY_WINDOW };
-    let (faults, tried) =
-        Run { ledger, sent: &sent, drained, unheard: &[], stood: &[], grace: DRAIN_GRACE, retry_budget }
-            .faults();
-    assert_eq!(faults, [""; 0], "seed {seed}");
+    let report = RunRecord {
+        audit_log,
+        sent: &sent,
+        drained,
+        outages: &[],
+        stalls: &[],
+        drain_grace: DRAIN_GRACE,
+        retry_budget,
+    }
+    .audit();
+    let coverage = report.coverage;
+    assert_eq!(report.violations, [""; 0], "seed {seed}");
     println!(
-        "seed {seed}: {} requests, {} of the flood, {} statements ran, {tried:?}",
+        "seed {seed}: {} requests, {} of the flood, {} statements ran, {coverage:?}",
         sent.len(),
         clients.flood.lock().unwrap(),
-        ledger.ran.len()
+        audit_log.executions.len()
     );
     assert!(
-        sent.len() > 100 && tried.further > 0 && tried.longest_key > 5,
+        sent.len() > 100 && coverage.retries > 0 && coverage.longest_key > 5,
         "seed {seed}: too little happened"
     );
 }
@@ -305,9 +320,9 @@
     let chance = Mutex::new(WyRand::new_seed(seed));
     let at: Vec<String> = (0..ENGINES).map(|i| format!("127.0.{}.{}:0", 10 + seed % 200, 1 + i)).collect();
     let at: Vec<&str> = at.iter().map(String::as_str).collect();
-    let mut hall = Hall::start(&at, move |_, statement| fate(&chance, statement)).unwrap();
+    let mut stub_engines = StubEngines::start(&at, move |_, statement| fate(&chance, statement)).unwrap();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let engines: Vec<SocketAddr> = (0..ENGINES).map(|i| hall.address(i)).collect();
+    let engines: Vec<SocketAddr> = (0..ENGINES).map(|i| stub_engines.address(i)).collect();
     let retry_budget = r#""safety":{"budget_free":2.0,"extra_per_request":0.1,"extra_window":10000000,"#;
     let settings = settings().replace(r#""safety":{"#, retry_budget);
     let text = config_of("127.0.0.1:0", discovery.address, &engines, 512, &settings);
@@ -330,11 +345,11 @@
         let (over, clients, to) = (over.clone(), clients.clone(), gateway.address);
         threads.push(thread::spawn(move || flooding_client(to, &over, &clients)));
     }
-    let drained = replace_engines(&mut hall, &discovery, Instant::now() + RUN_TIME);
+    let drained = replace_engines(&mut stub_engines, &discovery, Instant::now() + RUN_TIME);
     over.store(true, Ordering::Relaxed);
     threads.into_iter().for_each(|t| t.join().unwrap());
-    wait_for("all to be over at the engines", || (hall.running() == 0).then_some(()));
-    check_rules(seed, &hall.ledger(), &clients, &drained);
+    wait_for("all to be over at the engines", || (stub_engines.running() == 0).then_some(()));
+    check_rules(seed, &stub_engines.audit_log(), &clients, &drained);
 }
 
 #[test]
--- a/crates/gateway/tests/gateway/common.rs
+++ b/crates/gateway/tests/gateway/common.rs
@@ -1,6 +1,6 @@
 //! One gateway as a program of its own, with toy engines and a toy discovery service around it.
 
-use larchfall_fault_tests::process;
+use larchfall_fault_tests::gateway_process::{GatewayFiles, GatewayProcess, address_in};
 use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::Engine;
 use socket2::{Domain, Socket, Type};
@@ -8,21 +8,24 @@
 use std::ops::{Deref, DerefMut};
 use std::time::Duration;
 
-pub(crate) use larchfall_fault_tests::process::{config, config_of, settings, site, wait_for};
+pub(crate) use larchfall_fault_tests::gateway_config::{
+    config, config_of, operator_config as site, settings,
+};
+pub(crate) use larchfall_fault_tests::wait::wait_for;
 
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall");
 
-pub(crate) struct Gateway(process::Gateway);
+pub(crate) struct Gateway(GatewayProcess);
 
 impl Deref for Gateway {
-    type Target = process::Gateway;
-    fn deref(&self) -> &process::Gateway {
+    type Target = GatewayProcess;
+    fn deref(&self) -> &GatewayProcess {
         &self.0
     }
 }
 
 impl DerefMut for Gateway {
-    fn deref_mut(&mut self) -> &mut process::Gateway {
+    fn deref_mut(&mut self) -> &mut GatewayProcess {
         &mut self.0
     }
 }
@@ -50,8 +53,9 @@
 
     /// With the operator's own settings beside the configuration, and the paged protocol among them.
     pub(crate) fn start_site(discovery: Discovery, text: &str, site: Option<&str>) -> Gateway {
-        let mut gateway = process::Gateway::start(PROGRAM, discovery, text, site, &[]);
-        gateway.rest = site.map(|_| process::address_in(&gateway.log.wait_for("listening for paged REST,")));
+        let files = GatewayFiles { config: text, operator_config: site, environment: &[] };
+        let mut gateway = GatewayProcess::start(PROGRAM, discovery, &files);
+        gateway.rest = site.map(|_| address_in(&gateway.log.wait_for("listening for paged REST,")));
         Gateway(gateway)
     }
 }
--- a/crates/gateway/tests/gateway/protocol_cost.rs
+++ b/crates/gateway/tests/gateway/protocol_cost.rs
@@ -46,7 +46,7 @@
 fn cost_per_call(gateway: &Gateway, mut call: impl FnMut(usize)) -> Cost {
     const WARM_UP_CALLS: usize = 200;
     (0..WARM_UP_CALLS).for_each(&mut call);
-    let cpu_before = gateway.used().0;
+    let cpu_before = gateway.resource_use().cpu_time;
     let mut latencies: Vec<Duration> = (WARM_UP_CALLS..WARM_UP_CALLS + REQUESTS)
         .map(|n| {
             let began = Instant::now();
@@ -55,7 +55,10 @@
         })
         .collect();
     latencies.sort();
-    Cost { cpu: (gateway.used().0 - cpu_before) / REQUESTS as u32, latency: latencies[REQUESTS / 2] }
+    Cost {
+        cpu: (gateway.resource_use().cpu_time - cpu_before) / REQUESTS as u32,
+        latency: latencies[REQUESTS / 2],
+    }
 }
 
 fn message_pack_cost(gateway: &Gateway) -> Cost {
@@ -89,7 +92,7 @@
 
 /// The memory that an open result takes.
 fn bytes_per_open_result(gateway: &Gateway, client: &mut RestClient) -> usize {
-    let before = gateway.used().1;
+    let before = gateway.resource_use().memory_bytes;
     let open: Vec<Document> = (0..REQUESTS)
         .map(|_| {
             let answer = client.call("POST", "/v1/statement", &HEAD, b"many").unwrap();
@@ -97,7 +100,7 @@
         })
         .collect();
     assert!(open.iter().all(|document| document.next_uri.is_some()), "all are open");
-    (gateway.used().1 - before) / REQUESTS
+    (gateway.resource_use().memory_bytes - before) / REQUESTS
 }
 
 #[test]
--- a/crates/gateway/tests/gateway/races.rs
+++ b/crates/gateway/tests/gateway/races.rs
@@ -3,9 +3,9 @@
 
 use crate::common::{Full, Gateway, PROGRAM, config, config_of, settings, wait_for};
 use crate::scripted_engine::{ScriptedEngine, read_call, reply, result_reply};
-use larchfall_fault_tests::relay::{Relays, Way};
+use larchfall_fault_tests::proxy::{Proxies, ProxyMode};
 use larchfall_stub::client::{Answer, Client, request};
-use larchfall_stub::discovery::Discovery;
+use larchfall_stub::discovery::{Discovery, Endpoint};
 use larchfall_stub::engine::{Act, Engine};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -138,7 +138,7 @@
     let began = Instant::now();
     assert!(read_call(&mut BufReader::new(held.try_clone().unwrap())).is_some());
     // The other one joins before the first one dies with the call in its hands.
-    gateway.list(2, &[(1, at_first, 0), (2, second.address(), 0)]);
+    gateway.list(2, &[Endpoint::ready(1, at_first), Endpoint::ready(2, second.address())]);
     wait_for("the gateway to apply it", || {
         gateway.signal("-USR1");
         gateway.log.last("discovery_events: ")?.contains("discovery_events: 2,").then_some(())
@@ -163,7 +163,7 @@
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
     // The connection to the engine is at hand by then: nothing holds a call back.
     thread::sleep(Duration::from_millis(100));
-    gateway.stop();
+    gateway.suspend();
     let stopped = Instant::now();
     let mut much = gateway.client();
     for n in 0..200 {
@@ -172,7 +172,7 @@
     drop(much);
     // As after a stall: between two reads of one connection others have their turn.
     wait_for("it to have stood still", || (stopped.elapsed() > Duration::from_millis(400)).then_some(()));
-    gateway.signal("-CONT");
+    gateway.resume();
     gateway.log.wait_for("client connection ended");
     client.send("look", &fields(NEXT, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
@@ -345,8 +345,8 @@
     let bytes = bytes_of(1, &fields(ID, "20000"), "");
     client.raw(&bytes[..9]).unwrap();
     // A file that nobody writes: whoever reads it waits.
-    std::fs::remove_file(&gateway.file).unwrap();
-    assert!(Command::new("mkfifo").arg(&gateway.file).status().unwrap().success());
+    std::fs::remove_file(&gateway.config_file).unwrap();
+    assert!(Command::new("mkfifo").arg(&gateway.config_file).status().unwrap().success());
     gateway.signal("-HUP");
     gateway.signal("-TERM");
     gateway.log.wait_for("shutdown requested");
@@ -354,7 +354,7 @@
     client.raw(&bytes[9..]).unwrap();
     assert_eq!(client.answer().unwrap(), (1, rows("ok\n")));
     assert!(client.is_ended());
-    assert!(gateway.ended().success());
+    assert!(gateway.wait_for_exit().success());
 }
 
 /// Guards against idle clients that take the descriptors that connections to discovery and engines need.
@@ -364,14 +364,14 @@
         || Engine::start("127.0.0.1:0", |_| Act::Serve(Duration::ZERO, vec![b"ok\n".to_vec()])).unwrap();
     let (old, new) = (serves(), serves());
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let way = Relays::start(1, &[discovery.address]).unwrap();
+    let way = Proxies::start(1, &[discovery.address]).unwrap();
     // Of 64 descriptors 16 are for clients.
     let text = config_of("127.0.0.1:0", way.address(0, 0), &[old.address], 64, &settings());
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
-    way.set(|_, _| true, Way::Cut);
+    way.set_mode(|_, _| true, ProxyMode::Cut);
     gateway.log.wait_for("discovery connection ended");
     // More than it has descriptors for, and as many as it takes say something.
     let mut idle: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
@@ -380,8 +380,8 @@
         gateway.signal("-USR1");
         gateway.log.last("most_clients: ")?.contains("most_clients: 16,").then_some(())
     });
-    gateway.list(2, &[(2, new.address, 0)]);
-    way.set(|_, _| true, Way::Sound);
+    gateway.list(2, &[Endpoint::ready(2, new.address)]);
+    way.set_mode(|_, _| true, ProxyMode::Forward);
     wait_for("the discovery event to be applied", || {
         let mut client = gateway.client();
         client.send("look", &fields(NEXT, "20000"), "").ok()?;
--- a/crates/gateway/tests/gateway/rest.rs
+++ b/crates/gateway/tests/gateway/rest.rs
@@ -191,7 +191,7 @@
         [(&slow, 0, false), (&slow, 1, true), (&many, 0, false), (&many, 2, false), (&many, 1, true)]
     {
         let gateway = gateway(Some(engine.address));
-        let given_up = engine.seen().given_up.len();
+        let given_up = engine.seen().cancelled.len();
         let mut client = gateway.rest_client();
         let mut last = document(&post(&mut client, "once", "select 1"));
         for _ in 0..reads {
@@ -205,7 +205,7 @@
         } else {
             drop(client);
         }
-        until_seen(engine, "the query to be given up", |s| s.given_up.len() > given_up);
+        until_seen(engine, "the query to be given up", |s| s.cancelled.len() > given_up);
         let answer = gateway.rest_client().call("GET", path(&next), &[], b"").unwrap();
         assert_eq!(answer.status, 410, "its pages are gone");
         wait_for("the end to be counted", || {
@@ -334,10 +334,10 @@
     let presto = [("X-Presto-User", "acme"), ("X-Presto-Source", "look")];
     let mut status = || client.call("POST", "/v1/statement", &presto, b"select 1").unwrap().status;
     assert_eq!(status(), 400);
-    gateway.reload_site(&site(&REST.replace("poll-ms = 200", "poll-ms = 200000")));
+    gateway.reload_operator_config(&site(&REST.replace("poll-ms = 200", "poll-ms = 200000")));
     gateway.log.wait_for("line 8: rest.poll-ms: 200000 ms is not within 1 to 60000");
     assert_eq!(status(), 400, "as before");
-    gateway.reload_site(&site(&format!("headers = \"presto\"\n{REST}")));
+    gateway.reload_operator_config(&site(&format!("headers = \"presto\"\n{REST}")));
     gateway.log.wait_for("configuration reloaded");
     wait_for("the other headers", || (status() == 200).then_some(()));
 }
@@ -354,6 +354,6 @@
     assert_eq!((refused.status, refused.field("retry-after")), (503, Some("1")));
     assert_eq!(rows(&follow(&mut client, &first)), ["1", "2", "3"]);
     // What was read to its end is kept for a while, and keeps no gateway from ending.
-    assert!(gateway.ended().success());
+    assert!(gateway.wait_for_exit().success());
     gateway.log.wait_for("reason: stopped");
 }
--- a/crates/gateway/tests/gateway/sockets/discovery.rs
+++ b/crates/gateway/tests/gateway/sockets/discovery.rs
@@ -2,9 +2,9 @@
 
 use super::{ID, NOW, engine, fields, pages, rows};
 use crate::common::{Gateway, config, config_of, settings, until_seen, wait_for};
-use larchfall_fault_tests::relay::{Relays, Way};
+use larchfall_fault_tests::proxy::{Proxies, ProxyMode};
 use larchfall_stub::client::Answer;
-use larchfall_stub::discovery::{Discovery, Listed, frame};
+use larchfall_stub::discovery::{Discovery, Endpoint, frame};
 use larchfall_stub::engine::{Act, Engine};
 use std::time::{Duration, Instant};
 
@@ -28,9 +28,9 @@
     gateway.log.wait_for("reason: malformed");
     ask("old\n");
     // The whole list drops the engine that it does not name, though the new one has another address only.
-    gateway.list(2, &[(2, new.address, 0)]);
+    gateway.list(2, &[Endpoint::ready(2, new.address)]);
     ask("new\n");
-    gateway.list(3, &[(2, old.address, 0)]);
+    gateway.list(3, &[Endpoint::ready(2, old.address)]);
     ask("old\n");
 }
 
@@ -57,7 +57,7 @@
     let held = client.send("once", &fields(ID, "20000"), "").unwrap();
     until_seen(&old, "the query to start", |s| s.started.len() == 1);
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    discovery.say(2, frame(2, true, &[Listed { id: 2, address: new.address, state: 0, zone: 0, kind: 0 }]));
+    discovery.say(2, frame(2, true, &[Endpoint::ready(2, new.address)]));
     gateway.reload("{\"board\":");
     gateway.log.wait_for("configuration rejected");
     gateway.reload(&config("127.0.0.1:0", discovery.address, Some(old.address), 256));
@@ -71,10 +71,10 @@
 }
 
 /// A gateway with one engine, and the way to its discovery service.
-fn with_proxied_discovery() -> (Gateway, Engine, Relays) {
+fn with_proxied_discovery() -> (Gateway, Engine, Proxies) {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let way = Relays::start(1, &[discovery.address]).unwrap();
+    let way = Proxies::start(1, &[discovery.address]).unwrap();
     let text = config_of("127.0.0.1:0", way.address(0, 0), &[engine.address], 256, &settings());
     (Gateway::start_with(discovery, &text), engine, way)
 }
@@ -88,31 +88,31 @@
         let (gateway, engine, way) = with_proxied_discovery();
         let mut client = gateway.client();
         // Until the gateway has heard its discovery service once.
-        gateway.list(2, &[(1, engine.address, 0)]);
+        gateway.list(2, &[Endpoint::ready(1, engine.address)]);
         client.send("look", &fields(ID, "25000"), "").unwrap();
         assert_eq!(client.answer().unwrap().1, rows("ok\n"));
         wait_for("the discovery service to be heard", || {
             let heard = std::fs::read_to_string("/proc/net/tcp").unwrap();
             heard.contains(&format!(":{:04X} 01 ", way.address(0, 0).port())).then_some(())
         });
-        gateway.stop();
+        gateway.suspend();
         let stopped = Instant::now();
         if cut {
-            way.set(|_, _| true, Way::Cut);
+            way.set_mode(|_, _| true, ProxyMode::Cut);
             // What is on its way now still comes in.
             std::thread::sleep(Duration::from_millis(200));
         }
-        gateway.list(3, &[(1, engine.address, 1)]);
+        gateway.list(3, &[Endpoint::draining(1, engine.address)]);
         for n in 0..8 {
             client.send("look", &fields(&format!("{:016x}", n + 1), "25000"), "").unwrap();
         }
         wait_for("it to have stood still so long", || {
             (stopped.elapsed() > Duration::from_millis(still_ms)).then_some(())
         });
-        gateway.signal("-CONT");
+        gateway.resume();
         // It cannot hear at once.
         std::thread::sleep(Duration::from_millis(200));
-        way.set(|_, _| true, Way::Sound);
+        way.set_mode(|_, _| true, ProxyMode::Forward);
         let refused = Answer::Error("Rejected".into(), Some("500".into()));
         for _ in 0..8 {
             assert_eq!(client.answer().unwrap().1, refused, "{still_ms} ms, cut: {cut}");
@@ -131,11 +131,11 @@
         client.send("look", &fields(&format!("{n:016x}"), "25000"), "").unwrap();
         client.answer().unwrap().1
     };
-    way.set(|_, _| true, Way::Stalls);
+    way.set_mode(|_, _| true, ProxyMode::Stall);
     // What is on its way now still comes in.
     std::thread::sleep(Duration::from_millis(200));
     let (told, mut last, mut n) = (Instant::now(), Instant::now(), 0);
-    gateway.list(2, &[(1, engine.address, 1)]);
+    gateway.list(2, &[Endpoint::draining(1, engine.address)]);
     wait_for("the list to be too old", || {
         n += 1;
         let served = ask(n) == rows("ok\n");
@@ -145,8 +145,8 @@
     let after = last.duration_since(told);
     assert!(after > Duration::from_secs(5) && after < Duration::from_secs(9), "served until {after:?} after");
     gateway.log.wait_for("endpoint list expired");
-    gateway.list(3, &[(1, engine.address, 0)]);
-    way.set(|_, _| true, Way::Sound);
+    gateway.list(3, &[Endpoint::ready(1, engine.address)]);
+    way.set_mode(|_, _| true, ProxyMode::Forward);
     wait_for("it to be heard again", || {
         n += 1;
         (ask(n) == rows("ok\n")).then_some(())
--- a/crates/gateway/tests/gateway/sockets/key_order.rs
+++ b/crates/gateway/tests/gateway/sockets/key_order.rs
@@ -5,7 +5,7 @@
 use larchfall_stub::client::Answer;
 use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::Act;
-use larchfall_stub::hall::{Fate, Hall, RUNS_ON};
+use larchfall_stub::stub_engines::{SHUTDOWN_TIME, StatementOutcome, StubEngines};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::sync::mpsc;
@@ -95,25 +95,32 @@
 /// what it holds it runs on, asked for or not, while the next of the key goes elsewhere.
 #[test]
 fn what_times_out_at_a_draining_engine_is_cancelled_on_the_open_connection() {
-    let runs = |_: &str, statement: &str| Fate::Runs(if statement == "long" { FOREVER } else { NOW });
-    let mut hall = Hall::start(&["127.0.0.1:0", "127.0.0.1:0"], runs).unwrap();
+    let runs = |_: &str, statement: &str| {
+        StatementOutcome::Succeeds(if statement == "long" { FOREVER } else { NOW })
+    };
+    let mut stub_engines = StubEngines::start(&["127.0.0.1:0", "127.0.0.1:0"], runs).unwrap();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let text =
-        config_of("127.0.0.1:0", discovery.address, &[hall.address(0), hall.address(1)], 256, &settings());
+    let text = config_of(
+        "127.0.0.1:0",
+        discovery.address,
+        &[stub_engines.address(0), stub_engines.address(1)],
+        256,
+        &settings(),
+    );
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("load", &fields_of("load", "00000000000000a1", "1400"), "long").unwrap();
-    let at = wait_for("the first to run", || hall.ledger().ran.first().map(|r| r.process));
-    hall.close(at);
+    let at = wait_for("the first to run", || stub_engines.audit_log().executions.first().map(|r| r.process));
+    stub_engines.close(at);
     client.send("load", &fields_of("load", "00000000000000a2", "25000"), "short").unwrap();
     let rejected = Answer::Error("Rejected".into(), Some("500".into()));
     assert_eq!(client.answer().unwrap(), (1, rejected));
     assert_eq!(client.answer().unwrap(), (2, rows("ok\n")));
-    let ran = hall.ledger().ran;
-    let until = ran[0].until.expect("shutdown requested");
-    assert!(until <= ran[1].from, "the next began {:?} too early", until - ran[1].from);
-    assert!(until - ran[0].from < RUNS_ON, "not told before it ended: {:?}", until - ran[0].from);
-    hall.open(at);
+    let ran = stub_engines.audit_log().executions;
+    let until = ran[0].ended.expect("shutdown requested");
+    assert!(until <= ran[1].started, "the next began {:?} too early", until - ran[1].started);
+    assert!(until - ran[0].started < SHUTDOWN_TIME, "not told before it ended: {:?}", until - ran[0].started);
+    stub_engines.open(at);
 }
 
 /// Guards against a key that rests after a whole result, only because its last page came on another connection.
--- a/crates/gateway/tests/gateway/sockets/restarts.rs
+++ b/crates/gateway/tests/gateway/sockets/restarts.rs
@@ -3,7 +3,7 @@
 use super::{FOREVER, ID, NOW, engine, fields, pages, rows};
 use crate::common::{Full, Gateway, config_of, settings, until_seen, wait_for};
 use larchfall_stub::client::{Answer, Client};
-use larchfall_stub::discovery::Discovery;
+use larchfall_stub::discovery::{Discovery, Endpoint};
 use larchfall_stub::engine::{Act, Engine};
 use std::io::Read;
 use std::time::{Duration, Instant};
@@ -15,9 +15,9 @@
     let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
     until_seen(&engine, "the query to start", |s| s.started.len() == 1);
-    gateway.stop();
+    gateway.suspend();
     client.send("once", &fields("aaaaaaaaaaaaaaaa", "25000"), "").unwrap();
-    gateway.signal("-CONT");
+    gateway.resume();
     let mut answers: Vec<_> = (0..2).map(|_| client.answer().unwrap()).collect();
     answers.sort_by_key(|(id, _)| *id);
     assert_eq!(answers, [(1, rows("ok\n")), (2, rows("ok\n"))]);
@@ -37,11 +37,11 @@
     client.send("look", &fields(ID, "25000"), "").unwrap();
     engine.until_dialled();
     let stopped = Instant::now();
-    gateway.stop();
-    gateway.list(2, &[(1, address, 1)]);
+    gateway.suspend();
+    gateway.list(2, &[Endpoint::draining(1, address)]);
     let mut stream = engine.let_in();
     wait_for("the grace to run out", || (stopped.elapsed() > Duration::from_millis(2500)).then_some(()));
-    gateway.signal("-CONT");
+    gateway.resume();
     assert_eq!(client.answer().unwrap(), (1, Answer::Error("Rejected".into(), Some("500".into()))));
     stream.set_nonblocking(true).unwrap();
     let mut bytes = [0; 512];
@@ -69,7 +69,7 @@
     assert_eq!(late.answer().unwrap(), (after, rows("ok\n")), "came after the signal");
     assert_eq!(client.answer().unwrap(), (held, rows("ok\n")), "was in hand");
     assert_eq!(waiting.answer().unwrap(), (long, Answer::Error("Errored".into(), None)), "outlasts the end");
-    assert!(gateway.ended().success());
+    assert!(gateway.wait_for_exit().success());
     gateway.log.wait_for("reason: stopped");
     let line = gateway.log.wait_for("class: once, admitted");
     assert!(line.contains("admitted: 3, returned: 2, rejected: 0, errored: 1,"), "{line}");
@@ -85,16 +85,16 @@
         gateway.signal("-TERM");
         gateway.log.wait_for("shutdown requested");
         let told = Instant::now();
-        gateway.stop();
+        gateway.suspend();
         for (n, client) in clients.iter_mut().enumerate() {
             client.send("look", &fields(&format!("{:016x}", n + 1), "20000"), "").unwrap();
         }
         wait_for("the last to have come", || (told.elapsed() > Duration::from_millis(900)).then_some(()));
-        gateway.signal("-CONT");
+        gateway.resume();
         for client in &mut clients {
             assert_eq!(client.answer().unwrap().1, rows("ok\n"));
         }
-        assert!(gateway.ended().success());
+        assert!(gateway.wait_for_exit().success());
     }
 }
 
@@ -106,7 +106,7 @@
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
     first.signal("-KILL");
-    assert!(!first.ended().success());
+    assert!(!first.wait_for_exit().success());
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let second = Gateway::start_on(&first.address.to_string(), discovery, Some(engine.address), 256);
     let mut client = Client::connect(second.address).unwrap();
--- a/examples/stub-engine/src/engine.rs
+++ b/examples/stub-engine/src/engine.rs
@@ -1,9 +1,11 @@
-//! A toy query engine on one address. What it does with a statement is up to whoever starts it.
+//! A query engine on one address. What it does with a statement is up to whoever starts it.
 
+use crate::engine_api::{EngineCall, lock, long_poll};
+use crate::http::{HttpRequest, NO_CONTENT, read_request, response};
 use std::collections::HashMap;
-use std::io::{self, BufRead, BufReader, Read, Write};
+use std::io::{self, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -16,33 +18,39 @@
     Decline,
     /// Ends in an error.
     Fail,
-    /// The connection is cut once the call has come whole, and the query is unknown from then on.
+    /// The connection is cut once the whole call was read, and the query is unknown from then on.
     Cut,
-    /// Nothing is ever said again on this connection; the query runs on and ends at once with this page.
+    /// Nothing more is written to this connection; the query runs and ends at once with this page.
     Hang(Vec<u8>),
     /// These bytes are written as they are, and the connection ends.
     Say(Vec<u8>),
-    /// The first page tells of two; the second is lost.
+    /// The first page announces two; the second is lost.
     LosePage,
 }
 
-/// One statement as it came.
+/// One statement as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
+    /// The id that the gateway gave it.
     pub id: String,
+    /// Headers by name in lower case.
     pub head: HashMap<String, String>,
+    /// The text of the statement.
     pub statement: Vec<u8>,
 }
 
-/// What an engine has seen so far.
+/// What an engine has received so far.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
+    /// All statements, in order of arrival.
     pub started: Vec<Call>,
-    pub given_up: Vec<String>,
-    /// Times that its load was asked for.
-    pub probes: usize,
+    /// Ids of statements that were cancelled.
+    pub cancelled: Vec<String>,
+    /// Number of requests for a load report.
+    pub load_requests: usize,
+    /// Connections accepted.
     pub connections: usize,
-    /// Statements started and not yet over, now and at most.
+    /// Statements accepted; ones that have ended are not taken off.
     pub running: usize,
 }
 
@@ -53,7 +61,9 @@
 
 type Decide = Box<dyn Fn(&Call) -> Act + Send + Sync>;
 
+/// A running engine; it serves until the process ends.
 pub struct Engine {
+    /// Where it listens.
     pub address: SocketAddr,
     inner: Arc<Inner>,
 }
@@ -64,17 +74,10 @@
     seen: Mutex<Seen>,
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
-/// News of a query are held back this long.
-const NEWS: Duration = Duration::from_millis(250);
-const LOOK: Duration = Duration::from_millis(2);
-
 impl Engine {
-    pub fn start(at: &str, decide: impl Fn(&Call) -> Act + Send + Sync + 'static) -> io::Result<Engine> {
-        let listener = TcpListener::bind(at)?;
+    /// Listens at an address; `decide` says what becomes of each statement.
+    pub fn start(listen: &str, decide: impl Fn(&Call) -> Act + Send + Sync + 'static) -> io::Result<Engine> {
+        let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
         let inner =
             Arc::new(Inner { decide: Box::new(decide), queries: Mutex::default(), seen: Mutex::default() });
@@ -89,6 +92,7 @@
         Ok(Engine { address, inner })
     }
 
+    /// A copy of what was received so far.
     pub fn seen(&self) -> Seen {
         lock(&self.inner.seen).clone()
     }
@@ -100,124 +104,88 @@
         let mut input = BufReader::new(stream.try_clone().ok()?);
         let mut output = stream;
         loop {
-            let Asked { verb, path, head, body } = read_call(&mut input)?;
-            let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-            match (verb.as_str(), &parts[..]) {
-                ("POST", ["obj"]) => {
-                    let id = head.get("x-trace")?.clone();
-                    let call = Call { id: id.clone(), head, statement: body };
-                    let act = (self.decide)(&call);
-                    lock(&self.seen).started.push(call);
-                    match &act {
-                        Act::Cut => return None,
-                        Act::Say(bytes) => {
-                            output.write_all(bytes).ok()?;
-                            return None;
-                        }
-                        Act::Hang(page) => {
-                            let act = Act::Serve(Duration::ZERO, vec![page.clone()]);
-                            lock(&self.queries).insert(id, Query { act, began: Instant::now() });
-                            let mut rest = [0; 1024];
-                            while input.read(&mut rest).ok()? > 0 {}
-                            return None;
-                        }
-                        _ => {}
-                    }
-                    lock(&self.queries).insert(id.clone(), Query { act, began: Instant::now() });
-                    lock(&self.seen).running += 1;
-                    output.write_all(&self.news(&id)).ok()?;
-                }
-                ("GET", ["obj", id, "0"]) => output.write_all(&self.news(id)).ok()?,
-                ("GET", ["obj", id, page]) => {
+            let request = read_request(&mut input)?;
+            match EngineCall::of(&request) {
+                EngineCall::StartStatement => self.start_statement(request, &mut input, &mut output)?,
+                EngineCall::PollResult { id } => output.write_all(&self.poll_result(id)).ok()?,
+                EngineCall::FetchPage { id, page } => {
                     let page = page.parse::<usize>().ok()?;
                     output.write_all(&self.page(id, page)).ok()?;
                 }
-                ("DELETE", ["obj", id]) => {
-                    lock(&self.queries).remove(*id);
-                    lock(&self.seen).given_up.push((*id).to_owned());
-                    output.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").ok()?;
-                }
-                ("PUT", ["obj", _]) => output.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").ok()?,
-                ("GET", ["stats"]) => {
-                    let running = {
-                        let mut seen = lock(&self.seen);
-                        seen.probes += 1;
-                        seen.running
-                    };
-                    output.write_all(&reply(200, &format!("X-Stats: inflight:{running}\r\n"), b"")).ok()?;
+                EngineCall::CancelStatement { id } => {
+                    lock(&self.queries).remove(id);
+                    lock(&self.seen).cancelled.push(id.to_owned());
+                    output.write_all(NO_CONTENT).ok()?;
                 }
-                ("GET", ["alive"]) => output.write_all(&reply(200, "", b"")).ok()?,
-                _ => output.write_all(&reply(404, "", b"")).ok()?,
+                EngineCall::UpdateStatement => output.write_all(NO_CONTENT).ok()?,
+                EngineCall::LoadReport => output.write_all(&self.load_report()).ok()?,
+                EngineCall::HealthCheck => output.write_all(&response(200, "", b"")).ok()?,
+                EngineCall::Unknown => output.write_all(&response(404, "", b"")).ok()?,
             }
         }
     }
 
-    /// The end of a query, or nothing new after a while.
-    fn news(&self, id: &str) -> Vec<u8> {
-        let until = Instant::now() + NEWS;
-        loop {
-            {
-                let queries = lock(&self.queries);
-                let Some(query) = queries.get(id) else { return reply(500, "", b"") };
-                match &query.act {
-                    Act::Serve(takes, pages) if query.began.elapsed() >= *takes => {
-                        let first = pages.first().map_or(&b""[..], |p| p);
-                        return reply(200, &format!("Page-Count: {}\r\n", pages.len().max(1)), first);
-                    }
-                    Act::Decline => return reply(503, "X-Declined: 1\r\n", b""),
-                    Act::Fail => return reply(500, "", b""),
-                    Act::LosePage => return reply(200, "Page-Count: 2\r\n", b"one\n"),
-                    _ => {}
-                }
+    /// `None` ends the connection.
+    fn start_statement(
+        &self,
+        request: HttpRequest,
+        input: &mut BufReader<TcpStream>,
+        output: &mut TcpStream,
+    ) -> Option<()> {
+        let id = request.headers.get("x-trace")?.clone();
+        let call = Call { id: id.clone(), head: request.headers, statement: request.body };
+        let act = (self.decide)(&call);
+        lock(&self.seen).started.push(call);
+        match &act {
+            Act::Cut => return None,
+            Act::Say(bytes) => {
+                output.write_all(bytes).ok()?;
+                return None;
             }
-            if Instant::now() >= until {
-                return reply(202, "X-Stats: inflight:1;util:0.1\r\n", b"");
+            Act::Hang(page) => {
+                let act = Act::Serve(Duration::ZERO, vec![page.clone()]);
+                lock(&self.queries).insert(id, Query { act, began: Instant::now() });
+                let mut rest = [0; 1024];
+                while input.read(&mut rest).ok()? > 0 {}
+                return None;
             }
-            thread::sleep(LOOK);
+            Act::Serve(..) | Act::Decline | Act::Fail | Act::LosePage => {}
         }
+        lock(&self.queries).insert(id.clone(), Query { act, began: Instant::now() });
+        lock(&self.seen).running += 1;
+        output.write_all(&self.poll_result(&id)).ok()
+    }
+
+    fn load_report(&self) -> Vec<u8> {
+        let mut seen = lock(&self.seen);
+        seen.load_requests += 1;
+        response(200, &format!("X-Stats: inflight:{}\r\n", seen.running), b"")
+    }
+
+    fn poll_result(&self, id: &str) -> Vec<u8> {
+        long_poll(|| {
+            let queries = lock(&self.queries);
+            let Some(query) = queries.get(id) else { return Some(response(500, "", b"")) };
+            match &query.act {
+                Act::Serve(takes, pages) if query.began.elapsed() >= *takes => {
+                    let first = pages.first().map_or(&b""[..], |page| page);
+                    Some(response(200, &format!("Page-Count: {}\r\n", pages.len().max(1)), first))
+                }
+                Act::Decline => Some(response(503, "X-Declined: 1\r\n", b"")),
+                Act::Fail => Some(response(500, "", b"")),
+                Act::LosePage => Some(response(200, "Page-Count: 2\r\n", b"one\n")),
+                Act::Serve(..) | Act::Cut | Act::Hang(_) | Act::Say(_) => None,
+            }
+        })
     }
 
     fn page(&self, id: &str, page: usize) -> Vec<u8> {
         let queries = lock(&self.queries);
-        match queries.get(id).map(|q| &q.act) {
+        match queries.get(id).map(|query| &query.act) {
             Some(Act::Serve(_, pages)) if page < pages.len() => {
-                reply(200, &format!("Page-No: {page}\r\n"), &pages[page])
+                response(200, &format!("Page-No: {page}\r\n"), &pages[page])
             }
-            _ => reply(500, "", b""),
+            _ => response(500, "", b""),
         }
     }
 }
-
-/// One call as it came.
-pub(crate) struct Asked {
-    pub verb: String,
-    pub path: String,
-    pub head: HashMap<String, String>,
-    pub body: Vec<u8>,
-}
-
-/// The next call on a connection; `None` once it has ended.
-pub(crate) fn read_call(input: &mut impl BufRead) -> Option<Asked> {
-    let mut first = String::new();
-    if input.read_line(&mut first).ok()? == 0 {
-        return None;
-    }
-    let mut words = first.split_whitespace();
-    let (verb, path) = (words.next()?.to_owned(), words.next()?.to_owned());
-    let mut head = HashMap::new();
-    loop {
-        let mut line = String::new();
-        input.read_line(&mut line).ok()?;
-        let Some((name, value)) = line.trim().split_once(':') else { break };
-        head.insert(name.trim().to_ascii_lowercase(), value.trim().to_owned());
-    }
-    let length = head.get("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
-    let mut body = vec![0; length];
-    input.read_exact(&mut body).ok()?;
-    Some(Asked { verb, path, head, body })
-}
-
-pub(crate) fn reply(status: u16, head: &str, body: &[u8]) -> Vec<u8> {
-    let head = format!("HTTP/1.1 {status} Toy\r\n{head}Content-Length: {}\r\n\r\n", body.len());
-    [head.as_bytes(), body].concat()
-}
--- a/examples/stub-engine/src/main.rs
+++ b/examples/stub-engine/src/main.rs
@@ -1,50 +1,54 @@
-//! The toy as a program: `serve` is a query engine and a discovery service in one, `send` a client.
+//! Counterparts as a program: `serve` is a query engine and a discovery service in one, `send` a client.
 
 use larchfall_stub::client::{Answer, Client};
-use larchfall_stub::discovery::{Discovery, Listed, frame};
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::discovery::{Discovery, Endpoint, frame};
+use larchfall_stub::engine::{Act, Call, Engine};
 use std::process::ExitCode;
 use std::time::Duration;
 
 const HELP: &str = "\
-larchfall-toy: counterparts with which to try larchfall
+larchfall-stub: counterparts with which to try larchfall
 
-usage: larchfall-toy serve                    a query engine on 127.0.0.1:7101, a notice board on 127.0.0.1:7102
-       larchfall-toy send GROUP STATEMENT     sends a batch to a front on 127.0.0.1:7100 and prints its rows
+usage: larchfall-stub serve                    a query engine on 127.0.0.1:7101, a discovery service on 127.0.0.1:7102
+       larchfall-stub send CLASS STATEMENT     sends a request to a gateway on 127.0.0.1:7100 and prints its rows
 
-The engine takes a fifth of a second for a statement and returns its words as rows; one that begins with decline
-is turned away, one that begins with fail ends in an error.
+The engine takes a fifth of a second for a statement and returns its words as rows; it declines a statement that begins
+with decline, and one that begins with fail ends in an error.
 ";
 const GATEWAY: &str = "127.0.0.1:7100";
 const ENGINE: &str = "127.0.0.1:7101";
 const DISCOVERY: &str = "127.0.0.1:7102";
-/// Bytes of a page at most.
-const PAGE: usize = 6_000;
+/// Of each statement at the engine.
+const SERVICE_TIME: Duration = Duration::from_millis(200);
+const MAX_PAGE_BYTES: usize = 6_000;
 
-fn serve() -> std::io::Result<()> {
-    let engine = Engine::start(ENGINE, |call| {
-        println!("statement {}: {}", call.id, String::from_utf8_lossy(&call.statement));
-        let words = String::from_utf8_lossy(&call.statement).into_owned();
-        match words.split_whitespace().next() {
-            Some("decline") => return Act::Decline,
-            Some("fail") => return Act::Fail,
-            _ => {}
-        }
-        let mut pages = vec![Vec::new()];
-        for (i, word) in words.split_whitespace().enumerate() {
-            let row = format!("{i}\t{word}\t{}\n", word.len());
-            if pages[pages.len() - 1].len() + row.len() > PAGE {
-                pages.push(Vec::new());
-            }
-            let last = pages.len() - 1;
-            pages[last].extend(row.into_bytes());
+/// Rows with the statement's words, in pages.
+fn answer(call: &Call) -> Act {
+    let statement = String::from_utf8_lossy(&call.statement);
+    println!("statement {}: {statement}", call.id);
+    match statement.split_whitespace().next() {
+        Some("decline") => return Act::Decline,
+        Some("fail") => return Act::Fail,
+        _ => {}
+    }
+    let mut pages = Vec::new();
+    let mut page: Vec<u8> = Vec::new();
+    for (i, word) in statement.split_whitespace().enumerate() {
+        let row = format!("{i}\t{word}\t{}\n", word.len());
+        if page.len() + row.len() > MAX_PAGE_BYTES {
+            pages.push(std::mem::take(&mut page));
         }
-        Act::Serve(Duration::from_millis(200), pages)
-    })?;
+        page.extend(row.into_bytes());
+    }
+    pages.push(page);
+    Act::Serve(SERVICE_TIME, pages)
+}
+
+fn serve() -> std::io::Result<()> {
+    let engine = Engine::start(ENGINE, answer)?;
     let discovery = Discovery::start(DISCOVERY)?;
-    discovery
-        .say(2, frame(2, true, &[Listed { id: 1, address: engine.address, state: 0, zone: 0, kind: 0 }]));
-    println!("engine on {}, notice board on {}; Ctrl-C ends both", engine.address, discovery.address);
+    discovery.say(2, frame(2, true, &[Endpoint::ready(1, engine.address)]));
+    println!("engine on {}, discovery service on {}; Ctrl-C ends both", engine.address, discovery.address);
     loop {
         std::thread::park();
     }
@@ -62,7 +66,7 @@
             Ok(true)
         }
         Answer::Error(name, wait) => {
-            println!("{name}{}", wait.map_or(String::new(), |w| format!(", come back in {w} ms")));
+            println!("{name}{}", wait.map_or(String::new(), |wait| format!(", retry after {wait} ms")));
             Ok(false)
         }
         Answer::Pong => Ok(false),
@@ -88,7 +92,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            eprintln!("larchfall-toy: {e}");
+            eprintln!("larchfall-stub: {e}");
             ExitCode::FAILURE
         }
     }
