--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -4,9 +4,10 @@
 use super::Cluster;
 use super::counters::{count, increment};
 use crate::state::{State, lock};
-use larchfall_health_gossip::Process;
-use larchfall_health_gossip::desk::{Bounds, Desk};
-use larchfall_health_gossip::wire::{Letter, MOST_ENGINES};
+use larchfall_health_gossip::EngineProcess;
+use larchfall_health_gossip::datagram::{Datagram, MAX_ENTRIES};
+use larchfall_health_gossip::health_gossip::{self, PeerOutcome, ProcessSummary};
+use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
 use larchfall_operator_config::HealthGossipConfig;
 use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::{Rng, WyRand};
@@ -17,10 +18,10 @@
 use std::sync::atomic::AtomicU64;
 
 /// How many gateways and engine processes observations are kept of.
-const BOUNDS: Bounds = Bounds { gateways: 1024, processes: 1024 };
+const LIMITS: StoreLimits = StoreLimits { gateways: 1024, processes: 1024 };
 
 struct Inner {
-    observations: Desk,
+    gossip: health_gossip::HealthGossip,
     due: Timestamp,
     random: WyRand,
 }
@@ -44,9 +45,9 @@
 impl HealthGossip {
     /// Has the policy note from now on what it observes.
     pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> HealthGossip {
-        state.policy.enable_observations(BOUNDS.processes);
+        state.policy.enable_observations(LIMITS.processes);
         let inner = Inner {
-            observations: Desk::new(BOUNDS, settings.weigh, settings.probe_slot),
+            gossip: health_gossip::HealthGossip::new(LIMITS, settings.weigh, settings.probe_slot),
             due: now,
             random: WyRand::new_seed(seed),
         };
@@ -72,7 +73,7 @@
     }
 
     fn send_observations(&self, state: &State, cluster: &Cluster) {
-        let Some(report) = state.policy.next_observation_report(MOST_ENGINES) else { return };
+        let Some(report) = state.policy.next_observation_report(MAX_ENTRIES) else { return };
         let (generation, mut others) = {
             let members = lock(&cluster.members);
             let others: Vec<SocketAddrV4> = members
@@ -83,14 +84,8 @@
             (members.myself().status.generation, others)
         };
         lock(&self.inner).random.shuffle(&mut others);
-        let message = Letter::new(
-            &cluster.cluster_name,
-            &cluster.member_name,
-            generation,
-            report.number,
-            report.observations,
-        );
-        let bytes = message.seal();
+        let datagram = Datagram::new(&cluster.cluster_name, &cluster.member_name, generation, report);
+        let bytes = datagram.encode();
         for to in others.into_iter().take(self.settings.fanout) {
             if cluster.socket.inner().send_to(&bytes, to).is_ok() {
                 increment(&self.counters.sent);
@@ -99,38 +94,39 @@
     }
 
     fn count_observations(&self, state: &State, cluster: &Cluster, now: Timestamp) {
-        let listed: HashSet<Process> = state.policy.processes().into_iter().collect();
+        let listed: HashSet<EngineProcess> = state.policy.processes().into_iter().collect();
         let alive = cluster.alive_zones();
-        let is_listed = |process: Process| listed.contains(&process);
-        let outcomes =
-            lock(&self.inner).observations.look(state.policy.own_observations(), &alive, is_listed, now);
-        for (process, is_bad) in outcomes {
+        let is_listed = |process: EngineProcess| listed.contains(&process);
+        let own = state.policy.own_observations();
+        let outcomes = lock(&self.inner).gossip.take_outcomes(&own, &alive, is_listed, now);
+        for PeerOutcome { process, bad } in outcomes {
             increment(&self.counters.counted);
-            state.policy.record_peer_outcome(process, is_bad);
+            state.policy.record_peer_outcome(process, bad);
         }
         // After the outcomes: an engine that they had ejected just now waits for its probe slot from the start.
         for process in state.policy.ejected_processes() {
-            let is_own_slot =
-                lock(&self.inner).observations.may_try(&cluster.member_name, process, &alive, now);
+            let is_own_slot = lock(&self.inner).gossip.may_probe(&cluster.member_name, process, &alive, now);
             state.policy.set_probe_slot(process, is_own_slot);
         }
     }
 
     pub(super) fn on_datagram(&self, state: &State, cluster: &Cluster, bytes: &[u8], from: SocketAddrV4) {
         increment(&self.counters.received);
-        let message = Letter::open(bytes, &cluster.cluster_name);
-        let known = message.and_then(|message| {
+        let datagram = Datagram::decode(bytes, &cluster.cluster_name).ok();
+        let known = datagram.and_then(|datagram| {
             let members = lock(&cluster.members);
-            let sender = members.members().get(&message.name).filter(|member| member.info.address == from)?;
+            let sender =
+                members.members().get(&datagram.gateway).filter(|member| member.info.address == from)?;
             // One that was taken for dead for a while goes on under a later generation; an older one is another process.
-            let is_current = !sender.status.is_final() && message.generation >= sender.status.generation;
-            is_current.then(|| (sender.info.zone.clone(), message))
+            let is_current = !sender.status.is_final() && datagram.generation >= sender.status.generation;
+            is_current.then(|| (sender.info.zone.clone(), datagram))
         });
-        let Some((zone, message)) = known else {
+        let Some((zone, datagram)) = known else {
             return increment(&self.counters.ignored);
         };
-        let sender = (&message.name[..], message.generation, &zone[..]);
-        lock(&self.inner).observations.hear(sender, message.number, &message.saw, state.clock.now());
+        let reporter = Reporter { gateway: &datagram.gateway, generation: datagram.generation, zone: &zone };
+        let mut inner = lock(&self.inner);
+        inner.gossip.on_report(reporter, datagram.number, &datagram.entries, state.clock.now());
     }
 
     /// Cells on one engine process: responses and failures here; gateways that reported, their responses and failures, the
@@ -139,19 +135,19 @@
         &self,
         member_name: &str,
         alive: &BTreeMap<String, String>,
-        process: Process,
+        process: EngineProcess,
         now: Timestamp,
     ) -> [String; 7] {
         let inner = lock(&self.inner);
-        let (others, own) = inner.observations.known(process);
-        let is_own_slot = inner.observations.may_try(member_name, process, alive, now);
+        let ProcessSummary { peers: others, own } = inner.gossip.summary(process);
+        let is_own_slot = inner.gossip.may_probe(member_name, process, alive, now);
         [
             own.answered.to_string(),
             own.failed.to_string(),
             others.gateways.to_string(),
             others.answered.to_string(),
             others.failed.to_string(),
-            others.heard.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs())),
+            others.heard_at.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs())),
             if is_own_slot { "mine" } else { "another's" }.to_owned(),
         ]
     }
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -7,14 +7,14 @@
 use larchfall_config::Settings;
 use larchfall_leases::fencing::Fenced;
 use larchfall_leases::load_sharing::{quota_allocator_role, role_index};
-use larchfall_leases::messages::{MemberId, Payload, QuotaDemand, QuotaGrant, paginate};
+use larchfall_leases::messages::{MemberId, Payload, paginate};
 use larchfall_operator_config::{QuotaConfig, QuotaKinds};
 use larchfall_policy::interface::{RequestClass, SlowStartPolicy};
 use larchfall_policy::time::{Duration, Timestamp};
-use larchfall_quotas::Terms;
 use larchfall_quotas::capacity::Capacity;
-use larchfall_quotas::demand::{Demand, Wanted};
-use larchfall_quotas::shares::{self, Shares};
+use larchfall_quotas::demand::{CapacityDemand, Demand};
+use larchfall_quotas::manager::{QuotaManager, QuotaSettings, QuotaStatus, RequestTerms};
+use larchfall_quotas::{QuotaDemand, QuotaGrant, QuotaTerms};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::Ordering;
@@ -53,7 +53,7 @@
 
 /// This gateway's quotas, and those that it allocates.
 pub(super) struct QuotaExchange {
-    pub(super) quotas: Mutex<Shares>,
+    pub(super) quotas: Mutex<QuotaManager>,
     /// Which kinds of capacity are allocated, by the operator's file.
     kinds: QuotaKinds,
     inputs: QuotaInputs,
@@ -68,51 +68,60 @@
         now: Timestamp,
     ) -> QuotaExchange {
         let QuotaConfig { allocators, lifetime, kinds } = config;
-        let window = inputs.slow_start.window;
-        let strict = Terms { gateways: inputs.gateways, length: lifetime, margin, window, strict: true };
-        let soft = Terms { window: Duration::ZERO, strict: false, ..strict };
-        let quotas =
-            Shares::new(shares::Settings { strict, soft, keepers: allocators, most: MAX_CAPACITIES }, now);
+        let strict = QuotaTerms {
+            max_gateways: inputs.gateways,
+            length: lifetime,
+            drift_margin_per_mille: margin,
+            usage_window: inputs.slow_start.window,
+            strict: true,
+        };
+        let soft = QuotaTerms { usage_window: Duration::ZERO, strict: false, ..strict };
+        let settings = QuotaSettings { strict, soft, allocators, max_capacities: MAX_CAPACITIES };
+        let quotas = QuotaManager::new(settings, now);
         if kinds.slow_start {
-            state.policy.enable_quotas(quotas.careful());
+            state.policy.enable_quotas(quotas.strict_default_fraction());
         }
         QuotaExchange { quotas: Mutex::new(quotas), kinds, inputs }
     }
 
     pub(super) fn due_in(&self, now: Timestamp) -> Duration {
-        lock(&self.quotas).due().since(now)
+        lock(&self.quotas).next_request().since(now)
     }
 
     /// How much this gateway wants of each capacity that is allocated.
-    fn wanted(&self, state: &State, demand: &Demand) -> Vec<Wanted> {
+    fn wanted(&self, state: &State, demand: &Demand) -> Vec<CapacityDemand> {
         let mut wanted = Vec::new();
         for ready in state.policy.ready_for_quotas(&self.inputs.slow_start) {
             let weight = demand.of_engine(&ready.engine, &self.inputs.classes);
             if self.kinds.slow_start && ready.in_slow_start {
-                wanted.push((Capacity::SlowStart(ready.id), weight));
+                wanted.push(CapacityDemand { capacity: Capacity::SlowStart(ready.id), weight });
             }
             if self.kinds.threads {
-                wanted.push((Capacity::Threads(ready.id), weight));
+                wanted.push(CapacityDemand { capacity: Capacity::Threads(ready.id), weight });
             }
         }
         if self.kinds.tenants {
             let tenants = self.inputs.tenants.iter().enumerate();
-            wanted.extend(tenants.map(|(index, tenant)| (tenant.capacity, demand.of_tenant(index))));
+            wanted.extend(tenants.map(|(index, tenant)| CapacityDemand {
+                capacity: tenant.capacity,
+                weight: demand.of_tenant(index),
+            }));
         }
         wanted
     }
 
     /// Tells the policy what this gateway may use.
     fn apply(&self, state: &State, now: Timestamp) {
-        let capacity = |(key, fraction, _)| Capacity::of(key).map(|capacity| (capacity, fraction));
-        let fractions: BTreeMap<Capacity, f64> = lock(&self.quotas).parts(now).filter_map(capacity).collect();
+        let fraction = |quota: QuotaStatus| Some((Capacity::from_key(quota.capacity)?, quota.fraction));
+        let fractions: BTreeMap<Capacity, f64> =
+            lock(&self.quotas).quotas(now).filter_map(fraction).collect();
         let tenants: Vec<Capacity> = self.inputs.tenants.iter().map(|tenant| tenant.capacity).collect();
         state.policy.set_quotas(&tenants, &fractions);
     }
 
     /// What a capacity is called in the log and by `larchfall quotas`.
     pub(super) fn capacity_name(&self, key: u64) -> String {
-        match Capacity::of(key) {
+        match Capacity::from_key(key) {
             Some(Capacity::SlowStart(id)) => format!("cold/{id:08x}"),
             Some(Capacity::Threads(id)) => format!("threads/{id:08x}"),
             Some(capacity) => {
@@ -129,27 +138,25 @@
     pub(super) fn request_quotas(&self, state: &State, cluster: &Cluster) {
         let Some(exchange) = &self.quotas else { return };
         let now = self.now();
-        let (requests, (gateways, length)) = {
+        let (requests, terms) = {
             let mut quotas = lock(&exchange.quotas);
-            let allocators = quotas.keepers();
+            let allocators = quotas.allocators();
             let wanted = |demand: &Demand| exchange.wanted(state, demand);
             let allocator_of = |capacity| role_index(capacity, allocators);
-            let requests = quotas.asks(|| state.policy.arrivals(), wanted, allocator_of, now);
-            (requests, quotas.terms())
+            let requests = quotas.requests(|| state.policy.arrivals(), wanted, allocator_of, now);
+            (requests, quotas.request_terms())
         };
         exchange.apply(state, now);
         for request in requests {
-            let lease = quota_allocator_role(request.keeper);
+            let lease = quota_allocator_role(request.allocator);
             let holder = lock(&self.leases).holder(&lease, now).map(str::to_owned);
             let Some(holder) = holder else { continue };
-            let demands =
-                request.wants.into_iter().map(|(capacity, weight)| QuotaDemand { capacity, weight });
-            for demands in paginate(demands, LIST_BYTES) {
+            for demands in paginate(request.demands, LIST_BYTES) {
                 let message = Payload::RequestQuotas {
                     role: lease.clone(),
                     round: request.round,
-                    gateways: gateways as u32,
-                    length_us: length.micros(),
+                    gateways: terms.max_gateways as u32,
+                    length_us: terms.length.micros(),
                     demands,
                 };
                 self.send_quota_message(state, cluster, &holder, message);
@@ -176,8 +183,11 @@
         let Some(exchange) = &self.quotas else { return };
         match message {
             Payload::RequestQuotas { role: lease, round, gateways, length_us, demands } => {
-                let terms = (*gateways as usize, Duration::from_micros(*length_us));
-                let Some(granted) = self.allocate(exchange, lease, (&from.name, terms), demands) else {
+                let terms = RequestTerms {
+                    max_gateways: *gateways as usize,
+                    length: Duration::from_micros(*length_us),
+                };
+                let Some(granted) = self.allocate(exchange, lease, &from.name, terms, demands) else {
                     return;
                 };
                 for page in paginate(granted.content, LIST_BYTES) {
@@ -188,9 +198,7 @@
             }
             Payload::Quotas { round, grants } => {
                 let now = self.now();
-                let handed: Vec<(u64, f64)> =
-                    grants.content.iter().map(|grant| (grant.capacity, grant.fraction)).collect();
-                let accepted = lock(&exchange.quotas).granted(*round, grants.token, &handed, now);
+                let accepted = lock(&exchange.quotas).on_grants(*round, grants.token, &grants.content, now);
                 self.counters.quotas.fetch_add(accepted as u64, Ordering::Relaxed);
                 exchange.apply(state, now);
             }
@@ -203,17 +211,15 @@
         &self,
         exchange: &QuotaExchange,
         lease: &str,
-        requester: (&str, (usize, Duration)),
+        requester: &str,
+        terms: RequestTerms,
         demands: &[QuotaDemand],
     ) -> Option<Fenced<Vec<QuotaGrant>>> {
         let now = self.now();
         // Held until the quotas are stamped: none is allocated that the next holder may not know to be over in time.
         let leases = lock(&self.leases);
         let permit = leases.permit(lease, now)?;
-        let wants: Vec<(u64, f32)> = demands.iter().map(|demand| (demand.capacity, demand.weight)).collect();
-        let granted = lock(&exchange.quotas).answer(permit.token, requester, &wants, now);
-        let grants =
-            granted.into_iter().map(|(capacity, fraction)| QuotaGrant { capacity, fraction }).collect();
+        let grants = lock(&exchange.quotas).on_request(permit.token, requester, terms, demands, now);
         Some(permit.fence(grants))
     }
 }
