--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -3,18 +3,18 @@
 use crate::error::{Problem, SettingsError};
 use crate::raw::{Raw, RawClass, RawSafety};
 use crate::{Names, Settings};
-use larchfall_policy::interface::{
-    Caps, DeduplicationScope, EngineKind, Fleet, Idempotency, PolicyConfig, RequestClass, RetryBudgetRule,
-    SlowStartPolicy, Tenant,
-};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{
+    Capabilities, DeduplicationScope, EngineKind, Idempotency, PolicyConfig, RequestClass, RetryBudgetRule,
+    SlowStartPolicy, Tenant, Topology,
+};
 
 pub(crate) fn settings(raw: Raw) -> Result<Settings, SettingsError> {
     let policy = PolicyConfig {
         classes: classes(&raw)?,
-        fleet: fleet(&raw),
+        topology: topology(&raw),
         tenants: raw.tenants.iter().map(|tenant| Tenant { quota_rate: tenant.quota_rate }).collect(),
-        caps: caps(&raw),
+        capabilities: capabilities(&raw),
         slow_start: slow_start(&raw.safety),
         retry_budget: retry_budget(&raw.safety),
         key_cooldown: Duration::from_micros(raw.safety.key_cooldown),
@@ -50,7 +50,7 @@
             priority_weight: class.priority_weight,
             latency_objective: Duration::from_micros(class.latency_objective),
             objective_stretch: class.objective_stretch,
-            effect: idempotency(class, &format!("classes[{i}]"))?,
+            idempotency: idempotency(class, &format!("classes[{i}]"))?,
             in_order: class.in_order,
             threads: domain.class_threads.get(i).copied().unwrap_or(1.0),
             locks_data_set: domain.locks_data_set.get(i).copied().unwrap_or(false),
@@ -83,26 +83,26 @@
     }
 }
 
-fn fleet(raw: &Raw) -> Fleet {
+fn topology(raw: &Raw) -> Topology {
     let cores = &raw.domain.kind_cores;
     let memory_mb = &raw.domain.kind_memory_mb;
     let kind = |i| EngineKind {
         cores: cores.get(i).copied().unwrap_or(0.0),
         memory_mb: memory_mb.get(i).copied().unwrap_or(0.0),
     };
-    Fleet {
+    Topology {
         gateways: raw.gateways,
-        me: raw.me,
+        gateway_index: raw.me,
         zone: raw.zone,
         kinds: (0..raw.kinds.len().max(cores.len())).map(kind).collect(),
     }
 }
 
-fn caps(raw: &Raw) -> Caps {
+fn capabilities(raw: &Raw) -> Capabilities {
     let may_probe = raw.caps.load_probes && matches!(raw.load_reports.how.as_str(), "answers" | "probe");
-    Caps {
+    Capabilities {
         can_cancel: raw.caps.can_cancel,
-        load_probe_cost: may_probe.then_some(raw.costs.load_probe),
+        health_check_cost: may_probe.then_some(raw.costs.load_probe),
         connection_cost: raw.costs.connection,
         idle_connection_lifetime: Duration::ZERO,
         max_attempts: raw.caps.max_attempts,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,8 +11,8 @@
 
 pub use error::{Problem, SettingsError};
 
-use larchfall_policy::interface::PolicyConfig;
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::PolicyConfig;
 
 /// What one gateway is given at its start.
 pub struct Settings {
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -2,8 +2,8 @@
 //! with, byte for byte. The texts in `files/refusals.txt` were produced by the version before.
 
 use larchfall_config::{Settings, read};
-use larchfall_policy::interface::{DeduplicationScope, Idempotency, RequestClass};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{DeduplicationScope, Idempotency, RequestClass};
 
 const FILE: &str = include_str!("files/settings.json");
 const REFUSALS: &str = include_str!("files/refusals.txt");
@@ -29,7 +29,7 @@
     assert_eq!((class.priority_weight, class.objective_stretch), (0.5, 2.5));
     assert_eq!((class.latency_objective, class.threads), (ms(900), 2.0));
     let (scope, window) = (DeduplicationScope::Zone, ms(4_000));
-    assert_eq!(class.effect, Idempotency::IdempotentWithKey { scope, window });
+    assert_eq!(class.idempotency, Idempotency::IdempotentWithKey { scope, window });
     assert!(class.in_order && class.locks_data_set && !class.waits_for_data_lock);
     assert_eq!((&class.zones, &class.kinds), (&Some(vec![1]), &Some(vec![0, 1])));
 }
@@ -40,22 +40,22 @@
     let settings = read(FILE.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
     let Settings { policy, names, .. } = &settings;
 
-    assert_eq!((policy.fleet.gateways, policy.fleet.me, policy.fleet.zone), (4, 2, 1));
-    let kinds: Vec<_> = policy.fleet.kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
+    assert_eq!((policy.topology.gateways, policy.topology.gateway_index, policy.topology.zone), (4, 2, 1));
+    let kinds: Vec<_> = policy.topology.kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
     assert_eq!(kinds, [(4.0, 8_192.0), (16.0, 65_536.0)]);
     let [load, look, once] = &policy.classes[..] else { panic!("{:?}", policy.classes) };
     load_class(load);
-    assert_eq!((look.effect, once.effect), (Idempotency::Idempotent, Idempotency::NonIdempotent));
+    assert_eq!((look.idempotency, once.idempotency), (Idempotency::Idempotent, Idempotency::NonIdempotent));
     assert_eq!((look.threads, once.threads), (1.5, 1.0));
     assert!(look.waits_for_data_lock && !look.locks_data_set && !look.in_order && look.zones.is_none());
     let quotas: Vec<f64> = policy.tenants.iter().map(|tenant| tenant.quota_rate).collect();
     assert_eq!(quotas, [12.5, 0.0]);
 
-    let caps = &policy.caps;
+    let caps = &policy.capabilities;
     assert!(
         caps.can_cancel && caps.sets_memory_grant && caps.swaps_when_out_of_memory && !caps.single_attempt
     );
-    assert_eq!((caps.load_probe_cost, caps.connection_cost, caps.max_attempts), (Some(0.002), 0.01, 3));
+    assert_eq!((caps.health_check_cost, caps.connection_cost, caps.max_attempts), (Some(0.002), 0.01, 3));
     assert_eq!((caps.max_retry_after, caps.progress_interval), (Some(ms(500)), Some(ms(250))));
     assert_eq!((caps.clock_step, policy.key_cooldown), (ms(1), ms(700)));
     let slow_start = &policy.slow_start;
--- a/crates/fault-tests/examples/subset_algorithms.rs
+++ b/crates/fault-tests/examples/subset_algorithms.rs
@@ -3,7 +3,7 @@
 //! cargo run --release -p larchfall-fault-tests --example subset_algorithms [GATEWAYS ENGINES SIZE]
 
 use larchfall_fault_tests::gateway_config::gateway_name;
-use larchfall_policy::interface::Engine;
+use larchfall_policy::types::Engine;
 use larchfall_subsetting::plan::{PlanSettings, SubsetPlan};
 use larchfall_subsetting::preference::preference_order;
 use larchfall_subsetting::{Gateway, ReadyEngine, requirements};
@@ -117,11 +117,11 @@
 }
 
 fn bounded(gateways: &[Gateway], engines: &[ReadyEngine], least: usize) -> Chosen {
-    let class = larchfall_policy::interface::RequestClass {
+    let class = larchfall_policy::types::RequestClass {
         priority_weight: 1.0,
         latency_objective: larchfall_policy::time::Duration::ZERO,
         objective_stretch: 0.0,
-        effect: larchfall_policy::interface::Idempotency::Idempotent,
+        idempotency: larchfall_policy::types::Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         locks_data_set: false,
--- a/crates/fault-tests/src/simulation/health_gossip.rs
+++ b/crates/fault-tests/src/simulation/health_gossip.rs
@@ -8,9 +8,9 @@
 use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
 use larchfall_health_gossip::observations::{Observation, Observations, Report};
 use larchfall_policy::event::Evidence;
-use larchfall_policy::interface::*;
 use larchfall_policy::policy::{Policy, TICK};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::*;
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -107,7 +107,7 @@
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(500),
         objective_stretch: 0.0,
-        effect: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         locks_data_set: false,
@@ -117,9 +117,10 @@
     };
     // Cores for all, so that nothing here is about load.
     let kind = EngineKind { cores: gateways.max(8) as f64, memory_mb: 0.0 };
-    let caps = Caps { max_attempts: 3, clock_step: Duration::from_millis(1), ..Caps::default() };
-    let fleet = Fleet { gateways, me: 0, zone: 0, kinds: vec![kind] };
-    PolicyConfig { fleet, classes: vec![class], caps, ..PolicyConfig::default() }
+    let capabilities =
+        Capabilities { max_attempts: 3, clock_step: Duration::from_millis(1), ..Capabilities::default() };
+    let topology = Topology { gateways, gateway_index: 0, zone: 0, kinds: vec![kind] };
+    PolicyConfig { topology, classes: vec![class], capabilities, ..PolicyConfig::default() }
 }
 
 impl Sighted {
@@ -258,8 +259,9 @@
             gateway.sights.record(process(engine), observation, now);
         }
         let seen =
-            larchfall_policy::interface::AttemptEvidence { last: LastObservation::Ended, same_process: true };
-        let answer = AttemptResult { over: good, took: TAKES, ..AttemptResult::bare(outcome, seen) };
+            larchfall_policy::types::AttemptEvidence { last: LastObservation::Ended, same_process: true };
+        let answer =
+            AttemptResult { request_finished: good, took: TAKES, ..AttemptResult::bare(outcome, seen) };
         if gateway.policy.on_attempt_finished(now, b, number, &answer) == AfterAttempt::RouteAgain {
             self.place(i, b, number + 1);
         }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -7,8 +7,8 @@
 use crate::request_context::{RequestContext, ResultReader};
 use crate::state::State;
 use crate::state::policy_handle::AdmissionError;
-use larchfall_policy::interface::{Request, RoutingDecision};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{Request, RoutingDecision};
 use std::sync::Arc;
 use thiserror::Error;
 
--- a/crates/gateway/src/cluster/leases/load_reports.rs
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -10,7 +10,7 @@
 use larchfall_leases::fencing::Fenced;
 use larchfall_leases::load_sharing::{HealthCheck, SharedLoadReport, health_check_role, role_index};
 use larchfall_leases::messages::{Payload, paginate};
-use larchfall_policy::interface::LoadReport;
+use larchfall_policy::types::LoadReport;
 use slog::warn;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -90,7 +90,7 @@
         for reading in accepted {
             increment(&self.counters.load_reports);
             let report =
-                LoadReport { in_hand: reading.in_flight.map(f64::from), busy: reading.busy.map(f64::from) };
+                LoadReport { in_flight: reading.in_flight.map(f64::from), busy: reading.busy.map(f64::from) };
             state.policy.record_shared_load_report(reading.engine, report);
         }
     }
@@ -101,7 +101,7 @@
     SharedLoadReport {
         engine: u64::from(engine),
         age_us: 0,
-        in_flight: narrow(report.in_hand),
+        in_flight: narrow(report.in_flight),
         busy: narrow(report.busy),
     }
 }
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -9,8 +9,8 @@
 use larchfall_leases::load_sharing::{quota_allocator_role, role_index};
 use larchfall_leases::messages::{MemberId, Payload, paginate};
 use larchfall_operator_config::{QuotaConfig, QuotaKinds};
-use larchfall_policy::interface::{RequestClass, SlowStartPolicy};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{RequestClass, SlowStartPolicy};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::{CapacityDemand, Demand};
 use larchfall_quotas::manager::{QuotaManager, QuotaSettings, QuotaStatus, RequestTerms};
@@ -43,7 +43,7 @@
     pub fn new(platform: &Settings) -> QuotaInputs {
         let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
         QuotaInputs {
-            gateways: platform.policy.fleet.gateways,
+            gateways: platform.policy.topology.gateways,
             slow_start: platform.policy.slow_start.clone(),
             classes: platform.policy.classes.clone(),
             tenants: platform.names.tenants.iter().map(tenant).collect(),
--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -3,7 +3,7 @@
 
 use super::Decoded;
 use larchfall_config::Names;
-use larchfall_policy::interface::EngineState;
+use larchfall_policy::types::EngineState;
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/gateway/src/codec/engine_http.rs
+++ b/crates/gateway/src/codec/engine_http.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 as engines speak it: calls that a gateway makes and replies that it reads.
 
 use super::Decoded;
-use larchfall_policy::interface::{LoadReport, ProgressUpdate};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{LoadReport, ProgressUpdate};
 use std::fmt::Display;
 
 /// No engine writes a longer head, or one with more lines.
@@ -202,7 +202,7 @@
         "advance" => Some(ProgressUpdate::Done(value)),
         "disk" => Some(ProgressUpdate::SpillsMb(value)),
         "stall" if value < 1.5 => Some(ProgressUpdate::WaitsForMemory),
-        "stall" => Some(ProgressUpdate::WaitsForHolder),
+        "stall" => Some(ProgressUpdate::WaitsForDataLock),
         _ => None,
     }
 }
@@ -213,7 +213,7 @@
     for (name, value) in text.split(';').filter_map(|part| part.split_once(':')) {
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite());
         match name.trim() {
-            "inflight" | "concurrent" => report.in_hand = value,
+            "inflight" | "concurrent" => report.in_flight = value,
             "util" | "load_share" => report.busy = value,
             _ => {}
         }
--- a/crates/gateway/src/engine/attempt.rs
+++ b/crates/gateway/src/engine/attempt.rs
@@ -9,8 +9,8 @@
 use crate::state::connection_pool::ConnectionPermit;
 use crate::state::engine_table::EngineInstance;
 use larchfall_policy::attempt_ledger::proves_end;
-use larchfall_policy::interface::{AttemptEvidence, AttemptParameters, LastObservation, LoadReport, Outcome};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{AttemptEvidence, AttemptParameters, LastObservation, LoadReport, Outcome};
 use slog::info;
 use std::cell::Cell;
 use std::sync::Arc;
@@ -115,7 +115,7 @@
 
     /// The attempt's timeout, or the end of this gateway when that comes first.
     pub(super) fn deadline(&self) -> Timestamp {
-        let deadline = self.started + self.parameters.time_out;
+        let deadline = self.started + self.parameters.timeout;
         self.state.shutdown.deadline().map_or(deadline, |shutdown| deadline.min(shutdown))
     }
 
@@ -128,7 +128,7 @@
         let wait = PermitWait { timers: &self.state.timers, deadline: self.started + PERMIT_TIMEOUT };
         let permit = self.state.engine_connections.acquire(self.parameters.priority, Some(wait));
         if permit.is_none() {
-            return AttemptEnd::not_sent(Outcome::Moot);
+            return AttemptEnd::not_sent(Outcome::NotSent);
         }
         self.permit.set(permit);
         self.start()
@@ -143,7 +143,7 @@
             };
             if !self.may_start() {
                 self.put_back(Some(connection));
-                return AttemptEnd::not_sent(Outcome::Moot);
+                return AttemptEnd::not_sent(Outcome::NotSent);
             }
             // A call of which nothing left is no attempt: a new connection may carry it.
             match self.call(&mut connection, &self.start_call(), POLL_TIMEOUT) {
@@ -161,7 +161,7 @@
     /// No byte left. An attempt that ran out of time before says nothing of the engine.
     fn not_connected(&self, error: ConnectError) -> AttemptEnd {
         let is_out_of_time = error == ConnectError::Unreachable && self.is_past_deadline();
-        AttemptEnd::not_sent(if is_out_of_time { Outcome::Moot } else { Outcome::ConnectFailed })
+        AttemptEnd::not_sent(if is_out_of_time { Outcome::NotSent } else { Outcome::ConnectFailed })
     }
 
     /// Whether the call may go out now, asked right before each write of it. While it waited for its connection its
--- a/crates/gateway/src/engine/cancellation.rs
+++ b/crates/gateway/src/engine/cancellation.rs
@@ -5,8 +5,8 @@
 use crate::codec::engine_http;
 use crate::state::State;
 use crate::state::engine_table::EngineInstance;
-use larchfall_policy::interface::{AttemptEvidence, LastObservation, Outcome};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{AttemptEvidence, LastObservation, Outcome};
 
 /// Cancelling must not hold up an answer.
 pub(super) const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/engine/load_report.rs
+++ b/crates/gateway/src/engine/load_report.rs
@@ -3,7 +3,7 @@
 use super::connection::connect;
 use crate::codec::engine_http;
 use crate::state::State;
-use larchfall_policy::interface::LoadReport;
+use larchfall_policy::types::LoadReport;
 
 /// Asks an engine for its load report and tells the policy. Attempts come first: where there is no permit, none is
 /// asked for.
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -5,8 +5,8 @@
 use super::connection::{CallError, ConnectError, Connection};
 use crate::codec::engine_http::{self, Reply};
 use crate::state::policy_handle::Disconnection;
-use larchfall_policy::interface::{LastObservation, Outcome, ProgressUpdate, RoutingDecision};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{LastObservation, Outcome, ProgressUpdate, RoutingDecision};
 
 impl Attempt<'_> {
     /// Polls until the attempt's end is known, beginning with the reply to the call that started it.
@@ -86,7 +86,7 @@
     fn on_failure_reply(&self, connection: Option<Connection>, reply: &Reply, cut_offs: usize) -> AttemptEnd {
         self.put_back(keep_if_clean(connection, reply.closes));
         let mut end = if reply.is_declined() {
-            self.end(LastObservation::Declined, Outcome::Full)
+            self.end(LastObservation::Declined, Outcome::Rejected)
         } else if cut_offs == 0 {
             self.end(LastObservation::Ended, Outcome::Errored)
         } else {
@@ -100,7 +100,7 @@
 
     /// The connection was cut. Its first replacement is opened at once, later ones after a pause.
     fn on_cut_off(&self, cut_offs: usize) {
-        self.state.policy.record_progress(self.request, self.number, ProgressUpdate::CutOff);
+        self.state.policy.record_progress(self.request, self.number, ProgressUpdate::ConnectionLost);
         let pause = RETRY_PAUSE.min(self.deadline().since(self.state.clock.now()));
         if pause > Duration::ZERO && cut_offs > 1 {
             self.state.sleep(pause);
--- a/crates/gateway/src/engine/result_pages.rs
+++ b/crates/gateway/src/engine/result_pages.rs
@@ -4,8 +4,8 @@
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::Connection;
 use crate::codec::engine_http::{self, Reply};
-use larchfall_policy::interface::{LastObservation, LoadReport, Outcome, ProgressUpdate};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{LastObservation, LoadReport, Outcome, ProgressUpdate};
 use slog::warn;
 
 /// An engine holds no page back.
@@ -112,7 +112,11 @@
                 // Another reply than the one asked for: a duplicate of one that came before.
                 _ => {
                     drop(connection.take());
-                    self.state.policy.record_progress(self.request, self.number, ProgressUpdate::CutOff);
+                    self.state.policy.record_progress(
+                        self.request,
+                        self.number,
+                        ProgressUpdate::ConnectionLost,
+                    );
                 }
             }
         }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -4,8 +4,8 @@
 use crate::engine::attempt::{Attempt, AttemptEnd};
 use crate::request_context::{FinalAnswer, RequestContext};
 use crate::state::State;
-use larchfall_policy::interface::{AfterAttempt, AttemptParameters, AttemptResult, Outcome, RoutingDecision};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{AfterAttempt, AttemptParameters, AttemptResult, Outcome, RoutingDecision};
 use slog::warn;
 use std::sync::Arc;
 
@@ -64,7 +64,7 @@
     parameters: AttemptParameters,
 ) -> AfterAttempt {
     let attempt = Attempt::new(state, context, request, number, parameters);
-    let mut end = attempt.as_ref().map_or_else(|| AttemptEnd::not_sent(Outcome::Moot), Attempt::run);
+    let mut end = attempt.as_ref().map_or_else(|| AttemptEnd::not_sent(Outcome::NotSent), Attempt::run);
     let took = attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.started));
     if let Some(attempt) = attempt.as_ref().filter(|_| end.is_unsettled) {
         // The answer is due now; the end of what is in flight may come later.
@@ -85,8 +85,8 @@
     let result = AttemptResult {
         outcome: end.outcome,
         took,
-        over: is_over,
-        seen: end.evidence,
+        request_finished: is_over,
+        evidence: end.evidence,
         work: None,
         report: end.report,
     };
--- a/crates/gateway/src/startup/state.rs
+++ b/crates/gateway/src/startup/state.rs
@@ -16,8 +16,8 @@
 use crate::state::timers::Timers;
 use larchfall_config::Settings;
 use larchfall_leases::load_sharing::{LoadReportSharing, LoadSharingSettings};
-use larchfall_policy::interface::{Caps, PolicyConfig};
 use larchfall_policy::policy::Policy;
+use larchfall_policy::types::{Capabilities, PolicyConfig};
 use slog::Logger;
 use std::sync::{Arc, Mutex};
 
@@ -35,15 +35,15 @@
 pub(super) fn build(settings: StateSettings) -> State {
     let StateSettings { platform, limits, seed, log, load_sharing, clock } = settings;
     let settings = TransportSettings::new(&platform);
-    let caps = Caps {
+    let capabilities = Capabilities {
         unobserved_attempt_lifetime: Some(UNOBSERVED_ATTEMPT_LIFETIME),
         idle_connection_lifetime: ConnectionPool::idle_lifetime(platform.engine_idle_timeout),
         endpoint_list_lifetime: Some(discovery::REPORTED_WITHIN + platform.drain_grace),
         single_attempt: platform.single_attempt,
-        ..platform.policy.caps
+        ..platform.policy.capabilities
     };
     let timers = Arc::new(Timers::new(clock));
-    let policy = Policy::new(seed, PolicyConfig { caps, ..platform.policy });
+    let policy = Policy::new(seed, PolicyConfig { capabilities, ..platform.policy });
     State {
         clock,
         stall_detector: StallDetector::start(clock.now()),
--- a/crates/gateway/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -2,7 +2,7 @@
 
 use super::lock;
 use crate::request_context::FinalAnswer;
-use larchfall_policy::interface::Outcome;
+use larchfall_policy::types::Outcome;
 use std::sync::Mutex;
 
 /// Counters of one request class.
@@ -72,12 +72,12 @@
 const OUTCOME_LABELS: [OutcomeLabel; 8] = [
     labelled(Outcome::Returned, "returned"),
     labelled(Outcome::Errored, "errored"),
-    labelled(Outcome::Full, "full"),
+    labelled(Outcome::Rejected, "full"),
     labelled(Outcome::TimedOut, "timed_out"),
     labelled(Outcome::ConnectFailed, "connect_failed"),
     labelled(Outcome::Reset, "reset"),
     labelled(Outcome::Cancelled, "cancelled"),
-    labelled(Outcome::Moot, "not_sent"),
+    labelled(Outcome::NotSent, "not_sent"),
 ];
 
 impl Counters {
--- a/crates/gateway/src/state/engine_table.rs
+++ b/crates/gateway/src/state/engine_table.rs
@@ -2,8 +2,8 @@
 
 use crate::codec::discovery::{EndpointEntry, WatchEvent};
 use larchfall_health_gossip::EngineProcess;
-use larchfall_policy::interface::{Engine, EngineState};
 use larchfall_policy::time::Timestamp;
+use larchfall_policy::types::{Engine, EngineState};
 use slab::Slab;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
--- a/crates/gateway/src/state/policy_handle/capacity.rs
+++ b/crates/gateway/src/state/policy_handle/capacity.rs
@@ -1,7 +1,7 @@
 //! How much of which engine this gateway may use: its subset, and its quotas of what gateways share.
 
 use super::{Decisions, PolicyHandle};
-use larchfall_policy::interface::{Engine, SlowStartPolicy};
+use larchfall_policy::types::{Engine, SlowStartPolicy};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::Arrivals;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/src/state/policy_handle/engines.rs
+++ b/crates/gateway/src/state/policy_handle/engines.rs
@@ -4,8 +4,8 @@
 use crate::codec::discovery::WatchEvent;
 use crate::state::engine_table::{EngineInstance, ReadyEngine};
 use larchfall_health_gossip::EngineProcess;
-use larchfall_policy::interface::{EngineHealth, EngineState, LoadReport};
 use larchfall_policy::time::Timestamp;
+use larchfall_policy::types::{EngineHealth, EngineState, LoadReport};
 
 /// An engine that is listed and not gone, with what this gateway makes of it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -6,7 +6,7 @@
 use larchfall_health_gossip::counts::ProcessCounts;
 use larchfall_health_gossip::observations::{Observation, Observations, Report};
 use larchfall_policy::event::Evidence;
-use larchfall_policy::interface::Outcome;
+use larchfall_policy::types::Outcome;
 
 impl PolicyHandle {
     /// From now on observations are kept, of at most so many processes.
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -3,7 +3,7 @@
 use super::in_flight::{AdmissionError, Disconnection};
 use super::{Decisions, PolicyHandle};
 use crate::state::engine_table::EngineInstance;
-use larchfall_policy::interface::{AfterAttempt, AttemptResult, ProgressUpdate, Request, RoutingDecision};
+use larchfall_policy::types::{AfterAttempt, AttemptResult, ProgressUpdate, Request, RoutingDecision};
 use may::sync::Blocker;
 
 impl PolicyHandle {
--- a/crates/gateway/src/state/settings.rs
+++ b/crates/gateway/src/state/settings.rs
@@ -1,8 +1,8 @@
 //! What the transport needs of the platform's settings, worked out once at the start.
 
 use larchfall_config::{Names, Settings};
-use larchfall_policy::interface::Idempotency;
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::Idempotency;
 
 /// What was routed longer ago is not sent to an engine that drains by now: its grace period runs. Nor is anything in
 /// the later part of that grace period.
@@ -53,7 +53,7 @@
             .map(|(class, max_deadline)| ClassSettings {
                 max_deadline: *max_deadline,
                 in_order: class.in_order,
-                requires_idempotency_key: matches!(class.effect, Idempotency::IdempotentWithKey { .. }),
+                requires_idempotency_key: matches!(class.idempotency, Idempotency::IdempotentWithKey { .. }),
             })
             .collect();
         let longest = settings.max_deadlines.iter().max().copied().unwrap_or_default();
@@ -61,7 +61,7 @@
             names: settings.names.clone(),
             classes,
             single_attempt: settings.single_attempt,
-            max_retry_after: settings.policy.caps.max_retry_after,
+            max_retry_after: settings.policy.capabilities.max_retry_after,
             connect_timeout: settings.connect_timeout,
             drain_send_window: MAX_DRAIN_SEND_WINDOW.min(settings.drain_grace * DRAIN_SEND_FRACTION),
             unread_response_timeout: UNREAD_RESPONSE_TIMEOUT.max(longest + LATE_RESPONSE_GRACE),
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -6,8 +6,8 @@
 use crate::state::State;
 use larchfall_config::Settings;
 use larchfall_operator_config::SubsettingConfig;
-use larchfall_policy::interface::{EngineHealth, Fleet, RequestClass};
 use larchfall_policy::time::Timestamp;
+use larchfall_policy::types::{EngineHealth, RequestClass, Topology};
 use larchfall_subsetting::aperture::{Aperture, SubsetHealth};
 use larchfall_subsetting::plan::SubsetPlan;
 use larchfall_subsetting::{Gateway, ReadyEngine, requirements};
@@ -26,14 +26,14 @@
     settings: SubsettingConfig,
     classes: Vec<RequestClass>,
     /// How many gateways the platform's settings name and which is this one: what counts without membership.
-    fleet: Fleet,
+    topology: Topology,
 }
 
 impl Subsetting {
     /// With the operator's settings and the platform's.
     pub fn new(settings: SubsettingConfig, platform: &Settings) -> Subsetting {
         let policy = &platform.policy;
-        Subsetting { settings, classes: policy.classes.clone(), fleet: policy.fleet.clone() }
+        Subsetting { settings, classes: policy.classes.clone(), topology: policy.topology.clone() }
     }
 
     fn members(&self, state: &State, cluster: Option<&Cluster>) -> Members {
@@ -41,8 +41,8 @@
             // The platform's settings say nothing of zones.
             let numbered = |number: usize| Gateway { key: number as u64, zone: None };
             return Members {
-                me: numbered(self.fleet.me),
-                alive: (0..self.fleet.gateways.max(1)).map(numbered).collect(),
+                me: numbered(self.topology.gateway_index),
+                alive: (0..self.topology.gateways.max(1)).map(numbered).collect(),
             };
         };
         let zone_index = |zone: &str| state.settings.names.zones.iter().position(|known| known == zone);
--- a/crates/gateway/tests/gateway/codecs/discovery.rs
+++ b/crates/gateway/tests/gateway/codecs/discovery.rs
@@ -4,7 +4,7 @@
 use larchfall_gateway::codec::discovery::{
     EndpointEntry, Frame, Known, WatchEvent, decode, encode_watch, known_events,
 };
-use larchfall_policy::interface::EngineState;
+use larchfall_policy::types::EngineState;
 use larchfall_stub::discovery::{Endpoint, frame};
 
 fn names() -> Names {
--- a/crates/gateway/tests/gateway/codecs/engine_http.rs
+++ b/crates/gateway/tests/gateway/codecs/engine_http.rs
@@ -3,8 +3,8 @@
 use larchfall_gateway::codec::engine_http::{
     Reply, StatementCall, cancel_statement, decode, fetch_page, start_statement,
 };
-use larchfall_policy::interface::{LoadReport, ProgressUpdate};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{LoadReport, ProgressUpdate};
 
 #[test]
 fn calls_to_engines_hold_what_they_are_given_unchanged() {
@@ -49,7 +49,7 @@
             b"HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Stats: inflight:7;util:0.61\r\nContent-Length: 4\r\n\r\n1\ta\n",
             Ok(Some(Reply {
                 page_count: Some(2),
-                load: LoadReport { in_hand: Some(7.0), busy: Some(0.61) },
+                load: LoadReport { in_flight: Some(7.0), busy: Some(0.61) },
                 body: b"1\ta\n".to_vec(),
                 ..reply(200)
             })),
@@ -64,7 +64,7 @@
         ),
         (
             b"HTTP/1.1 202 OK\r\nX-Result: stall\r\nFigure: 2\r\nContent-Length: 0\r\n\r\n",
-            Ok(Some(Reply { progress: Some(ProgressUpdate::WaitsForHolder), ..reply(202) })),
+            Ok(Some(Reply { progress: Some(ProgressUpdate::WaitsForDataLock), ..reply(202) })),
         ),
         (
             b"HTTP/1.1 202 OK\r\nX-Result: dance\r\nFigure: nan\r\nContent-Length: 0\r\n\r\n",
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -9,8 +9,8 @@
 use larchfall_gateway::state::limits::Limits;
 use larchfall_gateway::state::response_writer::{IdCheck, MAX_OPEN_REQUESTS};
 use larchfall_gateway::state::stall_detector::StallDetector;
-use larchfall_policy::interface::{EngineState, Outcome};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{EngineState, Outcome};
 use may::io::WaitIo;
 use std::net::{SocketAddrV4, TcpListener};
 
@@ -208,7 +208,7 @@
     let counters = Counters::new(2);
     counters.update_class(0, |class| class.admitted += 2);
     counters.record_outcome(1, Outcome::Reset);
-    counters.record_outcome(1, Outcome::Moot);
+    counters.record_outcome(1, Outcome::NotSent);
     counters.update_class(9, |class| class.admitted += 1);
     let lines = counters.log_lines(&["a".into(), "b".into()]);
     assert!(
--- a/crates/health-gossip/src/observations.rs
+++ b/crates/health-gossip/src/observations.rs
@@ -3,8 +3,8 @@
 
 use crate::EngineProcess;
 use crate::counts::{DecayedOutcomes, OutcomeCounts, ProcessCounts};
-use larchfall_policy::interface::Outcome;
 use larchfall_policy::time::Timestamp;
+use larchfall_policy::types::Outcome;
 use std::collections::BTreeMap;
 
 /// A change goes into this many reports one after the other; then it takes turns with all others.
@@ -27,7 +27,7 @@
         match outcome {
             Outcome::Returned => Some(Observation::Answered),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored => Some(Observation::Failed),
-            Outcome::Full | Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => None,
+            Outcome::Rejected | Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => None,
         }
     }
 }
--- a/crates/policy/src/engine_record.rs
+++ b/crates/policy/src/engine_record.rs
@@ -89,7 +89,7 @@
             Outcome::Returned => Some(false),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored => Some(true),
             Outcome::TimedOut if self.heard_time <= sent_time => Some(true),
-            Outcome::TimedOut | Outcome::Full | Outcome::Cancelled | Outcome::Moot => None,
+            Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => None,
         }
     }
 
@@ -98,7 +98,7 @@
         if matches!(outcome, Outcome::Returned | Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored) {
             self.heard_time = now;
         }
-        if matches!(outcome, Outcome::Returned | Outcome::Errored | Outcome::Full) {
+        if matches!(outcome, Outcome::Returned | Outcome::Errored | Outcome::Rejected) {
             self.connection_idle_since = Some(now);
         }
     }
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -7,7 +7,7 @@
 use crate::request_record::RequestRecord;
 use crate::slow_start::SlowStartGate;
 use crate::time::Timestamp;
-use crate::types::{Caps, Fleet, Idempotency, RequestClass, SlowStartPolicy};
+use crate::types::{Capabilities, Idempotency, RequestClass, SlowStartPolicy, Topology};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
@@ -27,8 +27,8 @@
 pub(crate) struct EngineSelection<'a> {
     pub record: &'a RequestRecord,
     pub class: &'a RequestClass,
-    pub caps: &'a Caps,
-    pub fleet: &'a Fleet,
+    pub capabilities: &'a Capabilities,
+    pub topology: &'a Topology,
     pub slow_start: SlowStartGate<'a>,
     pub now: Timestamp,
 }
@@ -89,7 +89,7 @@
 
     fn is_eligible(&self, engine: &mut EngineRecord, ejected: bool, pool: &CapacityPool) -> bool {
         // A probe is a request that may run again.
-        let may_probe = self.class.effect == Idempotency::Idempotent && !engine.awaits_probe_slot;
+        let may_probe = self.class.idempotency == Idempotency::Idempotent && !engine.awaits_probe_slot;
         if ejected && !(may_probe && engine.outliers.is_probe_due(self.now)) {
             return false;
         }
@@ -99,11 +99,11 @@
         }
         let first_run = self.record.first_run;
         if !idempotency::allows_attempt(
-            self.class.effect,
+            self.class.idempotency,
             first_run,
             &engine.listed,
             self.now,
-            self.caps.clock_step,
+            self.capabilities.clock_step,
         ) {
             return false;
         }
@@ -115,11 +115,12 @@
         let request = &self.record.request;
         // Of two kinds the one whose pool is less full: a class bound to one kind leaves the other idle.
         let spare_fraction = pool.spare_fraction() * engine.limit.peer_load_fraction();
-        let has_idle_connection = engine.has_idle_connection(self.caps.idle_connection_lifetime, self.now);
+        let has_idle_connection =
+            engine.has_idle_connection(self.capabilities.idle_connection_lifetime, self.now);
         let cached = if engine.cached.contains(request.data_set) { CACHED_DATA_SET_WORTH } else { 0.0 };
-        let same_zone = if engine.listed.zone == self.fleet.zone { SAME_ZONE_WORTH } else { 0.0 };
+        let same_zone = if engine.listed.zone == self.topology.zone { SAME_ZONE_WORTH } else { 0.0 };
         let idle_connection =
-            if has_idle_connection { IDLE_CONNECTION_WORTH * self.caps.connection_cost } else { 0.0 };
+            if has_idle_connection { IDLE_CONNECTION_WORTH * self.capabilities.connection_cost } else { 0.0 };
         let probe_overdue =
             if ejected { engine.outliers.probe_overdue(self.now).secs() * OVERDUE_PROBE_WORTH } else { 0.0 };
         let penalty = if self.is_last_resort(index, engine) { LAST_RESORT_PENALTY } else { 0.0 };
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -33,5 +33,3 @@
 pub mod time;
 pub mod types;
 mod work_estimate;
-
-pub use types as interface;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -26,8 +26,8 @@
 use crate::tenant_quota::TenantQuota;
 use crate::time::{Duration, Timestamp};
 use crate::types::{
-    AttemptParameters, Caps, DeduplicationScope, Engine, EngineHealth, Fleet, Idempotency, LoadReport,
-    PolicyConfig, ProgressUpdate, Request, RoutingDecision, SlowStartPolicy,
+    AttemptParameters, Capabilities, DeduplicationScope, Engine, EngineHealth, Idempotency, LoadReport,
+    PolicyConfig, ProgressUpdate, Request, RoutingDecision, SlowStartPolicy, Topology,
 };
 use nanorand::WyRand;
 use std::collections::BTreeMap;
@@ -41,8 +41,8 @@
 
 /// All decisions of one gateway.
 pub struct Policy {
-    fleet: Fleet,
-    caps: Caps,
+    topology: Topology,
+    capabilities: Capabilities,
     slow_start: SlowStartPolicy,
     classes: ClassTable,
     tenants: Vec<TenantQuota>,
@@ -67,16 +67,16 @@
 impl Policy {
     /// A policy without engines; the seed decides ties and which engines are checked.
     pub fn new(seed: u64, config: PolicyConfig) -> Policy {
-        let mut fleet = config.fleet;
-        fleet.gateways = fleet.gateways.max(1);
-        let unobserved_lifetime = config.caps.unobserved_attempt_lifetime.unwrap_or_default();
+        let mut topology = config.topology;
+        topology.gateways = topology.gateways.max(1);
+        let unobserved_lifetime = config.capabilities.unobserved_attempt_lifetime.unwrap_or_default();
         Policy {
-            fleet,
+            topology,
             classes: ClassTable::new(config.classes),
             tenants: config.tenants.into_iter().map(|tenant| TenantQuota::new(tenant.quota_rate)).collect(),
             retry_budget: RetryBudget::new(config.retry_budget),
             key_order: KeyOrder::new(config.key_cooldown, unobserved_lifetime),
-            caps: config.caps,
+            capabilities: config.capabilities,
             slow_start: config.slow_start,
             engines: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -100,7 +100,7 @@
 
     /// Rule 3: whether the list of engines is recent enough. A list that nobody stands by any more opens no engine.
     pub fn is_endpoint_list_current(&self, now: Timestamp) -> bool {
-        self.endpoint_list.is_current(self.caps.endpoint_list_lifetime, now)
+        self.endpoint_list.is_current(self.capabilities.endpoint_list_lifetime, now)
     }
 
     /// The endpoint list has this entry for an engine.
@@ -111,7 +111,8 @@
             return;
         }
         let wanted_threads = self.classes.wanted_threads();
-        let limit = ConcurrencyLimit::new(self.fleet.cores(&listed), self.fleet.gateways, &wanted_threads);
+        let limit =
+            ConcurrencyLimit::new(self.topology.cores(&listed), self.topology.gateways, &wanted_threads);
         self.engines.insert(engine, EngineRecord::new(listed, limit, now));
     }
 
@@ -177,8 +178,8 @@
         let live = |other: &&AttemptInFlight| other.number == attempt && !other.cancelled;
         let Some(attempt) = record.in_flight.iter().find(live) else { return false };
         let Some(engine) = self.engines.get(&attempt.engine) else { return false };
-        let idempotency = self.classes.settings(record.request.class).effect;
-        let step = self.caps.clock_step;
+        let idempotency = self.classes.settings(record.request.class).idempotency;
+        let step = self.capabilities.clock_step;
         self.is_endpoint_list_current(now)
             && idempotency::allows_attempt(idempotency, record.first_run, &engine.listed, now, step)
     }
@@ -188,15 +189,15 @@
         let Some(record) = self.requests.get_mut(&request) else { return };
         let data_set = record.request.data_set;
         let Some(attempt) = record.attempt_mut(attempt) else { return };
-        if update == ProgressUpdate::CutOff {
+        if update == ProgressUpdate::ConnectionLost {
             attempt.connection_lost = true;
             return;
         }
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
         attempt.record_progress(update, now);
         engine.heard_time = now;
-        if update == ProgressUpdate::WaitsForHolder {
-            let until = now + self.caps.progress_interval.unwrap_or_default();
+        if update == ProgressUpdate::WaitsForDataLock {
+            let until = now + self.capabilities.progress_interval.unwrap_or_default();
             engine.locks.record_reported(data_set, until);
         }
     }
@@ -213,7 +214,7 @@
 
     /// The client is gone, and may be back at once: what is in flight works for nobody. The attempts to cancel.
     pub fn on_client_disconnected(&mut self, request: usize) -> Vec<u8> {
-        let record = self.requests.get_mut(&request).filter(|_| self.caps.can_cancel);
+        let record = self.requests.get_mut(&request).filter(|_| self.capabilities.can_cancel);
         let cancelled = record.map(RequestRecord::cancel_attempts).unwrap_or_default();
         self.finish(request);
         cancelled
@@ -225,7 +226,7 @@
         let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
             return RoutingDecision::Wait;
         };
-        let idempotency = self.classes.settings(record.request.class).effect;
+        let idempotency = self.classes.settings(record.request.class).idempotency;
         // Rule 2: a rejection says that trying again is harmless.
         let never_ran = record.first_run.is_none() && record.in_flight.is_empty();
         let harmless = never_ran
@@ -235,13 +236,17 @@
                     | Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. }
             );
         self.finish(request);
-        if harmless { RoutingDecision::Reject(self.caps.max_retry_after) } else { RoutingDecision::Fail }
+        if harmless {
+            RoutingDecision::Reject(self.capabilities.max_retry_after)
+        } else {
+            RoutingDecision::Fail
+        }
     }
 
     /// So many gateways count from now on: by them engines are divided evenly.
     pub fn set_gateway_count(&mut self, gateways: usize) {
-        self.fleet.gateways = gateways.max(1);
-        let fraction = 1.0 / self.fleet.gateways as f64;
+        self.topology.gateways = gateways.max(1);
+        let fraction = 1.0 / self.topology.gateways as f64;
         for engine in self.engines.values_mut() {
             engine.limit.set_gateway_fraction(fraction);
         }
@@ -251,7 +256,7 @@
     pub fn set_engine_quota(&mut self, engine: usize, slow_start: Option<f64>, threads: Option<f64>) {
         let Some(engine) = self.engines.get_mut(&engine) else { return };
         engine.slow_start_fraction = slow_start;
-        engine.limit.set_gateway_fraction(threads.unwrap_or(1.0 / self.fleet.gateways as f64));
+        engine.limit.set_gateway_fraction(threads.unwrap_or(1.0 / self.topology.gateways as f64));
     }
 
     /// Whether an engine is within the subset that this gateway uses.
@@ -293,7 +298,7 @@
 
     /// Engines to ask for a load report now.
     pub fn health_checks(&mut self) -> Vec<usize> {
-        let Some(cost) = self.caps.load_probe_cost else { return Vec::new() };
+        let Some(cost) = self.capabilities.health_check_cost else { return Vec::new() };
         let used = self.engines.iter().filter(|(_, engine)| engine.is_used());
         let candidate = |(engine, record): (&usize, &EngineRecord)| CheckCandidate {
             engine: *engine,
@@ -307,11 +312,11 @@
     pub fn on_load_report(&mut self, now: Timestamp, engine: usize, report: LoadReport) {
         let Some(engine) = self.engines.get_mut(&engine) else { return };
         let own = engine.limit.attempts_in_flight() as f64;
-        if let Some(all) = report.in_hand.filter(|all| *all > 0.0) {
+        if let Some(all) = report.in_flight.filter(|all| *all > 0.0) {
             self.traffic.record(own, all);
         }
-        let cores = self.fleet.cores(&engine.listed);
-        let peer_load = report.in_hand.map(|all| (all - own).max(0.0) / cores);
+        let cores = self.topology.cores(&engine.listed);
+        let peer_load = report.in_flight.map(|all| (all - own).max(0.0) / cores);
         if let Some(load) = peer_load.or(report.busy) {
             engine.load.record(load, &mut self.mean_reported_load, now);
         }
@@ -336,11 +341,11 @@
 
     /// This gateway's part of all traffic.
     fn traffic_fraction(&self) -> f64 {
-        self.traffic.value(self.fleet.gateways)
+        self.traffic.value(self.topology.gateways)
     }
 
     fn last_answer_time(&self, record: &RequestRecord) -> Timestamp {
-        deadline::last_answer_time(record.request.deadline, self.caps.clock_step)
+        deadline::last_answer_time(record.request.deadline, self.capabilities.clock_step)
     }
 
     /// Whether one more attempt of a request is allowed; the first always is.
@@ -349,7 +354,7 @@
         if record.attempts_made == 0 {
             return true;
         }
-        let max_attempts = self.caps.max_attempts.min(1 + MAX_RETRIES);
+        let max_attempts = self.capabilities.max_attempts.min(1 + MAX_RETRIES);
         let exhausted = record.may_still_run || record.attempts_made >= max_attempts;
         !self.overloaded && !exhausted && self.retry_budget.allows_retry(now)
     }
@@ -362,7 +367,7 @@
         let mix = self.classes.mix();
         let slow_start = SlowStartGate {
             policy: &self.slow_start,
-            fleet: &self.fleet,
+            topology: &self.topology,
             mix: &mix,
             class: record.request.class,
             joined_time: self.joined_time.unwrap_or(now),
@@ -371,8 +376,8 @@
         let selection = EngineSelection {
             record,
             class: self.classes.settings(record.request.class),
-            caps: &self.caps,
-            fleet: &self.fleet,
+            capabilities: &self.capabilities,
+            topology: &self.topology,
             slow_start,
             now,
         };
@@ -397,7 +402,7 @@
         if self.slow_start.capacity_factor(target.listed.started, now) < 1.0 {
             target.slow_start.record(self.classes.work(class).mean(), now);
         }
-        let memory_estimate = record.request.memory_mb.filter(|_| self.caps.sets_memory_grant);
+        let memory_estimate = record.request.memory_mb.filter(|_| self.capabilities.sets_memory_grant);
         let memory_mb = memory_estimate.map(|estimate| self.classes.memory(class).grant_mb(estimate));
         record.in_flight.push(AttemptInFlight {
             number,
@@ -416,7 +421,7 @@
         }
         RoutingDecision::Send(AttemptParameters {
             engine,
-            time_out: deadline::attempt_timeout(record.request.deadline, now, self.caps.clock_step),
+            timeout: deadline::attempt_timeout(record.request.deadline, now, self.capabilities.clock_step),
             memory_mb,
             priority: self.classes.wire_priority(class),
         })
@@ -428,7 +433,7 @@
         let work = self.classes.work(class);
         let off_estimate_after = work.off_estimate_after(record.work, self.classes.threads(class));
         let settings = self.classes.settings(class);
-        cancellation::cancel_one(record, settings, off_estimate_after, &self.caps, &self.engines, now)
+        cancellation::cancel_one(record, settings, off_estimate_after, &self.capabilities, &self.engines, now)
             .map_or(RoutingDecision::Wait, RoutingDecision::CancelAttempt)
     }
 
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -29,11 +29,11 @@
         if result.outcome == Outcome::Returned && !record.finished {
             self.retry_budget.record_returned(record.admitted_time, now);
         }
-        record.finished |= result.over;
-        record.may_still_run |= self.caps.single_attempt && !proves_end(result.seen);
+        record.finished |= result.request_finished;
+        record.may_still_run |= self.capabilities.single_attempt && !proves_end(result.evidence);
         if let Some(key) = record.request.key {
             let uncertain = matches!(result.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-            self.key_order.on_attempt_finished(key, request, number, result.seen, uncertain, now);
+            self.key_order.on_attempt_finished(key, request, number, result.evidence, uncertain, now);
         }
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return AfterAttempt::Finished };
         if !never_ran(result) {
@@ -71,8 +71,8 @@
 /// Rule 2's first question. What was cut off, then rejected on another connection may still arrive.
 fn never_ran(result: &AttemptResult) -> bool {
     match result.outcome {
-        Outcome::ConnectFailed | Outcome::Moot => true,
-        Outcome::Full => result.seen.same_process,
+        Outcome::ConnectFailed | Outcome::NotSent => true,
+        Outcome::Rejected => result.evidence.same_process,
         Outcome::Returned | Outcome::Errored | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
             false
         }
@@ -118,14 +118,14 @@
             record_slowdown(engine, attempt, result, &observed, mean_slowdown, now);
             classes.work_mut(class).record_answer(&observed);
         }
-        Outcome::Full => engine.limit.signal.record_rejection(),
+        Outcome::Rejected => engine.limit.signal.record_rejection(),
         Outcome::TimedOut if !attempt.waited_for_lock => engine.limit.signal.record_rejection(),
         Outcome::TimedOut
         | Outcome::Errored
         | Outcome::ConnectFailed
         | Outcome::Reset
         | Outcome::Cancelled
-        | Outcome::Moot => {}
+        | Outcome::NotSent => {}
     }
 }
 
@@ -139,7 +139,7 @@
     now: Timestamp,
 ) {
     let Some(work) = observed.reported else { return };
-    if attempt.waited_for_lock || result.report.in_hand.is_some() {
+    if attempt.waited_for_lock || result.report.in_flight.is_some() {
         return;
     }
     let slowdown = observed.thread_seconds / work.secs().max(0.001);
--- a/crates/policy/src/policy/tick.rs
+++ b/crates/policy/src/policy/tick.rs
@@ -43,7 +43,7 @@
 
     /// What is in flight past its objective is late before it answers: an overfull engine answers nothing at all.
     fn review_in_flight(&mut self, now: Timestamp) {
-        let overdue_after = update_overdue_after(&self.caps);
+        let overdue_after = update_overdue_after(&self.capabilities);
         for record in self.requests.values() {
             let class = record.request.class;
             let objective = self.classes.settings(class).objective_for(record.work);
@@ -107,7 +107,7 @@
     }
 
     fn review_endpoint_list(&mut self, now: Timestamp) {
-        match self.endpoint_list.take_change(self.caps.endpoint_list_lifetime, now) {
+        match self.endpoint_list.take_change(self.capabilities.endpoint_list_lifetime, now) {
             Some(true) => self.events.push(PolicyEvent::EndpointListExpired),
             Some(false) => self.events.push(PolicyEvent::EndpointListCurrent),
             None => {}
--- a/crates/policy/src/request_record.rs
+++ b/crates/policy/src/request_record.rs
@@ -38,8 +38,8 @@
                 self.predicted_duration = Some(elapsed * fraction.min(1.0).recip());
             }
             ProgressUpdate::SpillsMb(_) => self.spilled = true,
-            ProgressUpdate::WaitsForHolder => self.waited_for_lock = true,
-            ProgressUpdate::Done(_) | ProgressUpdate::WaitsForMemory | ProgressUpdate::CutOff => {}
+            ProgressUpdate::WaitsForDataLock => self.waited_for_lock = true,
+            ProgressUpdate::Done(_) | ProgressUpdate::WaitsForMemory | ProgressUpdate::ConnectionLost => {}
         }
     }
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -4,7 +4,7 @@
 //! part of the budget, and what is larger than that part goes out by slots that only some gateways hold at a time.
 
 use crate::time::{Duration, Timestamp};
-use crate::types::{Engine, Fleet, SlowStartPolicy};
+use crate::types::{Engine, SlowStartPolicy, Topology};
 use std::collections::VecDeque;
 
 /// Part of its budget that a gateway spends: estimates of work scatter.
@@ -56,7 +56,7 @@
 /// What one gateway knows when it decides on a request to an engine in slow start.
 pub(crate) struct SlowStartGate<'a> {
     pub policy: &'a SlowStartPolicy,
-    pub fleet: &'a Fleet,
+    pub topology: &'a Topology,
     pub mix: &'a [ClassMix],
     /// The request's class within the mix.
     pub class: usize,
@@ -75,12 +75,12 @@
     ) -> bool {
         let capacity_factor = self.policy.capacity_factor(engine.started, self.now);
         let window = self.policy.window;
-        let cores = self.fleet.cores(engine);
+        let cores = self.topology.cores(engine);
         let budget = self.policy.multiple * capacity_factor * cores * CORE_UTILIZATION * window.secs();
         if capacity_factor >= 1.0 || budget <= 0.0 {
             return true;
         }
-        let fraction = assigned_fraction.unwrap_or(1.0 / self.fleet.gateways as f64);
+        let fraction = assigned_fraction.unwrap_or(1.0 / self.topology.gateways as f64);
         // A process before this one may have sent there what it does not know of.
         let unknown = engine.started < Some(self.joined_time) && self.now.since(self.joined_time) < window;
         let own_budget = budget * fraction;
@@ -89,7 +89,7 @@
     }
 
     fn holds_slot(&self, engine: &Engine, budget: f64, own_budget: f64, fraction: f64) -> bool {
-        let gateways = self.fleet.gateways as f64;
+        let gateways = self.topology.gateways as f64;
         let window = self.policy.window;
         let holders_per_window = self.mix[self.class].requests * slot_holders(budget, own_budget, self.mix);
         let age = engine.started.map_or(Duration::ZERO, |started| self.now.since(started));
@@ -97,7 +97,7 @@
         let holders_per_slot = holders_per_window * SLOT_FRACTION * fraction * gateways;
         let holders = ((slot + 1.0) * holders_per_slot).floor() - (slot * holders_per_slot).floor();
         let offset = slot * (SLOT_STEP * gateways).round();
-        (self.fleet.me as f64 + offset) % gateways < holders
+        (self.topology.gateway_index as f64 + offset) % gateways < holders
     }
 }
 
--- a/crates/policy/src/types/attempt.rs
+++ b/crates/policy/src/types/attempt.rs
@@ -10,7 +10,7 @@
     /// The engine answered with an error.
     Errored,
     /// Rejected unseen, for lack of room.
-    Full,
+    Rejected,
     /// No end within its time.
     TimedOut,
     /// No connection: it never ran.
@@ -20,7 +20,7 @@
     /// Cancelled by the gateway.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// What was last observed of an attempt.
@@ -62,9 +62,9 @@
     /// How long it took.
     pub took: Duration,
     /// Set once the request has finished, by this outcome or before it.
-    pub over: bool,
+    pub request_finished: bool,
     /// What was last observed of it.
-    pub seen: AttemptEvidence,
+    pub evidence: AttemptEvidence,
     /// The work that the request needed, where answers report it.
     pub work: Option<Duration>,
     /// The engine's load, where answers report it.
@@ -73,12 +73,12 @@
 
 impl AttemptResult {
     /// One that tells nothing but how the attempt ended, and finishes its request.
-    pub fn bare(outcome: Outcome, seen: AttemptEvidence) -> AttemptResult {
+    pub fn bare(outcome: Outcome, evidence: AttemptEvidence) -> AttemptResult {
         AttemptResult {
             outcome,
             took: Duration::ZERO,
-            over: true,
-            seen,
+            request_finished: true,
+            evidence,
             work: None,
             report: LoadReport::default(),
         }
@@ -89,7 +89,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests that it has.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Fraction of its cores that are busy, in 0..=1.
     pub busy: Option<f64>,
 }
@@ -104,7 +104,7 @@
     /// It waits for memory.
     WaitsForMemory,
     /// It waits for a request that locks its data set.
-    WaitsForHolder,
+    WaitsForDataLock,
     /// From the caller itself: the connection was cut or stalled, and what it would have brought came later.
-    CutOff,
+    ConnectionLost,
 }
--- a/crates/policy/src/types/config.rs
+++ b/crates/policy/src/types/config.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PolicyConfig {
     /// Gateways and machines.
-    pub fleet: Fleet,
+    pub topology: Topology,
     /// Request classes by index.
     pub classes: Vec<RequestClass>,
     /// Tenants by index.
     pub tenants: Vec<Tenant>,
     /// What may be asked of engines and clients.
-    pub caps: Caps,
+    pub capabilities: Capabilities,
     /// How much an engine bears after its start.
     pub slow_start: SlowStartPolicy,
     /// How long a key rests after an outcome that leaves open whether its attempt runs.
@@ -28,18 +28,18 @@
 
 /// Which gateways and machines there are.
 #[derive(Clone, Debug, Default)]
-pub struct Fleet {
+pub struct Topology {
     /// How many gateways share the engines.
     pub gateways: usize,
     /// This gateway's number among them, from zero.
-    pub me: usize,
+    pub gateway_index: usize,
     /// Zone of this gateway.
     pub zone: usize,
     /// Kinds of engines by index.
     pub kinds: Vec<EngineKind>,
 }
 
-impl Fleet {
+impl Topology {
     /// Cores of an engine: at least one, also for a kind that the settings do not name.
     pub fn cores(&self, engine: &Engine) -> f64 {
         self.kinds.get(engine.kind).map_or(1.0, |kind| kind.cores.max(1.0))
@@ -64,11 +64,11 @@
 
 /// What the caller may ask of engines and clients.
 #[derive(Clone, Debug, Default)]
-pub struct Caps {
+pub struct Capabilities {
     /// Whether attempts can be cancelled.
     pub can_cancel: bool,
     /// What a health check costs, in parts of a request's priority weight; `None` where engines may not be asked.
-    pub load_probe_cost: Option<f64>,
+    pub health_check_cost: Option<f64>,
     /// What a new connection costs, likewise.
     pub connection_cost: f64,
     /// How long a connection is kept that no request uses.
--- a/crates/policy/src/types/decision.rs
+++ b/crates/policy/src/types/decision.rs
@@ -23,7 +23,7 @@
     /// Index of the engine.
     pub engine: usize,
     /// When it counts as timed out.
-    pub time_out: Duration,
+    pub timeout: Duration,
     /// Memory to grant in MB; `None` leaves it to the engine.
     pub memory_mb: Option<f64>,
     /// Priority to send; engines serve the higher one first.
--- a/crates/policy/src/types/mod.rs
+++ b/crates/policy/src/types/mod.rs
@@ -10,7 +10,9 @@
 mod request;
 
 pub use attempt::{AttemptEvidence, AttemptResult, LastObservation, LoadReport, Outcome, ProgressUpdate};
-pub use config::{Caps, EngineKind, Fleet, PolicyConfig, RetryBudgetRule, SlowStartPolicy, Tenant};
+pub use config::{
+    Capabilities, EngineKind, PolicyConfig, RetryBudgetRule, SlowStartPolicy, Tenant, Topology,
+};
 pub use decision::{AfterAttempt, AttemptParameters, EngineHealth, RoutingDecision};
 pub use engine::{Engine, EngineState};
 pub use request::{DeduplicationScope, Idempotency, Request, RequestClass};
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -13,7 +13,7 @@
     /// See `latency_objective`.
     pub objective_stretch: f64,
     /// Whether requests of the class may be sent twice.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// Whether requests of one key run one after the other.
     pub in_order: bool,
     /// Threads that a request uses at its engine.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -12,12 +12,12 @@
 pub const REPORT: usize = 1;
 pub const LOAD: usize = 2;
 
-pub fn class(priority_weight: f64, threads: f64, effect: Idempotency) -> RequestClass {
+pub fn class(priority_weight: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         priority_weight,
         latency_objective: Duration::from_millis(1000),
         objective_stretch: 2.0,
-        effect,
+        idempotency,
         in_order: false,
         threads,
         locks_data_set: false,
@@ -30,9 +30,9 @@
 /// What a gateway of these tests is given, unless its test says something else.
 pub fn typical_config() -> PolicyConfig {
     PolicyConfig {
-        fleet: Fleet {
+        topology: Topology {
             gateways: 1,
-            me: 0,
+            gateway_index: 0,
             zone: 0,
             kinds: vec![EngineKind { cores: 8.0, memory_mb: 16_000.0 }; 2],
         },
@@ -42,14 +42,14 @@
             class(4.0, 2.0, Idempotency::NonIdempotent),
         ],
         tenants: Vec::new(),
-        caps: Caps {
+        capabilities: Capabilities {
             can_cancel: true,
             max_attempts: 5,
             max_retry_after: Some(Duration::from_millis(500)),
             sets_memory_grant: true,
             progress_interval: Some(Duration::from_millis(1000)),
             clock_step: Duration::from_millis(5),
-            ..Caps::default()
+            ..Capabilities::default()
         },
         slow_start: SlowStartPolicy {
             multiple: 2.0,
@@ -69,7 +69,7 @@
 
 impl Start for PolicyConfig {
     fn start(self, engines: usize) -> Gateway {
-        let policy = Policy::new(7 + self.fleet.me as u64, self);
+        let policy = Policy::new(7 + self.topology.gateway_index as u64, self);
         let mut gateway = Gateway { policy, next: 0 };
         for e in 0..engines {
             gateway.policy.update_engine(ms(0), e, engine());
@@ -138,8 +138,8 @@
         let answer = AttemptResult {
             outcome,
             took: Duration::from_millis(took_ms),
-            over: outcome == Outcome::Returned,
-            seen: ENDED_BY_ENGINE,
+            request_finished: outcome == Outcome::Returned,
+            evidence: ENDED_BY_ENGINE,
             work: None,
             report,
         };
--- a/crates/policy/tests/policy/cancellation.rs
+++ b/crates/policy/tests/policy/cancellation.rs
@@ -48,10 +48,10 @@
         [(true, 1500, true), (true, 1300, false), (false, 1500, false)]
     {
         let mut config = typical_config();
-        config.caps.swaps_when_out_of_memory = swaps_when_out_of_memory;
+        config.capabilities.swaps_when_out_of_memory = swaps_when_out_of_memory;
         let mut gateway = config.start(1);
         let (b, _) = gateway.admit(0, request(LOOK_UP));
-        gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::WaitsForHolder);
+        gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::WaitsForDataLock);
         assert_eq!(
             gateway.policy.route(ms(time), b) == RoutingDecision::CancelAttempt(0),
             off,
@@ -65,11 +65,11 @@
     // (may call off, outcome known before the client left, what is called off)
     for (may, ended, off) in [(true, false, vec![0]), (false, false, vec![]), (true, true, vec![])] {
         let mut config = typical_config();
-        config.caps.can_cancel = may;
+        config.capabilities.can_cancel = may;
         let mut gateway = config.start(1);
         let (b, _) = gateway.admit(0, request(LOAD));
         if ended {
-            gateway.end(10, b, 0, Outcome::Full, 10);
+            gateway.end(10, b, 0, Outcome::Rejected, 10);
         }
         assert_eq!(gateway.policy.on_client_disconnected(b), off, "{may} {ended}");
     }
--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -42,9 +42,9 @@
         [(8, 200, true), (24, 1000, true), (120, 200, true), (120, 4000, false), (300, 1000, true)]
     {
         let mut all = 0.0;
-        for me in 0..gateways {
+        for gateway_index in 0..gateways {
             let mut config = typical_config();
-            (config.fleet.gateways, config.fleet.me) = (gateways, me);
+            (config.topology.gateways, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
             gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
             let one = Request { work: Some(Duration::from_millis(work)), ..request(LOOK_UP) };
@@ -80,7 +80,7 @@
     ];
     for (named, counted, part, goes) in cases {
         let mut config = typical_config();
-        config.fleet.gateways = named;
+        config.topology.gateways = named;
         let mut gateway = config.start(0);
         counted.into_iter().for_each(|n| gateway.policy.set_gateway_count(n));
         gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
@@ -97,7 +97,7 @@
         [(None, 0, 0), (Some(0.0), 1000, 2000), (Some(0.011), 1000, 2000), (Some(0.11), 100, 200)]
     {
         let mut config = typical_config();
-        (config.fleet.gateways, config.caps.load_probe_cost) = (300, price);
+        (config.topology.gateways, config.capabilities.health_check_cost) = (300, price);
         let mut gateway = config.start(2);
         let mut probes = 0;
         for time in 0..4_000 {
--- a/crates/policy/tests/policy/limits.rs
+++ b/crates/policy/tests/policy/limits.rs
@@ -8,7 +8,7 @@
 /// Guards against a reply lost on the way being read as an engine that is slow.
 #[test]
 fn answers_late_by_a_cut_connection_are_no_congestion() {
-    for (note, congested) in [(Some(ProgressUpdate::CutOff), false), (None, true)] {
+    for (note, congested) in [(Some(ProgressUpdate::ConnectionLost), false), (None, true)] {
         let mut gateway = typical_config().start(1);
         let sent: Vec<usize> = (0..10).map(|_| gateway.admit(0, request(LOOK_UP)).0).collect();
         for b in &sent {
@@ -59,7 +59,7 @@
         (600, 70, LOAD, 2.0),
     ] {
         let mut config = typical_config();
-        config.fleet.gateways = gateways;
+        config.topology.gateways = gateways;
         let mut gateway = config.start(engines);
         let fraction = engines as f64 * 12.0 / gateways as f64;
         let peak = gateway.send_all(100, class) as f64 * threads;
@@ -80,7 +80,7 @@
         [(24, 14, 200, true), (100, 60, 200, true), (100, 60, 2400, false), (150, 35, 200, true)]
     {
         let mut config = typical_config();
-        config.fleet.gateways = gateways;
+        config.topology.gateways = gateways;
         let mut gateway = config.start(engines);
         let mut peaks = Vec::new();
         for round in 0..40 {
@@ -117,7 +117,7 @@
             for _ in 0..4 {
                 let (b, _) = gateway.admit(time, Request { deadline: ms(time + 20_000), ..request(LOOK_UP) });
                 if stood {
-                    gateway.policy.on_progress(ms(time + 50), b, 0, ProgressUpdate::WaitsForHolder);
+                    gateway.policy.on_progress(ms(time + 50), b, 0, ProgressUpdate::WaitsForDataLock);
                 }
                 gateway.end(time + took, b, 0, outcome, took);
                 gateway.policy.on_client_disconnected(b);
@@ -160,7 +160,7 @@
     // (gateways, loads that still go out while all six engines read congested)
     for (gateways, loads) in [(1, 6), (8, 1)] {
         let mut config = typical_config();
-        config.fleet.gateways = gateways;
+        config.topology.gateways = gateways;
         let mut gateway = config.start(6);
         // Each in a data set of its own, so that they spread over the engines.
         let first = gateway.admit(0, request(LOOK_UP)).0;
@@ -170,7 +170,7 @@
         (0..60).for_each(|_| gateway.policy.tick(ms(5000)));
         let sent = (0..20).filter(|_| sent_to(gateway.admit(5000, request(LOAD)).1).is_some()).count();
         assert_eq!(sent, loads, "{gateways} fronts");
-        gateway.end(5001, first, 0, Outcome::Full, 1);
+        gateway.end(5001, first, 0, Outcome::Rejected, 1);
         assert!(matches!(gateway.policy.route(ms(5001), first), RoutingDecision::Reject(_)));
     }
 }
@@ -180,14 +180,14 @@
     // (requests that the engine says it holds for each of this gateway's, most out after long calm)
     for (times, least, most) in [(None, 7, 12), (Some(4.0), 5, 6), (Some(1.0), 10, 12)] {
         let mut config = typical_config();
-        config.fleet.gateways = 4;
+        config.topology.gateways = 4;
         let mut gateway = config.start(1);
         let mut out = Vec::new();
         for round in 0..400 {
             let time = round * 250;
             let one = Request { deadline: ms(time + 9000), ..request(LOOK_UP) };
             for b in std::mem::take(&mut out) {
-                let report = LoadReport { in_hand: times.map(|t| t * 6.0), ..LoadReport::default() };
+                let report = LoadReport { in_flight: times.map(|t| t * 6.0), ..LoadReport::default() };
                 gateway.end_with(time, b, Outcome::Returned, 100, report);
             }
             while let (b, RoutingDecision::Send(_)) = gateway.admit(time, one.clone()) {
--- a/crates/policy/tests/policy/outlier_detection.rs
+++ b/crates/policy/tests/policy/outlier_detection.rs
@@ -8,7 +8,7 @@
 fn an_unhealthy_engine_is_ejected_until_its_probes_restore_it() {
     // Outcomes at engine 0 while engine 1 is sound, then whether engine 0 still gets its part.
     use Outcome::{
-        Cancelled, ConnectFailed as C, Errored as E, Full, Reset as R, Returned as O, TimedOut as T,
+        Cancelled, ConnectFailed as C, Errored as E, Rejected, Reset as R, Returned as O, TimedOut as T,
     };
     for (outcomes, used) in [
         (vec![O, O, O], true),
@@ -17,7 +17,7 @@
         (vec![C, C], false),
         // Half errors, fast: what once looked like the emptiest engine of all.
         (vec![E, O, E, O, E, O], false),
-        (vec![Full, Full, Cancelled, Cancelled], true),
+        (vec![Rejected, Rejected, Cancelled, Cancelled], true),
         (vec![T, T], false),
         (vec![R, R, O], false),
         (vec![R, R, O, O, O, O], true),
--- a/crates/policy/tests/policy/requests.rs
+++ b/crates/policy/tests/policy/requests.rs
@@ -3,16 +3,16 @@
 use crate::common::*;
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::{
-    AfterAttempt, AttemptParameters, Caps, Fleet, Outcome, PolicyConfig, ProgressUpdate, Request,
-    RetryBudgetRule, RoutingDecision, SlowStartPolicy, Tenant,
+    AfterAttempt, AttemptParameters, Capabilities, Outcome, PolicyConfig, ProgressUpdate, Request,
+    RetryBudgetRule, RoutingDecision, SlowStartPolicy, Tenant, Topology,
 };
 
 #[test]
 fn an_abandoned_request_leaves_with_its_key() {
     let mut config = PolicyConfig {
-        caps: Caps {
+        capabilities: Capabilities {
             unobserved_attempt_lifetime: Some(Duration::from_millis(2_150)),
-            ..typical_config().caps
+            ..typical_config().capabilities
         },
         ..typical_config()
     };
@@ -76,8 +76,8 @@
 #[test]
 fn legal_but_odd_settings_are_decided_on() {
     let odd: [fn(&mut PolicyConfig); 6] = [
-        |r| r.fleet = Fleet::default(),
-        |r| r.caps = Caps::default(),
+        |r| r.topology = Topology::default(),
+        |r| r.capabilities = Capabilities::default(),
         |r| r.slow_start = SlowStartPolicy::default(),
         |r| r.retry_budget = Some(RetryBudgetRule::default()),
         |r| r.tenants = vec![Tenant::default()],
@@ -109,7 +109,7 @@
 #[test]
 fn requests_have_their_answer_before_the_gateway_ends() {
     // What became of its attempt, and the answer that ends it, with twenty seconds left of its own time.
-    let cases = [(0, Outcome::TimedOut, true), (2, Outcome::TimedOut, false), (2, Outcome::Full, true)];
+    let cases = [(0, Outcome::TimedOut, true), (2, Outcome::TimedOut, false), (2, Outcome::Rejected, true)];
     for (class, outcome, harmless) in cases {
         let mut gateway = typical_config().start(2);
         let (b, decision) = gateway.admit(0, request(class));
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -19,7 +19,7 @@
             gateway.admit(time, Request { deadline: ms(limit), work: None, ..request(LOOK_UP) });
         match decision {
             RoutingDecision::Send(d) => {
-                assert!(sends && ms(time) + d.time_out + Duration::from_millis(5) < ms(limit))
+                assert!(sends && ms(time) + d.timeout + Duration::from_millis(5) < ms(limit))
             }
             other => assert!(
                 !sends && matches!(other, RoutingDecision::Reject(Some(_))),
@@ -50,8 +50,8 @@
     let cases = [
         // effect, outcome, at ms, sent again, else pushed back
         (Idempotency::Idempotent, Outcome::Reset, 100, true, true),
-        (Idempotency::Idempotent, Outcome::Full, 100, true, true),
-        (Idempotency::NonIdempotent, Outcome::Full, 100, true, true),
+        (Idempotency::Idempotent, Outcome::Rejected, 100, true, true),
+        (Idempotency::NonIdempotent, Outcome::Rejected, 100, true, true),
         (Idempotency::NonIdempotent, Outcome::ConnectFailed, 100, true, true),
         (Idempotency::NonIdempotent, Outcome::Errored, 100, false, false),
         (Idempotency::NonIdempotent, Outcome::Reset, 100, false, false),
@@ -63,9 +63,9 @@
         (with_key(DeduplicationScope::Cell), Outcome::Reset, 100, false, false),
         (with_key(DeduplicationScope::Cell), Outcome::ConnectFailed, 100, true, true),
     ];
-    for (effect, outcome, time, again, push_back) in cases {
+    for (idempotency, outcome, time, again, push_back) in cases {
         let mut config = typical_config();
-        config.classes[LOAD].effect = effect;
+        config.classes[LOAD].idempotency = idempotency;
         let mut gateway = config.start(1);
         let (b, decision) = gateway.admit(0, request(LOAD));
         assert_eq!(sent_to(decision), Some(0));
@@ -73,12 +73,12 @@
         gateway.policy.update_engine(ms(1), 1, Engine { zone: 1, cell: 1, ..engine() });
         assert_eq!(gateway.end(time, b, 0, outcome, time), AfterAttempt::RouteAgain);
         let decision = gateway.policy.route(ms(time), b);
-        assert_eq!(sent_to(decision).is_some(), again, "{effect:?} {outcome:?} at {time}: {decision:?}");
+        assert_eq!(sent_to(decision).is_some(), again, "{idempotency:?} {outcome:?} at {time}: {decision:?}");
         if !again {
             assert_eq!(
                 matches!(decision, RoutingDecision::Reject(_)),
                 push_back,
-                "{effect:?} {outcome:?}: {decision:?}"
+                "{idempotency:?} {outcome:?}: {decision:?}"
             );
         }
     }
@@ -100,11 +100,12 @@
     ];
     for (single_attempt, seen, again) in cases {
         let mut config = typical_config();
-        config.caps.single_attempt = single_attempt;
+        config.capabilities.single_attempt = single_attempt;
         let mut gateway = config.start(3);
         let (b, decision) = gateway.admit(0, request(LOOK_UP));
         assert!(sent_to(decision).is_some());
-        let answer = AttemptResult { over: false, ..AttemptResult::bare(Outcome::Cancelled, seen) };
+        let answer =
+            AttemptResult { request_finished: false, ..AttemptResult::bare(Outcome::Cancelled, seen) };
         assert_eq!(gateway.policy.on_attempt_finished(ms(100), b, 0, &answer), AfterAttempt::RouteAgain);
         let decision = gateway.policy.route(ms(100), b);
         assert_eq!(sent_to(decision).is_some(), again, "{single_attempt} {seen:?}: {decision:?}");
@@ -152,7 +153,7 @@
     ];
     for (holds, heard, time, sends, events) in cases {
         let mut config = typical_config();
-        config.caps.endpoint_list_lifetime = holds;
+        config.capabilities.endpoint_list_lifetime = holds;
         let mut gateway = config.start(2);
         heard.iter().for_each(|time| gateway.policy.confirm_endpoint_list(ms(*time)));
         let one = Request { deadline: ms(90_000), ..request(LOOK_UP) };
@@ -179,9 +180,9 @@
     ];
     for (gateways, age, work, least, most) in cases {
         let mut sent = 0;
-        for me in 0..gateways {
+        for gateway_index in 0..gateways {
             let mut config = typical_config();
-            (config.fleet.gateways, config.fleet.me) = (gateways, me);
+            (config.topology.gateways, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
             // It has been there for longer than the engine: one that has not knows nothing of what was sent before it.
             gateway.policy.update_engine(ms(0), 9, Engine { state: EngineState::Gone, ..engine() });
@@ -286,7 +287,7 @@
         let mut further = 0;
         for _ in 0..10 {
             let b = gateway.admit(9, request(LOOK_UP)).0;
-            gateway.end(10, b, 0, Outcome::Full, 1);
+            gateway.end(10, b, 0, Outcome::Rejected, 1);
             further += usize::from(sent_to(gateway.policy.route(ms(10), b)).is_some());
         }
         assert_eq!(further, got, "{free} + {per_request} a batch of {returned}, {flood:?}");
@@ -304,7 +305,7 @@
     gateway.end(900, long, 0, Outcome::Returned, 900);
     let mut further = |time, allowed| {
         let (b, _) = gateway.admit(time, request(LOOK_UP));
-        gateway.end(time, b, 0, Outcome::Full, 1);
+        gateway.end(time, b, 0, Outcome::Rejected, 1);
         assert_eq!(sent_to(gateway.policy.route(ms(time), b)).is_some(), allowed, "at {time}");
     };
     further(999, true);
@@ -321,7 +322,8 @@
             PolicyConfig { retry_budget: Some(RetryBudgetRule::default()), ..typical_config() }.start(1);
         let (b, _) = gateway.admit(0, request(LOAD));
         let seen = AttemptEvidence { last: LastObservation::Declined, same_process };
-        let answer = AttemptResult { over: false, ..AttemptResult::bare(Outcome::Full, seen) };
+        let answer =
+            AttemptResult { request_finished: false, ..AttemptResult::bare(Outcome::Rejected, seen) };
         gateway.policy.on_attempt_finished(ms(1), b, 0, &answer);
         assert_eq!(gateway.policy.route(ms(1), b), decision, "{same_process}");
     }
--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -9,7 +9,7 @@
     // (gateways, reports bound to kind 1 that fill it, loads that still go, most of them to kind 1)
     for (gateways, reports, loads, to_1) in [(24, 20, 2, 0), (60, 20, 1, 0), (24, 0, 2, 1)] {
         let mut config = typical_config();
-        config.fleet.gateways = gateways;
+        config.topology.gateways = gateways;
         config.classes[REPORT].kinds = Some(vec![1]);
         let mut gateway = config.start(8);
         (0..8).for_each(|e| gateway.policy.update_engine(ms(0), 8 + e, Engine { kind: 1, ..engine() }));
@@ -31,7 +31,7 @@
         (60, 100, None, 0, false),
     ] {
         let mut config = typical_config();
-        config.fleet.gateways = gateways;
+        config.topology.gateways = gateways;
         let mut gateway = config.start(2);
         let mut time = 0;
         for _ in 0..40 {
@@ -40,12 +40,12 @@
             let (b, RoutingDecision::Send(d)) = gateway.admit(time, one) else { continue };
             let (took, busy) = if d.engine == 0 { (took, busy) } else { (100, busy.map(|_| 0.5)) };
             let (took, work) = (Duration::from_millis(took), Some(Duration::from_millis(100)));
-            let report = LoadReport { in_hand: None, busy };
+            let report = LoadReport { in_flight: None, busy };
             let answer = AttemptResult {
                 outcome: Outcome::Returned,
                 took,
-                over: true,
-                seen: ENDED_BY_ENGINE,
+                request_finished: true,
+                evidence: ENDED_BY_ENGINE,
                 work,
                 report,
             };
@@ -81,7 +81,7 @@
     ];
     for (zone_1, one_set, connection_cost, kept, one_engine) in cases {
         let mut config = typical_config();
-        (config.caps.connection_cost, config.caps.idle_connection_lifetime) =
+        (config.capabilities.connection_cost, config.capabilities.idle_connection_lifetime) =
             (connection_cost, Duration::from_millis(kept));
         let mut gateway = config.start(2);
         gateway.policy.update_engine(ms(1), 1, Engine { zone: zone_1, ..engine() });
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -46,8 +46,8 @@
 impl Case {
     fn config(&self) -> PolicyConfig {
         let mut config = typical_config();
-        config.fleet.gateways = self.gateways;
-        config.fleet.kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
+        config.topology.gateways = self.gateways;
+        config.topology.kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
         config.classes.truncate(2);
         config.classes.iter_mut().for_each(|g| g.threads = 1.0);
         config
@@ -73,7 +73,7 @@
     fn play(&self, seed: u64) -> Vec<(u64, f64)> {
         let mut chance = WyRand::new_seed(seed);
         let mut sent = Vec::new();
-        for me in 0..self.gateways {
+        for gateway_index in 0..self.gateways {
             let listed = STARTS + chance.generate_range(0..=self.listed_within);
             let restarts = STARTS + LASTS / 2;
             let anew = chance.generate_range(0..10_usize) < self.restarted;
@@ -86,7 +86,7 @@
                     continue;
                 }
                 let mut config = self.config();
-                config.fleet.me = me;
+                config.topology.gateway_index = gateway_index;
                 let mut gateway = config.start(0);
                 // What it hears first is when it starts.
                 gateway.policy.update_engine(ms(born), 9, Engine { state: EngineState::Gone, ..engine() });
--- a/crates/quotas/src/demand.rs
+++ b/crates/quotas/src/demand.rs
@@ -2,7 +2,7 @@
 //! tenant. Rejected requests count like served ones: a gateway that gets little must not seem to want little.
 
 use crate::capacity::Capacity;
-use larchfall_policy::interface::{Engine, RequestClass};
+use larchfall_policy::types::{Engine, RequestClass};
 
 /// How much of what came recently still counts one observation later.
 const DECAY: f64 = 0.7;
--- a/crates/quotas/tests/division.rs
+++ b/crates/quotas/tests/division.rs
@@ -1,7 +1,7 @@
 //! Division, fairness, capacities and demand, as tables.
 
-use larchfall_policy::interface::{Engine, Idempotency, RequestClass};
 use larchfall_policy::time::Duration;
+use larchfall_policy::types::{Engine, Idempotency, RequestClass};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::{Arrivals, Demand};
 use larchfall_quotas::fairness::{best_to_worst, jain_index};
@@ -66,7 +66,7 @@
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(1000),
         objective_stretch: 0.0,
-        effect: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
         threads,
         locks_data_set: false,
--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -5,12 +5,12 @@
 use crate::requests::RequestTable;
 use crate::wire::event::{EngineLoad, FinishedAttempt, ListedEngine, NewRequest, Progress};
 use crate::wire::reply::Reply;
-use larchfall_policy::interface::{
+use larchfall_policy::policy::{Policy, TICK};
+use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{
     AfterAttempt, AttemptEvidence, AttemptParameters, AttemptResult, Engine, EngineState, LastObservation,
     LoadReport, Outcome, RoutingDecision,
 };
-use larchfall_policy::policy::{Policy, TICK};
-use larchfall_policy::time::{Duration, Timestamp};
 
 /// Tags of the two timers.
 const TICK_TAG: u64 = 0;
@@ -66,7 +66,7 @@
             let mut named = self.load_fields.iter().zip(values);
             named.find(|(field, _)| *field == name).map(|(_, value)| *value)
         };
-        LoadReport { in_hand: value("concurrent"), busy: value("load_share") }
+        LoadReport { in_flight: value("concurrent"), busy: value("load_share") }
     }
 
     /// Entries of the endpoint list have changed.
@@ -119,9 +119,9 @@
         let result = AttemptResult {
             outcome: finished.outcome,
             took: finished.took,
-            over: finished.request_finished,
+            request_finished: finished.request_finished,
             // The simulator sends an outcome once nothing runs on, except where the key cooldown covers it.
-            seen: AttemptEvidence { last: LastObservation::Ended, same_process: true },
+            evidence: AttemptEvidence { last: LastObservation::Ended, same_process: true },
             work: finished.work.filter(|_| reports_work),
             report: self.load_report(&finished.load),
         };
@@ -210,7 +210,7 @@
         let memory_mb = parameters.memory_mb.unwrap_or(0.0) as f32;
         reply.set_resources(self.instance, id, memory_mb, parameters.priority);
         // The wire's time-out is signed, and none at all where it is zero.
-        let timeout = parameters.time_out.micros().clamp(1, u64::from(i32::MAX as u32)) as u32;
+        let timeout = parameters.timeout.micros().clamp(1, u64::from(i32::MAX as u32)) as u32;
         reply.start_attempt(self.instance, id, self.engines.address(parameters.engine), timeout);
     }
 
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -3,8 +3,8 @@
 use super::EngineAddress;
 use super::reader::Reader;
 use crate::error::{EventError, FieldError};
-use larchfall_policy::interface::{Engine, EngineState, Outcome, ProgressUpdate, Request};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{Engine, EngineState, Outcome, ProgressUpdate, Request};
 
 /// What an event is about, by its code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -173,11 +173,11 @@
     match code {
         0 => Ok(Outcome::Returned),
         5 => Ok(Outcome::Errored),
-        11 => Ok(Outcome::Full),
+        11 => Ok(Outcome::Rejected),
         104 => Ok(Outcome::Reset),
         110 => Ok(Outcome::TimedOut),
         111 => Ok(Outcome::ConnectFailed),
-        114 => Ok(Outcome::Moot),
+        114 => Ok(Outcome::NotSent),
         125 => Ok(Outcome::Cancelled),
         code => Err(EventError::UnknownOutcome { code }),
     }
@@ -220,7 +220,7 @@
         1 => ProgressUpdate::Done(level),
         2 => ProgressUpdate::SpillsMb(level),
         3 if level < 1.5 => ProgressUpdate::WaitsForMemory,
-        3 => ProgressUpdate::WaitsForHolder,
+        3 => ProgressUpdate::WaitsForDataLock,
         what => return Err(EventError::UnknownNotice { what }),
     };
     Ok(Progress { id, attempt, update })
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod preference;
 pub mod survey;
 
-use larchfall_policy::interface::{Engine, RequestClass};
+use larchfall_policy::types::{Engine, RequestClass};
 use std::collections::BTreeSet;
 
 /// An engine that is ready.
--- a/crates/subsetting/src/survey.rs
+++ b/crates/subsetting/src/survey.rs
@@ -3,7 +3,7 @@
 
 use crate::plan::{PlanSettings, SubsetPlan};
 use crate::{Gateway, ReadyEngine, requirements};
-use larchfall_policy::interface::RequestClass;
+use larchfall_policy::types::RequestClass;
 use std::collections::BTreeSet;
 
 /// Departures of each kind that are computed at most: of 1,000 gateways not every one.
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,8 +1,8 @@
 //! What must hold of every subset, whichever gateways and engines there are; how little moves; how many engines a gateway
 //! uses.
 
-use larchfall_policy::interface::{Engine, Idempotency, RequestClass};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{Engine, Idempotency, RequestClass};
 use larchfall_subsetting::aperture::{Aperture, ApertureSettings, SubsetHealth};
 use larchfall_subsetting::plan::{PlanSettings, SubsetPlan};
 use larchfall_subsetting::survey::survey;
@@ -17,7 +17,7 @@
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(1000),
         objective_stretch: 0.0,
-        effect: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         locks_data_set: false,
