--- a/crates/fault-tests/examples/subsets.rs
+++ b/crates/fault-tests/examples/subset_algorithms.rs
@@ -1,9 +1,9 @@
 //! Ways to choose subsets of engines for gateways, held against each other: how even engines' loads are, and what moves when
 //! one gateway or engine goes. In one process, by seed.
-//! cargo run --release -p larchfall-fault-tests --example subsets [Gateways ENGINES LEAST]
+//! cargo run --release -p larchfall-fault-tests --example subset_algorithms [GATEWAYS ENGINES SIZE]
 
-use larchfall_fault_tests::process::name;
-use larchfall_policy::interface::Engine;
+use larchfall_fault_tests::gateway_config::gateway_name;
+use larchfall_policy::types::Engine;
 use larchfall_subsetting::plan::{PlanSettings, SubsetPlan};
 use larchfall_subsetting::preference::preference_order;
 use larchfall_subsetting::{Gateway, ReadyEngine, requirements};
@@ -33,7 +33,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (n, m, least) in sizes {
         let gateways: Vec<Gateway> = (0..n)
-            .map(|i| Gateway { key: xxhash_rust::xxh3::xxh3_64(name(i).as_bytes()), zone: None })
+            .map(|i| Gateway { key: xxhash_rust::xxh3::xxh3_64(gateway_name(i).as_bytes()), zone: None })
             .collect();
         let engines: Vec<ReadyEngine> = (0..m as u32)
             .map(|id| ReadyEngine { id, engine: Engine { cell: id as usize % 4, ..Engine::default() } })
@@ -117,11 +117,11 @@
 }
 
 fn bounded(gateways: &[Gateway], engines: &[ReadyEngine], least: usize) -> Chosen {
-    let class = larchfall_policy::interface::RequestClass {
+    let class = larchfall_policy::types::RequestClass {
         priority_weight: 1.0,
         latency_objective: larchfall_policy::time::Duration::ZERO,
         objective_stretch: 0.0,
-        effect: larchfall_policy::interface::Idempotency::Idempotent,
+        idempotency: larchfall_policy::types::Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         locks_data_set: false,
