--- a/crates/gateway/tests/gateway/common.rs
+++ b/crates/gateway/tests/gateway/common.rs
@@ -1,6 +1,6 @@
-//! One gateway as a program of its own, with toy engines and a toy discovery service around it.
+//! One gateway as a program of its own, with stub engines and a stub discovery service around it.
 
-use larchfall_fault_tests::process;
+use larchfall_fault_tests::gateway_process::{GatewayFiles, GatewayProcess, address_in};
 use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::Engine;
 use socket2::{Domain, Socket, Type};
@@ -8,21 +8,24 @@
 use std::ops::{Deref, DerefMut};
 use std::time::Duration;
 
-pub(crate) use larchfall_fault_tests::process::{config, config_of, settings, site, wait_for};
+pub(crate) use larchfall_fault_tests::gateway_config::{
+    config, config_of, operator_config as site, settings,
+};
+pub(crate) use larchfall_fault_tests::wait::wait_for;
 
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_larchfall");
 
-pub(crate) struct Gateway(process::Gateway);
+pub(crate) struct Gateway(GatewayProcess);
 
 impl Deref for Gateway {
-    type Target = process::Gateway;
-    fn deref(&self) -> &process::Gateway {
+    type Target = GatewayProcess;
+    fn deref(&self) -> &GatewayProcess {
         &self.0
     }
 }
 
 impl DerefMut for Gateway {
-    fn deref_mut(&mut self) -> &mut process::Gateway {
+    fn deref_mut(&mut self) -> &mut GatewayProcess {
         &mut self.0
     }
 }
@@ -48,15 +51,16 @@
         Gateway::start_site(discovery, text, None)
     }
 
-    /// With the operator's own settings beside the configuration, and the paged protocol among them.
+    /// A gateway with an operator's file, which has the paged REST protocol on.
     pub(crate) fn start_site(discovery: Discovery, text: &str, site: Option<&str>) -> Gateway {
-        let mut gateway = process::Gateway::start(PROGRAM, discovery, text, site, &[]);
-        gateway.rest = site.map(|_| process::address_in(&gateway.log.wait_for("listening for paged REST,")));
+        let files = GatewayFiles { config: text, operator_config: site, environment: &[] };
+        let mut gateway = GatewayProcess::start(PROGRAM, discovery, &files);
+        gateway.rest = site.map(|_| address_in(&gateway.log.wait_for("listening for paged REST,")));
         Gateway(gateway)
     }
 }
 
-/// An address at which nobody listens, nor will: a client's own end holds the port.
+/// An address at which nobody listens or will: a client's own end holds the port.
 pub(crate) struct Nobody {
     pub(crate) address: SocketAddr,
     _held: (TcpListener, TcpStream),
@@ -68,7 +72,7 @@
     Nobody { address: stream.local_addr().unwrap(), _held: (listener, stream) }
 }
 
-/// A listener whose queue is full: who connects next is up only once `let_in` has taken the others out of it.
+/// A listener whose queue is full: the next connection is established only once `accept_next` has emptied it.
 pub(crate) struct Full {
     listener: TcpListener,
     filled: usize,
@@ -91,15 +95,15 @@
     }
 
     /// Waits until the gateway is about to connect here.
-    pub(crate) fn until_dialled(&self) {
+    pub(crate) fn wait_for_connect(&self) {
         let port = format!(":{:04X} 02 ", self.address().port());
-        wait_for("the front to connect", || {
+        wait_for("the gateway to connect", || {
             std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&port).then_some(())
         });
     }
 
     /// The gateway's own connection.
-    pub(crate) fn let_in(&self) -> TcpStream {
+    pub(crate) fn accept_next(&self) -> TcpStream {
         for _ in 0..self.filled {
             self.listener.accept().unwrap();
         }
@@ -107,7 +111,7 @@
     }
 }
 
-/// An engine that is seen to have come this far.
+/// Waits until an engine has seen this.
 pub(crate) fn until_seen(engine: &Engine, what: &str, seen: impl Fn(&larchfall_stub::engine::Seen) -> bool) {
     wait_for(what, || seen(&engine.seen()).then_some(()));
 }
