--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -143,7 +143,7 @@
     let by = |f: &LeaseSimulation| f.settings.roles.iter().map(|d| f.holders(d)[0]).collect::<Vec<_>>();
     let before = by(&fleet);
     let most = (0..24).map(|i| before.iter().filter(|h| **h == i).count()).max().unwrap_or_default();
-    assert!(most <= 14, "one front holds {most} of a hundred");
+    assert!(most <= 14, "one gateway holds {most} of a hundred");
     let settled: usize = fleet.ended.values().sum();
     fleet.run(ms(20_000));
     assert_eq!(fleet.ended.values().sum::<usize>(), settled, "they swing");
@@ -185,7 +185,7 @@
                 7 => fleet.leave(i),
                 8 => {
                     fleet.gateways[i].disk =
-                        [DiskBehavior::Fails, DiskBehavior::LosesWrites, DiskBehavior::Healthy][j % 3]
+                        [DiskBehavior::Fails, DiskBehavior::LosesWrites, DiskBehavior::Healthy][j % 3];
                 }
                 _ => {
                     fleet.link = Box::new(|_, _| true);
