--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -16,17 +16,17 @@
         (gone, true, 60_000, false),
         (engine(), false, 60_000, false),
     ];
-    for (told, out, after, forgotten) in cases {
+    for (listed, out, after, forgotten) in cases {
         let mut gateway = typical_config().start(1);
         let (b, _) = gateway.admit(0, request(LOOK_UP));
-        gateway.policy.update_engine(ms(1), 0, told);
+        gateway.policy.update_engine(ms(1), 0, listed);
         if !out {
             gateway.end(2, b, 0, Outcome::Returned, 2);
         }
         assert_eq!(
             gateway.policy.forget_engine(ms(1 + after), 0),
             forgotten,
-            "{told:?} out {out} after {after}"
+            "{listed:?} out {out} after {after}"
         );
         gateway.policy.update_engine(ms(70_000), 0, engine());
         let next = Request { deadline: ms(90_000), ..request(LOOK_UP) };
@@ -42,18 +42,18 @@
         [(8, 200, true), (24, 1000, true), (120, 200, true), (120, 4000, false), (300, 1000, true)]
     {
         let mut all = 0.0;
-        for me in 0..gateways {
+        for gateway_index in 0..gateways {
             let mut config = typical_config();
-            (config.fleet.gateways, config.fleet.me) = (gateways, me);
+            (config.topology.gateways, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
             gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
             let one = Request { work: Some(Duration::from_millis(work)), ..request(LOOK_UP) };
             (0..30).for_each(|_| gateway.policy.admit(ms(0), 9, one.clone()));
             // Turns go on within the rule's window, and all of them count against its budget.
             let sent = (0..8).flat_map(|turn| (0..9).map(move |n| (turn * 250, turn as usize * 9 + n)));
-            let sent = sent.filter(|(at, b)| {
-                gateway.policy.admit(ms(*at), *b, one.clone());
-                sent_to(gateway.policy.route(ms(*at), *b)).is_some()
+            let sent = sent.filter(|(time, b)| {
+                gateway.policy.admit(ms(*time), *b, one.clone());
+                sent_to(gateway.policy.route(ms(*time), *b)).is_some()
             });
             all += sent.count() as f64 * work as f64 / 1000.0;
         }
@@ -80,7 +80,7 @@
     ];
     for (named, counted, part, goes) in cases {
         let mut config = typical_config();
-        config.fleet.gateways = named;
+        config.topology.gateways = named;
         let mut gateway = config.start(0);
         counted.into_iter().for_each(|n| gateway.policy.set_gateway_count(n));
         gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
@@ -97,11 +97,11 @@
         [(None, 0, 0), (Some(0.0), 1000, 2000), (Some(0.011), 1000, 2000), (Some(0.11), 100, 200)]
     {
         let mut config = typical_config();
-        (config.fleet.gateways, config.caps.load_probe_cost) = (300, price);
+        (config.topology.gateways, config.capabilities.health_check_cost) = (300, price);
         let mut gateway = config.start(2);
         let mut probes = 0;
-        for at in 0..4_000 {
-            let (b, _) = gateway.admit(at, request(LOOK_UP));
+        for time in 0..4_000 {
+            let (b, _) = gateway.admit(time, request(LOOK_UP));
             gateway.policy.on_client_disconnected(b);
             probes += gateway.policy.health_checks().len();
         }
