--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,14 +5,14 @@
 use larchfall_policy::types::*;
 
 /// The engine itself said the end.
-pub const ENDED_BY_ENGINE: AttemptEvidence =
+pub(crate) const ENDED_BY_ENGINE: AttemptEvidence =
     AttemptEvidence { last: LastObservation::Ended, same_process: true };
 
-pub const LOOK_UP: usize = 0;
-pub const REPORT: usize = 1;
-pub const LOAD: usize = 2;
+pub(crate) const LOOK_UP: usize = 0;
+pub(crate) const REPORT: usize = 1;
+pub(crate) const LOAD: usize = 2;
 
-pub fn class(priority_weight: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
+pub(crate) fn class(priority_weight: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         priority_weight,
         latency_objective: Duration::from_millis(1000),
@@ -28,7 +28,7 @@
 }
 
 /// What a gateway of these tests is given, unless its test says something else.
-pub fn typical_config() -> PolicyConfig {
+pub(crate) fn typical_config() -> PolicyConfig {
     PolicyConfig {
         topology: Topology {
             gateways: 1,
@@ -62,7 +62,7 @@
     }
 }
 
-pub trait Start {
+pub(crate) trait Start {
     /// A gateway that was told of `engines` warm ones, all ready, in zone 0, of kind 0.
     fn start(self, engines: usize) -> Gateway;
 }
@@ -78,20 +78,20 @@
     }
 }
 
-pub struct Gateway {
+pub(crate) struct Gateway {
     pub policy: Policy,
     next: usize,
 }
 
-pub fn ms(n: u64) -> Timestamp {
+pub(crate) fn ms(n: u64) -> Timestamp {
     Timestamp::from_micros(1_000_000_000) + Duration::from_millis(n)
 }
 
-pub fn engine() -> Engine {
+pub(crate) fn engine() -> Engine {
     Engine { zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None }
 }
 
-pub fn request(class: usize) -> Request {
+pub(crate) fn request(class: usize) -> Request {
     Request {
         class,
         tenant: None,
@@ -105,7 +105,7 @@
 
 impl Gateway {
     /// Takes the request and asks once; its index and the answer.
-    pub fn admit(&mut self, time: u64, request: Request) -> (usize, RoutingDecision) {
+    pub(crate) fn admit(&mut self, time: u64, request: Request) -> (usize, RoutingDecision) {
         let b = self.next;
         self.next += 1;
         self.policy.admit(ms(time), b, request);
@@ -113,16 +113,30 @@
     }
 
     /// How many of `n` requests of one class, taken at once, are sent.
-    pub fn send_all(&mut self, n: usize, class: usize) -> usize {
+    pub(crate) fn send_all(&mut self, n: usize, class: usize) -> usize {
         (0..n).filter(|_| sent_to(self.admit(2, request(class)).1).is_some()).count()
     }
 
-    pub fn end(&mut self, time: u64, b: usize, number: u8, outcome: Outcome, took_ms: u64) -> AfterAttempt {
+    pub(crate) fn end(
+        &mut self,
+        time: u64,
+        b: usize,
+        number: u8,
+        outcome: Outcome,
+        took_ms: u64,
+    ) -> AfterAttempt {
         self.finish(time, b, number, outcome, took_ms, LoadReport::default())
     }
 
     /// The first attempt of a request ends with a load report.
-    pub fn end_with(&mut self, time: u64, b: usize, outcome: Outcome, took_ms: u64, report: LoadReport) {
+    pub(crate) fn end_with(
+        &mut self,
+        time: u64,
+        b: usize,
+        outcome: Outcome,
+        took_ms: u64,
+        report: LoadReport,
+    ) {
         self.finish(time, b, 0, outcome, took_ms, report);
     }
 
@@ -147,7 +161,7 @@
     }
 }
 
-pub fn sent_to(decision: RoutingDecision) -> Option<usize> {
+pub(crate) fn sent_to(decision: RoutingDecision) -> Option<usize> {
     match decision {
         RoutingDecision::Send(d) => Some(d.engine),
         _ => None,
--- a/crates/policy/tests/key_order.rs
+++ b/crates/policy/tests/key_order.rs
@@ -225,22 +225,24 @@
                 self.listens[e] = Some(self.processes);
                 self.processes += 1;
             }
-            Action::Tick => {
-                self.now += 1;
-                let now = self.now;
-                self.flying.retain(|f| now - f.since <= 1);
-                let listens = &self.listens;
-                let held = |r: &RemoteAttempt| {
-                    if listens.contains(&Some(r.process)) { ENGINE_FORGETS } else { DRAINING_LIFETIME }
-                };
-                let drains = &self.drains;
-                self.running.retain(|r| drains.contains(&r.process) || now - r.since <= held(r));
-                if x.reading != Reading::FixedTime {
-                    self.key_order.hold(time_of(now + 2), |process| drains.contains(&process));
-                }
-                self.key_order.remove_idle_keys(time_of(now));
-            }
+            Action::Tick => self.tick(x),
+        }
+    }
+
+    fn tick(&mut self, x: &Bounds) {
+        self.now += 1;
+        let now = self.now;
+        self.flying.retain(|f| now - f.since <= 1);
+        let listens = &self.listens;
+        let held = |r: &RemoteAttempt| {
+            if listens.contains(&Some(r.process)) { ENGINE_FORGETS } else { DRAINING_LIFETIME }
+        };
+        let drains = &self.drains;
+        self.running.retain(|r| drains.contains(&r.process) || now - r.since <= held(r));
+        if x.reading != Reading::FixedTime {
+            self.key_order.hold(time_of(now + 2), |process| drains.contains(&process));
         }
+        self.key_order.remove_idle_keys(time_of(now));
     }
 
     /// A call for news or to stop, on the connection there is or on a new one.
--- a/crates/policy/tests/policy/limits.rs
+++ b/crates/policy/tests/policy/limits.rs
@@ -18,7 +18,7 @@
         gateway.policy.tick(ms(9_000));
         let early = gateway.policy.take_events();
         sent.iter().for_each(|b| {
-            assert_eq!(gateway.end(9_001, *b, 0, Outcome::Returned, 9_001), AfterAttempt::Finished)
+            assert_eq!(gateway.end(9_001, *b, 0, Outcome::Returned, 9_001), AfterAttempt::Finished);
         });
         gateway.policy.tick(ms(9_250));
         let lines = [early, gateway.policy.take_events()].concat();
--- a/crates/policy/tests/policy/requests.rs
+++ b/crates/policy/tests/policy/requests.rs
@@ -83,8 +83,8 @@
         |r| r.tenants = vec![Tenant::default()],
         |r| {
             r.classes.iter_mut().for_each(|g| {
-                (g.threads, g.priority_weight, g.latency_objective) = (0.0, 0.0, Duration::ZERO)
-            })
+                (g.threads, g.priority_weight, g.latency_objective) = (0.0, 0.0, Duration::ZERO);
+            });
         },
     ];
     for (i, change) in odd.iter().enumerate() {
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -19,7 +19,7 @@
             gateway.admit(time, Request { deadline: ms(limit), work: None, ..request(LOOK_UP) });
         match decision {
             RoutingDecision::Send(d) => {
-                assert!(sends && ms(time) + d.timeout + Duration::from_millis(5) < ms(limit))
+                assert!(sends && ms(time) + d.timeout + Duration::from_millis(5) < ms(limit));
             }
             other => assert!(
                 !sends && matches!(other, RoutingDecision::Reject(Some(_))),
