--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -47,7 +47,7 @@
     pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> HealthGossip {
         state.policy.enable_observations(LIMITS.processes);
         let inner = Inner {
-            gossip: health_gossip::HealthGossip::new(LIMITS, settings.weigh, settings.probe_slot),
+            gossip: health_gossip::HealthGossip::new(LIMITS, settings.aggregation, settings.probe_slot),
             due: now,
             random: WyRand::new_seed(seed),
         };
--- a/crates/operator-config/src/health_gossip.rs
+++ b/crates/operator-config/src/health_gossip.rs
@@ -16,7 +16,7 @@
     /// To how many members each report goes.
     pub fanout: usize,
     /// How observations of others count.
-    pub weigh: AggregationSettings,
+    pub aggregation: AggregationSettings,
     /// In each such time one gateway probes an ejected engine; `None`: each gateway does so by itself.
     pub probe_slot: Option<Duration>,
 }
@@ -49,13 +49,13 @@
     let interval = table.duration(&raw.every_ms, "every-ms", 20, 60_000)?;
     let fanout = table.count(&raw.fanout, "fanout", 1, 64)?;
     let window = table.duration(&raw.window_ms, "window-ms", 100, 600_000)?;
-    let lasts = table.duration(&raw.lasts_ms, "lasts-ms", 100, 600_000)?;
+    let max_age = table.duration(&raw.lasts_ms, "lasts-ms", 100, 600_000)?;
     let probe_slot =
         raw.turn_ms.as_ref().map(|slot| table.duration(slot, "turn-ms", 100, 600_000)).transpose()?;
     Ok(HealthGossipConfig {
         interval,
         fanout,
-        weigh: AggregationSettings { window, max_age: lasts },
+        aggregation: AggregationSettings { window, max_age },
         probe_slot,
     })
 }
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -38,12 +38,12 @@
     let table = Table::new(text, "subsets");
     let least = table.count(&raw.least, "least", 1, 1024)?;
     let slack = table.count(&raw.slack, "slack", 0, 1000)? as f64 / 1000.0;
-    let grows = table.duration(&raw.grows_ms, "grows-ms", 10, 600_000)?;
-    let shrinks = table.duration(&raw.shrinks_ms, "shrinks-ms", 10, 3_600_000)?;
+    let grow_interval = table.duration(&raw.grows_ms, "grows-ms", 10, 600_000)?;
+    let shrink_interval = table.duration(&raw.shrinks_ms, "shrinks-ms", 10, 3_600_000)?;
     let check_interval = table.duration(&raw.look_ms, "look-ms", 10, 60_000)?;
     Ok(SubsettingConfig {
         plan: PlanSettings { min_engines: least, load_slack: slack },
-        aperture: ApertureSettings { grow_interval: grows, shrink_interval: shrinks },
+        aperture: ApertureSettings { grow_interval, shrink_interval },
         check_interval,
     })
 }
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -145,5 +145,5 @@
     );
     let gossip = health_gossip.unwrap();
     assert_eq!((gossip.interval, gossip.fanout, gossip.probe_slot), (ms(200), 6, Some(ms(2_000))));
-    assert_eq!((gossip.weigh.window, gossip.weigh.max_age), (ms(9_000), ms(3_500)));
+    assert_eq!((gossip.aggregation.window, gossip.aggregation.max_age), (ms(9_000), ms(3_500)));
 }
