--- a/crates/gateway/tests/gateway/sockets/attempts.rs
+++ b/crates/gateway/tests/gateway/sockets/attempts.rs
@@ -12,7 +12,7 @@
 fn each_end_of_an_attempt_has_its_response() {
     let errored = Answer::Error("Errored".into(), None);
     let rejected = Answer::Error("Rejected".into(), Some("500".into()));
-    // What the engine does, the class, the answer, and how often the statement came to the engine.
+    // What the engine does, the class, the response, and how often the statement came to the engine.
     let cases = [
         (Act::Serve(NOW, pages(&["a\tb\n"])), "look", rows("a\tb\n"), 1),
         (Act::Serve(NOW, pages(&["1\n", "2\n", "3\n"])), "look", rows("1\n2\n3\n"), 1),
@@ -61,7 +61,7 @@
         let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
         let mut client = gateway.client();
         client.send(class, &fields_of(class, ID, "20000"), "").unwrap();
-        // It dies with the call in its hands, and nobody listens there any more.
+        // It dies with the call unanswered, and nobody listens there any more.
         let (mut stream, _) = engine.accept().unwrap();
         assert!(stream.read(&mut [0; 1024]).unwrap() > 0);
         drop(engine);
--- a/crates/gateway/tests/gateway/sockets/discovery.rs
+++ b/crates/gateway/tests/gateway/sockets/discovery.rs
@@ -27,7 +27,7 @@
     gateway.discovery.say(2, bad);
     gateway.log.wait_for("reason: malformed");
     ask("old\n");
-    // The whole list drops the engine that it does not name, though the new one has another address only.
+    // The full list drops the engine that it does not name, though the new one has another address only.
     gateway.list(2, &[Endpoint::ready(2, new.address)]);
     ask("new\n");
     gateway.list(3, &[Endpoint::ready(2, old.address)]);
@@ -46,7 +46,7 @@
     assert_eq!(client.answer().unwrap().1, rows("ok\n"), "the list is kept");
 }
 
-/// Guards against a gateway that SIGHUP ends, and one that stays with a discovery service that tells nothing more.
+/// Guards against a gateway that SIGHUP ends, and one that stays with a discovery service that sends nothing more.
 #[test]
 fn a_reloading_gateway_serves_on_and_follows_the_new_discovery_service() {
     let old = engine(Act::Serve(Duration::from_millis(400), pages(&["old\n"])));
@@ -62,7 +62,7 @@
     gateway.log.wait_for("configuration rejected");
     gateway.reload(&config("127.0.0.1:0", discovery.address, Some(old.address), 256));
     gateway.log.wait_for("configuration reloaded");
-    assert_eq!(client.answer().unwrap(), (held, rows("old\n")), "was in hand");
+    assert_eq!(client.answer().unwrap(), (held, rows("old\n")), "was in flight");
     wait_for("the new discovery service's engine", || {
         client.send("look", &fields(ID, "20000"), "").unwrap();
         (client.answer().unwrap().1 == rows("new\n")).then_some(())
@@ -70,7 +70,7 @@
     gateway.log.wait_for("reason: replaced");
 }
 
-/// A gateway with one engine, and the way to its discovery service.
+/// A gateway with one engine, and the proxy between it and its discovery service.
 fn with_proxied_discovery() -> (Gateway, Engine, Proxies) {
     let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
@@ -79,15 +79,15 @@
     (Gateway::start_with(discovery, &text), engine, way)
 }
 
-/// Guards against a gateway that wakes, finds that its wait for the discovery service is over (or the discovery service's connection gone), and sends
-/// what came meanwhile before it has heard what else did.
+/// Guards against a gateway that wakes, finds that its wait for the discovery service is over (or the connection gone),
+/// and sends requests that came meanwhile before it has read the events that came meanwhile.
 #[test]
 fn what_comes_during_a_stall_is_sent_once_discovery_was_heard() {
-    // (how long it stands still, whether the way to its discovery service is cut meanwhile)
+    // How long the gateway is stopped, and whether its connection to the discovery service is cut meanwhile.
     for (still_ms, cut) in [(1_500, false), (3_200, false), (3_200, true), (1_500, true)] {
         let (gateway, engine, way) = with_proxied_discovery();
         let mut client = gateway.client();
-        // Until the gateway has heard its discovery service once.
+        // The gateway has an event of its discovery service.
         gateway.list(2, &[Endpoint::ready(1, engine.address)]);
         client.send("look", &fields(ID, "25000"), "").unwrap();
         assert_eq!(client.answer().unwrap().1, rows("ok\n"));
@@ -99,18 +99,18 @@
         let stopped = Instant::now();
         if cut {
             way.set_mode(|_, _| true, ProxyMode::Cut);
-            // What is on its way now still comes in.
+            // Bytes that are on their way now still arrive.
             std::thread::sleep(Duration::from_millis(200));
         }
         gateway.list(3, &[Endpoint::draining(1, engine.address)]);
         for n in 0..8 {
             client.send("look", &fields(&format!("{:016x}", n + 1), "25000"), "").unwrap();
         }
-        wait_for("it to have stood still so long", || {
+        wait_for("it to have been stopped for so long", || {
             (stopped.elapsed() > Duration::from_millis(still_ms)).then_some(())
         });
         gateway.resume();
-        // It cannot hear at once.
+        // It can't reconnect at once.
         std::thread::sleep(Duration::from_millis(200));
         way.set_mode(|_, _| true, ProxyMode::Forward);
         let refused = Answer::Error("Rejected".into(), Some("500".into()));
@@ -121,8 +121,8 @@
     }
 }
 
-/// Guards against a gateway that goes on for as long as it likes by a list that its discovery service may have taken back: what the discovery service
-/// has to tell counts as told 7 s later, and the grace of 2 s runs from then.
+/// Guards against a gateway that goes on for good by a list that its discovery service may have replaced: a change counts
+/// as announced 7 s later, and the grace of 2 s runs from then.
 #[test]
 fn a_gateway_cut_off_from_discovery_sends_nothing_once_its_list_expired() {
     let (gateway, engine, way) = with_proxied_discovery();
@@ -132,11 +132,11 @@
         client.answer().unwrap().1
     };
     way.set_mode(|_, _| true, ProxyMode::Stall);
-    // What is on its way now still comes in.
+    // Bytes that are on their way now still arrive.
     std::thread::sleep(Duration::from_millis(200));
     let (told, mut last, mut n) = (Instant::now(), Instant::now(), 0);
     gateway.list(2, &[Endpoint::draining(1, engine.address)]);
-    wait_for("the list to be too old", || {
+    wait_for("the list to expire", || {
         n += 1;
         let served = ask(n) == rows("ok\n");
         last = if served { Instant::now() } else { last };
@@ -147,7 +147,7 @@
     gateway.log.wait_for("endpoint list expired");
     gateway.list(3, &[Endpoint::ready(1, engine.address)]);
     way.set_mode(|_, _| true, ProxyMode::Forward);
-    wait_for("it to be heard again", || {
+    wait_for("events to arrive again", || {
         n += 1;
         (ask(n) == rows("ok\n")).then_some(())
     });
--- a/crates/gateway/tests/gateway/sockets/key_order.rs
+++ b/crates/gateway/tests/gateway/sockets/key_order.rs
@@ -27,12 +27,12 @@
     assert_eq!(order, ids);
 }
 
-/// Guards against the next request of a key beside one that no engine was told to stop, or whose cut call may still
-/// come to the engine: neither is over before the engine gives it up for not being asked after.
+/// Guards against the next request of a key beside one that was not cancelled at its engine, or whose call was cut off and
+/// may still arrive there: neither is over before the engine drops it because nobody polls it.
 #[test]
 fn a_key_cools_down_while_what_was_sent_may_still_run() {
     let id = |n: usize| format!("{n:016x}");
-    // What the engine says to the first call, cut off then; whether later calls have a reply; the answer.
+    // Whether later calls have a reply, and the first request's timeout. The first call is cut off.
     for (replies, time) in [(false, "900"), (true, "20000")] {
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
         let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
@@ -49,7 +49,7 @@
                             return;
                         }
                         if replies {
-                            // Known no more.
+                            // The engine no longer knows the query.
                             let unknown = b"HTTP/1.1 500 Unknown\r\nContent-Length: 0\r\n\r\n";
                             stream.write_all(unknown).unwrap();
                         }
@@ -62,7 +62,7 @@
         let first = came.recv().unwrap();
         client.send("load", &fields_of("load", &id(2), "25000"), "").unwrap();
         // The first one's own retries have their turn; the second one's has not.
-        let next = wait_for("the next dispatch", || came.recv().ok());
+        let next = wait_for("the next attempt", || came.recv().ok());
         assert!(replies || next - first > MIN_KEY_COOLDOWN, "{:?} after", next - first);
         if replies {
             assert_eq!(client.answer().unwrap().0, 1);
@@ -73,8 +73,8 @@
     }
 }
 
-/// Guards against taking a refused connection for the end of what runs there: an engine about to go takes no
-/// more in, and its query still counts as out.
+/// Guards against taking a refused connection for the end of what runs there: a draining engine accepts no connections,
+/// and its query may still run.
 #[test]
 fn a_key_cools_down_after_an_engine_that_refuses_connections() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -91,8 +91,8 @@
     assert!(cut.elapsed() > MIN_KEY_COOLDOWN, "{:?} after", cut.elapsed());
 }
 
-/// Guards against losing the one connection on which an engine about to go can be told: it takes no new ones, and
-/// what it holds it runs on, asked for or not, while the next of the key goes elsewhere.
+/// Guards against losing the one connection on which a query can be cancelled at a draining engine: the engine accepts no
+/// new ones and runs its queries on, polled or not, while the next request of the key goes elsewhere.
 #[test]
 fn what_times_out_at_a_draining_engine_is_cancelled_on_the_open_connection() {
     let runs = |_: &str, statement: &str| {
@@ -123,7 +123,7 @@
     stub_engines.open(at);
 }
 
-/// Guards against a key that rests after a whole result, only because its last page came on another connection.
+/// Guards against a key that cools down after a complete result only because its last page came on another connection.
 #[test]
 fn a_key_does_not_cool_down_after_a_complete_result() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/gateway/tests/gateway/sockets/limits.rs
+++ b/crates/gateway/tests/gateway/sockets/limits.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Guards against connections that are kept for good: those that came later waited in the listener's queue.
+/// Guards against connections that are kept for good, while later ones wait in the listener's queue.
 #[test]
 fn idle_connections_make_room_and_those_with_a_request_stay() {
     let engine = engine(Act::Serve(Duration::from_millis(1500), pages(&["ok\n"])));
@@ -32,7 +32,7 @@
     assert!(gateway.log.count("reason: room-needed") >= 24, "not for lack of room");
 }
 
-/// Guards against a queue of connections that say nothing, each of which kept its place for a quarter second.
+/// Guards against a queue of connections that send nothing, each of which kept its place for a quarter second.
 #[test]
 fn a_flood_of_silent_connections_keeps_nobody_waiting_for_long() {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
@@ -82,14 +82,14 @@
         client.send("once", &fields(ID, "25000"), "").unwrap();
         (client.answer().unwrap().1 == rows("ok\n")).then_some(())
     });
-    // Told as failed connections, they would have counted against a sound engine.
+    // Counted as failed connections, they would have counted against a healthy engine.
     gateway.signal("-USR1");
     let line = gateway.log.wait_for("class: once, admitted");
     assert!(line.contains("connect_failed: 0,") && !line.contains("attempts_not_sent: 0"), "{line}");
 }
 
-/// Guards against a worker that looks for no events while any coroutine is ready: connections that always have
-/// something to say kept all others, and every engine's answer, from being heard for seconds.
+/// Guards against a worker that polls for no events while any coroutine is ready: connections that always have something
+/// to send kept all others, and every engine's reply, waiting for seconds.
 #[test]
 fn clients_that_never_pause_do_not_starve_others() {
     let engine = engine(Act::Serve(Duration::from_millis(50), pages(&["ok\n"])));
--- a/crates/gateway/tests/gateway/sockets/malformed.rs
+++ b/crates/gateway/tests/gateway/sockets/malformed.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Guards against what no engine can use either: it would answer with an error and be blamed for it.
+/// Guards against a request that no engine could use either: it would answer with an error and be blamed for it.
 #[test]
 fn an_unusable_request_is_answered_with_an_error_and_sent_to_no_engine() {
     let engine = engine(Act::Serve(Duration::from_millis(300), pages(&["ok\n"])));
@@ -94,7 +94,7 @@
         let sent = client.send(class, &fields, "").unwrap();
         assert_eq!(client.answer().unwrap(), (sent, errored.clone()), "{class} {name} {value:?}");
     }
-    // An id that is in hand, with another statement: only the first one counts.
+    // An id that is in flight, with another statement: only the first one counts.
     let first = client.send("look", &fields(ID, "20000"), "first").unwrap();
     let second = client.send("look", &fields(ID, "20000"), "second").unwrap();
     assert_eq!(client.answer().unwrap(), (second, errored));
--- a/crates/gateway/tests/gateway/sockets/mod.rs
+++ b/crates/gateway/tests/gateway/sockets/mod.rs
@@ -13,7 +13,7 @@
 
 const NOW: Duration = Duration::ZERO;
 const FOREVER: Duration = Duration::from_secs(600);
-/// What may run on unseen keeps its key for at least as long.
+/// An attempt that may run on unobserved keeps its key for at least as long.
 const MIN_KEY_COOLDOWN: Duration = Duration::from_secs(8);
 const ID: &str = "9b1f03aa5c7e2d41";
 
@@ -21,7 +21,7 @@
     vec![("req", id), ("timeout", wait), ("owner", "acme"), ("ms", "10"), ("est_mb", "5")]
 }
 
-/// As clients word requests of this request class: loads carry a mark and a key.
+/// The fields of a request of this class: loads carry an idempotency key and an order key.
 fn fields_of<'a>(class: &str, id: &'a str, wait: &'a str) -> Vec<(&'a str, &'a str)> {
     let mut fields = fields(id, wait);
     if class == "load" {
--- a/crates/gateway/tests/gateway/sockets/restarts.rs
+++ b/crates/gateway/tests/gateway/sockets/restarts.rs
@@ -23,8 +23,8 @@
     assert_eq!(answers, [(1, rows("ok\n")), (2, rows("ok\n"))]);
 }
 
-/// Guards against what was picked before a stall and is sent after it: its engine drains by then, and the grace that
-/// it was told with has run out.
+/// Guards against an attempt that was routed before a stall and is sent after it: its engine drains by then, and the
+/// grace has run out.
 #[test]
 fn what_was_routed_before_a_stall_is_not_sent_to_an_engine_that_drains_by_then() {
     let engine = Full::start();
@@ -67,7 +67,7 @@
     let mut late = gateway.client();
     let after = late.send("once", &fields("cccccccccccccccc", "25000"), "").unwrap();
     assert_eq!(late.answer().unwrap(), (after, rows("ok\n")), "came after the signal");
-    assert_eq!(client.answer().unwrap(), (held, rows("ok\n")), "was in hand");
+    assert_eq!(client.answer().unwrap(), (held, rows("ok\n")), "was in flight");
     assert_eq!(waiting.answer().unwrap(), (long, Answer::Error("Errored".into(), None)), "outlasts the end");
     assert!(gateway.wait_for_exit().success());
     gateway.log.wait_for("reason: stopped");
@@ -75,7 +75,7 @@
     assert!(line.contains("admitted: 3, returned: 2, rejected: 0, errored: 1,"), "{line}");
 }
 
-/// Guards against an end by the clock alone: a gateway that stood still has not heard its sockets yet.
+/// Guards against an end by the clock alone: a gateway that was stalled has not read its sockets yet.
 #[test]
 fn what_came_while_a_stopping_gateway_stalled_is_answered() {
     let slow = engine(Act::Serve(Duration::from_millis(400), pages(&["ok\n"])));
