--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -1,7 +1,7 @@
 //! The policy in blocking style, and the only place that calls it: a request is admitted, routed, waits while there is
 //! nothing to do, and each attempt's outcome is recorded; the timer thread calls `tick`.
 //!
-//! Calls are grouped by subject in the modules below. All of them work on [`Decisions`], under one lock that is never
+//! Calls are grouped by subject in the modules below. All of them work on `Decisions`, under one lock that is never
 //! held across a wait, so that the policy, the endpoint list and the requests in flight always agree.
 
 mod capacity;
