--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -62,7 +62,7 @@
         let slack = if requests < 30.0 { 3.0 * requests.sqrt() + 3.0 } else { 2.0 * requests.sqrt() + 2.0 };
         let most = requests + 0.75 * slack;
         let sent = all / (work as f64 / 1000.0);
-        assert!((sent > 0.0 || !some) && sent <= most, "{gateways} fronts, work {work}: {sent} of {most}");
+        assert!((sent > 0.0 || !some) && sent <= most, "{gateways} gateways, work {work}: {sent} of {most}");
     }
 }
 
--- a/crates/policy/tests/policy/limits.rs
+++ b/crates/policy/tests/policy/limits.rs
@@ -43,7 +43,7 @@
             }
             gateway.policy.tick(ms(1));
         }
-        assert_eq!(out, most, "group {class}");
+        assert_eq!(out, most, "class {class}");
     }
 }
 
@@ -65,10 +65,10 @@
         let peak = gateway.send_all(100, class) as f64 * threads;
         assert!(
             peak >= fraction && peak < fraction * 3.0 + threads,
-            "{gateways} fronts, {engines} engines: {peak}"
+            "{gateways} gateways, {engines} engines: {peak}"
         );
         (0..40).for_each(|_| gateway.policy.tick(ms(1)));
-        assert!(gateway.send_all(20, LOOK_UP) <= 1, "{gateways} fronts, {engines} engines, group {class}");
+        assert!(gateway.send_all(20, LOOK_UP) <= 1, "{gateways} gateways, {engines} engines, class {class}");
     }
 }
 
@@ -95,7 +95,7 @@
                 gateway.end(time + 249, b, 0, Outcome::Returned, took);
             }
         }
-        assert_eq!(peaks[39] > peaks[0], grows, "{gateways} fronts, {took} ms: {peaks:?}");
+        assert_eq!(peaks[39] > peaks[0], grows, "{gateways} gateways, {took} ms: {peaks:?}");
     }
 }
 
@@ -169,7 +169,7 @@
         }
         (0..60).for_each(|_| gateway.policy.tick(ms(5000)));
         let sent = (0..20).filter(|_| sent_to(gateway.admit(5000, request(LOAD)).1).is_some()).count();
-        assert_eq!(sent, loads, "{gateways} fronts");
+        assert_eq!(sent, loads, "{gateways} gateways");
         gateway.end(5001, first, 0, Outcome::Rejected, 1);
         assert!(matches!(gateway.policy.route(ms(5001), first), RoutingDecision::Reject(_)));
     }
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -202,7 +202,7 @@
                 }
             }
         }
-        assert!((least..=most).contains(&sent), "{gateways} fronts, age {age}: {sent} sent");
+        assert!((least..=most).contains(&sent), "{gateways} gateways, age {age}: {sent} sent");
     }
 }
 
--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -15,8 +15,8 @@
         (0..8).for_each(|e| gateway.policy.update_engine(ms(0), 8 + e, Engine { kind: 1, ..engine() }));
         assert!(reports == 0 || gateway.send_all(reports, REPORT) < reports, "kind 1 is full");
         let sent: Vec<_> = (0..loads).filter_map(|_| sent_to(gateway.admit(3, request(LOAD)).1)).collect();
-        assert_eq!(sent.len(), loads, "{gateways} fronts, {reports} reports");
-        assert!(sent.iter().filter(|e| **e >= 8).count() <= to_1, "{gateways} fronts: {sent:?}");
+        assert_eq!(sent.len(), loads, "{gateways} gateways, {reports} reports");
+        assert!(sent.iter().filter(|e| **e >= 8).count() <= to_1, "{gateways} gateways: {sent:?}");
     }
 }
 
@@ -62,7 +62,7 @@
             gateway.end(now, b, 0, Outcome::Cancelled, 0);
             gateway.policy.on_client_disconnected(b);
         }
-        assert_eq!(to_1 == 8, all_to_1, "{gateways} fronts, {took} ms, busy {busy:?}: {to_1}");
+        assert_eq!(to_1 == 8, all_to_1, "{gateways} gateways, {took} ms, busy {busy:?}: {to_1}");
     }
 }
 
