--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -47,7 +47,7 @@
     pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> GossipService {
         state.policy.enable_observations(LIMITS.processes);
         let inner = Inner {
-            gossip: HealthGossip::new(LIMITS, settings.weigh, settings.probe_slot),
+            gossip: HealthGossip::new(LIMITS, settings.aggregation, settings.probe_slot),
             due: now,
             random: WyRand::new_seed(seed),
         };
