--- a/crates/fault-tests/src/proxy.rs
+++ b/crates/fault-tests/src/proxy.rs
@@ -25,8 +25,10 @@
 
 /// How often a stalled connection looks whether the mode has changed.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest wait on a socket, after which the mode is looked at again.
-const SOCKET_TIMEOUT: Duration = Duration::from_millis(50);
+/// Longest wait for bytes, after which the mode is looked at again.
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Where nobody listens a connection is refused at once; one that takes longer is up later, on a busy machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes passed on at a time.
 const PIECE_BYTES: usize = 16 << 10;
 
@@ -101,26 +103,27 @@
                 continue;
             }
             // Where nobody listens the client's connection ends, as if it had been refused.
-            let Ok(target) = TcpStream::connect_timeout(&self.target, SOCKET_TIMEOUT) else { continue };
-            self.spawn_forwarder(client.try_clone(), target.try_clone(), closed);
-            self.spawn_forwarder(target.try_clone(), client.try_clone(), closed);
+            let Ok(target) = TcpStream::connect_timeout(&self.target, CONNECT_TIMEOUT) else { continue };
+            let client = Arc::new(client);
+            let target = Arc::new(target);
+            self.spawn_forwarder(client.clone(), target.clone(), closed);
+            self.spawn_forwarder(target, client, closed);
         }
     }
 
     fn spawn_forwarder(
         self: &Arc<Proxy>,
-        from: io::Result<TcpStream>,
-        to: io::Result<TcpStream>,
+        from: Arc<TcpStream>,
+        to: Arc<TcpStream>,
         closed: &Arc<AtomicBool>,
     ) {
-        let (Ok(from), Ok(to)) = (from, to) else { return };
         let proxy = self.clone();
         let closed = closed.clone();
-        thread::spawn(move || proxy.forward(from, to, &closed));
+        thread::spawn(move || proxy.forward(&from, &to, &closed));
     }
 
-    fn forward(&self, mut from: TcpStream, mut to: TcpStream, closed: &AtomicBool) {
-        let _ = from.set_read_timeout(Some(SOCKET_TIMEOUT));
+    fn forward(&self, mut from: &TcpStream, mut to: &TcpStream, closed: &AtomicBool) {
+        let _ = from.set_read_timeout(Some(READ_TIMEOUT));
         let mut buffer = [0; PIECE_BYTES];
         while !closed.load(Ordering::Relaxed) {
             // Read, not held: with many stalled connections the mode could never be changed.
