--- a/examples/stub-engine/src/stub_engines.rs
+++ b/examples/stub-engine/src/stub_engines.rs
@@ -5,7 +5,7 @@
 use crate::engine_api::{EngineCall, POLL_INTERVAL, lock, long_poll};
 use crate::http::{HttpRequest, NO_CONTENT, read_request, response};
 use std::collections::{BTreeMap, HashMap};
-use std::io::{self, BufReader, ErrorKind, Write};
+use std::io::{self, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -207,8 +207,8 @@
                     let shared = shared.clone();
                     thread::spawn(move || shared.serve(stream, process));
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(POLL_INTERVAL),
-                Err(_) => return,
+                // None waits, or one was gone before it was accepted, or there is no descriptor left just now.
+                Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
     }
