--- a/crates/fault-tests/examples/lease_holders.rs
+++ b/crates/fault-tests/examples/lease_holders.rs
@@ -85,9 +85,7 @@
             cluster.wait_until_joined();
             let (token, holder) = wait_for("a holder", || {
                 let token = resource.last_accepted(LEASE)?.token;
-                let acquired = format!("lease acquired, lease: {LEASE}, token: {token}");
-                let holds = |gateway: &usize| cluster.gateway(*gateway).log.last(&acquired).is_some();
-                Some((token, cluster.running().find(holds)?))
+                Some((token, cluster.lease_holder(LEASE, token)?))
             });
             let began = Instant::now();
             fall.inflict(&mut cluster, holder);
--- a/crates/fault-tests/src/gateway_cluster.rs
+++ b/crates/fault-tests/src/gateway_cluster.rs
@@ -185,6 +185,18 @@
         field(&line, "state").map(str::to_owned)
     }
 
+    /// The gateway that runs and has logged that it acquired a lease under this token.
+    pub fn lease_holder(&self, lease: &str, token: u64) -> Option<usize> {
+        let token = token.to_string();
+        // Fields are compared whole: token 1 is not token 12.
+        let acquired = |line: &str| {
+            line.contains("lease acquired")
+                && field(line, "lease") == Some(lease)
+                && field(line, "token") == Some(&token)
+        };
+        self.running().find(|gateway| self.gateway(*gateway).log.has_line(acquired))
+    }
+
     /// Waits until all that run hold each of these in this state, themselves excepted.
     pub fn wait_until_held(&self, of: &[usize], state: &str) {
         let what = format!("seed {}: all to hold {of:?} in state {state}", self.seed);
--- a/crates/fault-tests/src/process_log.rs
+++ b/crates/fault-tests/src/process_log.rs
@@ -50,6 +50,11 @@
         lock(&self.lines).iter().rev().find(|line| line.text.contains(words)).map(|line| line.text.clone())
     }
 
+    /// Whether there is a line for which this holds.
+    pub fn has_line(&self, matches: impl Fn(&str) -> bool) -> bool {
+        lock(&self.lines).iter().any(|line| matches(&line.text))
+    }
+
     /// All lines so far.
     pub fn lines(&self) -> Vec<LogLine> {
         lock(&self.lines).clone()
--- a/crates/fault-tests/tests/leases.rs
+++ b/crates/fault-tests/tests/leases.rs
@@ -148,11 +148,7 @@
     fn holder(&self, lease: &str) -> Holder {
         wait_for("a holder", || {
             let token = self.resource.last_accepted(lease)?.token;
-            let acquired = format!("lease acquired, lease: {lease}, token: {token}");
-            let mut running = self.cluster.running();
-            let gateway =
-                running.find(|gateway| self.cluster.gateway(*gateway).log.last(&acquired).is_some())?;
-            Some(Holder { gateway, token })
+            Some(Holder { gateway: self.cluster.lease_holder(lease, token)?, token })
         })
     }
 
