--- a/crates/fault-tests/src/gateway_process.rs
+++ b/crates/fault-tests/src/gateway_process.rs
@@ -44,9 +44,19 @@
     pub memory_bytes: usize,
 }
 
+/// A child process that is killed when it is dropped, also if the test panics before it is up.
+struct KilledOnDrop(Child);
+
+impl Drop for KilledOnDrop {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
 /// A running gateway; killed when it is dropped.
 pub struct GatewayProcess {
-    child: Child,
+    process: KilledOnDrop,
     /// Where it listens for MessagePack-RPC.
     pub address: SocketAddr,
     /// Where it listens for the paged protocol, if it does.
@@ -87,13 +97,18 @@
             fs::write(&operator_file, operator_config).unwrap();
             command.arg("--site").arg(&operator_file);
         }
-        let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
+        let mut process =
+            KilledOnDrop(command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap());
         let log = Arc::new(ProcessLog::default());
-        log.read(child.stdout.take().unwrap());
-        log.read(child.stderr.take().unwrap());
+        log.read(process.0.stdout.take().unwrap());
+        log.read(process.0.stderr.take().unwrap());
         let address = address_in(&log.wait_for("listening,"));
         let discovery = Arc::new(discovery);
-        GatewayProcess { child, address, rest: None, log, discovery, config_file, operator_file }
+        GatewayProcess { process, address, rest: None, log, discovery, config_file, operator_file }
+    }
+
+    fn id(&self) -> u32 {
+        self.process.0.id()
     }
 
     /// A new client of it.
@@ -108,7 +123,7 @@
 
     /// Sends it a signal by its name: `-TERM`.
     pub fn signal(&self, signal: &str) {
-        send_signal(self.child.id(), signal);
+        send_signal(self.id(), signal);
     }
 
     /// Suspends it, and returns once all its threads are stopped: on a busy machine some run for a while.
@@ -149,7 +164,7 @@
     }
 
     fn proc_path(&self, entry: &str) -> String {
-        format!("/proc/{}/{entry}", self.child.id())
+        format!("/proc/{}/{entry}", self.id())
     }
 
     /// Replaces the operator's settings and tells the gateway.
@@ -166,7 +181,7 @@
 
     /// Waits for the end of the process.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        wait_for("the gateway to end", || self.child.try_wait().unwrap())
+        wait_for("the gateway to end", || self.process.0.try_wait().unwrap())
     }
 
     /// Publishes a whole list of endpoints under this revision.
@@ -201,8 +216,8 @@
         if thread::panicking() {
             eprintln!("{:#?}", self.log.lines());
         }
-        let _ = self.child.kill();
-        let _ = self.child.wait();
+        let _ = self.process.0.kill();
+        let _ = self.process.0.wait();
         let _ = fs::remove_file(&self.config_file);
         let _ = fs::remove_file(&self.operator_file);
     }
