--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -16,18 +16,17 @@
 use super::timers::Timers;
 use capacity::CapacityPlan;
 use in_flight::InFlightRequests;
-use larchfall_health_gossip::sights::Sights;
+use larchfall_health_gossip::observations::Observations;
 use larchfall_policy::event::PolicyEvent;
 use larchfall_policy::policy::Policy;
 use larchfall_policy::time::Timestamp;
-use larchfall_quotas::demand::Came;
+use larchfall_quotas::demand::Arrivals;
 use std::sync::{Arc, Mutex, MutexGuard};
 
 pub use capacity::ReadyForQuota;
 pub use engines::{EndpointSummary, EngineStatus};
 pub use in_flight::{AdmissionError, Disconnection};
 pub use larchfall_policy::policy::TICK;
-pub use observations::ObservationReport;
 
 /// The policy, and what belongs to its decisions.
 pub struct PolicyHandle {
@@ -41,10 +40,10 @@
     engines: EngineTable,
     in_flight: InFlightRequests,
     /// Requests that came so far, by request class and tenant.
-    arrivals: Came,
+    arrivals: Arrivals,
     capacity: CapacityPlan,
     /// What this gateway observed of engines, where members are told.
-    observations: Option<Sights>,
+    observations: Option<Observations>,
 }
 
 impl PolicyHandle {
@@ -54,7 +53,7 @@
             policy,
             engines: EngineTable::default(),
             in_flight: InFlightRequests::new(max_in_flight),
-            arrivals: Came::default(),
+            arrivals: Arrivals::default(),
             capacity: CapacityPlan::default(),
             observations: None,
         };
--- a/crates/gateway/src/state/policy_handle/engines.rs
+++ b/crates/gateway/src/state/policy_handle/engines.rs
@@ -3,7 +3,7 @@
 use super::PolicyHandle;
 use crate::codec::discovery::WatchEvent;
 use crate::state::engine_table::{EngineInstance, ReadyEngine};
-use larchfall_health_gossip::Process;
+use larchfall_health_gossip::EngineProcess;
 use larchfall_policy::interface::{EngineHealth, EngineState, LoadReport};
 use larchfall_policy::time::Timestamp;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EngineStatus {
     /// The process that is listed.
-    pub process: Process,
+    pub process: EngineProcess,
     /// Its state in the list.
     pub state: EngineState,
     /// What this gateway judges of it.
@@ -67,7 +67,7 @@
     }
 
     /// All processes of engines that are listed and not gone.
-    pub fn processes(&self) -> Vec<Process> {
+    pub fn processes(&self) -> Vec<EngineProcess> {
         self.lock().engines.present().map(|engine| engine.process).collect()
     }
 
--- a/crates/operator-config/src/health_gossip.rs
+++ b/crates/operator-config/src/health_gossip.rs
@@ -3,7 +3,7 @@
 use crate::error::{ConfigError, Problem};
 use crate::membership::MembershipConfig;
 use crate::table::{Table, default_count, default_ms};
-use larchfall_health_gossip::weigh;
+use larchfall_health_gossip::aggregation::AggregationSettings;
 use larchfall_policy::time::Duration;
 use serde::Deserialize;
 use toml::Spanned;
@@ -16,7 +16,7 @@
     /// To how many members each report goes.
     pub fanout: usize,
     /// How observations of others count.
-    pub weigh: weigh::Settings,
+    pub weigh: AggregationSettings,
     /// In each such time one gateway probes an ejected engine; `None`: each gateway does so by itself.
     pub probe_slot: Option<Duration>,
 }
@@ -52,5 +52,10 @@
     let lasts = table.duration(&raw.lasts_ms, "lasts-ms", 100, 600_000)?;
     let probe_slot =
         raw.turn_ms.as_ref().map(|slot| table.duration(slot, "turn-ms", 100, 600_000)).transpose()?;
-    Ok(HealthGossipConfig { interval, fanout, weigh: weigh::Settings { window, lasts }, probe_slot })
+    Ok(HealthGossipConfig {
+        interval,
+        fanout,
+        weigh: AggregationSettings { window, max_age: lasts },
+        probe_slot,
+    })
 }
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -135,9 +135,15 @@
 fn subsets_and_gossip_of_the_version_before_mean_the_same() {
     let OperatorConfig { subsetting, health_gossip, .. } = parse(FILE, &names()).unwrap();
     let subsetting = subsetting.unwrap();
-    assert_eq!((subsetting.plan.least, subsetting.plan.slack, subsetting.check_interval), (12, 0.2, ms(400)));
-    assert_eq!((subsetting.aperture.grows, subsetting.aperture.shrinks), (ms(900), ms(9_000)));
+    assert_eq!(
+        (subsetting.plan.min_engines, subsetting.plan.load_slack, subsetting.check_interval),
+        (12, 0.2, ms(400))
+    );
+    assert_eq!(
+        (subsetting.aperture.grow_interval, subsetting.aperture.shrink_interval),
+        (ms(900), ms(9_000))
+    );
     let gossip = health_gossip.unwrap();
     assert_eq!((gossip.interval, gossip.fanout, gossip.probe_slot), (ms(200), 6, Some(ms(2_000))));
-    assert_eq!((gossip.weigh.window, gossip.weigh.lasts), (ms(9_000), ms(3_500)));
+    assert_eq!((gossip.weigh.window, gossip.weigh.max_age), (ms(9_000), ms(3_500)));
 }
