--- a/crates/fault-tests/examples/gossip_simulation.rs
+++ b/crates/fault-tests/examples/gossip_simulation.rs
@@ -1,61 +1,88 @@
-//! What it costs a fleet to find out that an engine is dead, to try it, and to have it back; and what a lie costs:
+//! What it costs a cluster to find out that an engine is dead, to probe it, and to have it back; and what a lie costs:
 //! cargo run --release -p larchfall-fault-tests --example gossip_simulation [SIZE ...]
 
-use larchfall_fault_tests::simulation::health_gossip::{Seen, Setting, Sighted, Telling};
+use larchfall_fault_tests::simulation::Simulation;
+use larchfall_fault_tests::simulation::health_gossip::{GossipMode, GossipSetup, GossipSimulation};
 use larchfall_policy::time::Duration;
 
-const TURN: Duration = Duration::from_millis(1_000);
-const TELLINGS: [Telling; 4] = [Telling::Nothing, Telling::Verdicts, Telling::Counts, Telling::Turns(TURN)];
-
-fn s(n: u64) -> Duration {
-    Duration::from_millis(n * 1000)
-}
+const PROBE_SLOT: Duration = Duration::from_millis(1_000);
+const MODES: [GossipMode; 4] = [
+    GossipMode::None,
+    GossipMode::Verdicts,
+    GossipMode::Reports,
+    GossipMode::ReportsWithProbeSlots(PROBE_SLOT),
+];
+const WARM_UP: Duration = Duration::from_millis(10_000);
+const FIRST_FAILURE: Duration = Duration::from_millis(10_000);
+const LATER_FAILURE: Duration = Duration::from_millis(20_000);
+const LYING: Duration = Duration::from_millis(20_000);
+const MAX_RECOVERY: Duration = Duration::from_millis(120_000);
 
 fn main() {
-    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
+    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|size| size.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![10, 100, 300, 1000] } else { sizes };
     println!(
-        "| fronts | told | loss | dispatches that met the dead engine, first 10 s | a second, the 20 s after | all have it back, s | by one liar left out, of all fronts' time | by a third of one zone |"
+        "| gateways | told | loss | attempts that met the dead engine, first 10 s | a second, the 20 s after | all have it back, s | by one liar ejected, of all gateways' time | by a third of one zone |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for gateways in sizes {
-        for (telling, loss) in TELLINGS.into_iter().map(|t| (t, 0.0)).chain([(Telling::Turns(TURN), 0.5)]) {
-            let setting = Setting { gateways, telling, pace: 4.0, loss, liars: 0 };
-            row(&setting);
+        for mode in MODES {
+            print_row(&setup(gateways, mode, 0.0));
         }
+        print_row(&setup(gateways, GossipMode::ReportsWithProbeSlots(PROBE_SLOT), 0.5));
     }
 }
 
-fn row(setting: &Setting) {
-    let mut fleet = Sighted::start(setting.clone(), 1);
-    fleet.run(s(10));
-    fleet.works = false;
-    fleet.seen = Seen::default();
-    fleet.run(s(10));
-    let first = std::mem::take(&mut fleet.seen).met;
-    fleet.run(s(20));
-    let later = std::mem::take(&mut fleet.seen).met;
-    fleet.works = true;
-    let from = fleet.now;
-    // All but one in a hundred: a gateway with next to no traffic tries nothing.
-    while fleet.leave_out() > setting.gateways / 100 && fleet.now.since(from) < s(120) {
-        fleet.run(Duration::from_millis(250));
-    }
-    let back = fleet.now.since(from).secs();
-    let lied = |liars| {
-        let mut fleet = Sighted::start(Setting { liars, ..setting.clone() }, 2);
-        fleet.run(s(10));
-        fleet.seen = Seen::default();
-        fleet.run(s(20));
-        fleet.seen.left_out.secs() / (20.0 * (setting.gateways - liars) as f64) * 100.0
-    };
+fn setup(gateways: usize, mode: GossipMode, loss: f64) -> GossipSetup {
+    GossipSetup { gateways, mode, requests_per_second: 4.0, loss, liars: 0 }
+}
+
+/// An engine's failure and its recovery.
+struct FailureCost {
+    /// Attempts that met it at first.
+    first_attempts: usize,
+    /// Attempts that met it later.
+    later_attempts: usize,
+    /// From when it works until all but one gateway in a hundred have it back: one with next to no traffic probes nothing.
+    recovery: Duration,
+}
+
+fn measure_failure(setup: &GossipSetup) -> FailureCost {
+    let mut cluster = GossipSimulation::start(setup.clone(), 1);
+    cluster.run(WARM_UP);
+    cluster.bad_engine_works = false;
+    cluster.counts = Default::default();
+    cluster.run(FIRST_FAILURE);
+    let first_attempts = std::mem::take(&mut cluster.counts).failed_attempts;
+    cluster.run(LATER_FAILURE);
+    let later_attempts = std::mem::take(&mut cluster.counts).failed_attempts;
+    cluster.bad_engine_works = true;
+    let few = setup.gateways / 100;
+    let recovery = cluster.run_until(MAX_RECOVERY, |cluster| cluster.ejecting_gateways() <= few);
+    FailureCost { first_attempts, later_attempts, recovery: recovery.unwrap_or(MAX_RECOVERY) }
+}
+
+/// The percentage of its time for which an engine that works is ejected at gateways that do not lie.
+fn measure_lies(setup: &GossipSetup, liars: usize) -> f64 {
+    let mut cluster = GossipSimulation::start(GossipSetup { liars, ..setup.clone() }, 2);
+    cluster.run(WARM_UP);
+    cluster.counts = Default::default();
+    cluster.run(LYING);
+    let honest = (setup.gateways - liars) as f64;
+    cluster.counts.ejected_time.secs() / (LYING.secs() * honest) * 100.0
+}
+
+fn print_row(setup: &GossipSetup) {
+    let cost = measure_failure(setup);
     println!(
-        "| {} | {:?} | {:.0}% | {first} | {:.1} | {back:.1} | {:.2}% | {:.2}% |",
-        setting.gateways,
-        setting.telling,
-        setting.loss * 100.0,
-        later as f64 / 20.0,
-        lied(1),
-        lied((setting.gateways / 9).max(1))
+        "| {} | {:?} | {:.0}% | {} | {:.1} | {:.1} | {:.2}% | {:.2}% |",
+        setup.gateways,
+        setup.mode,
+        setup.loss * 100.0,
+        cost.first_attempts,
+        cost.later_attempts as f64 / LATER_FAILURE.secs(),
+        cost.recovery.secs(),
+        measure_lies(setup, 1),
+        measure_lies(setup, (setup.gateways / 9).max(1))
     );
 }
--- a/crates/fault-tests/src/simulation/health_gossip.rs
+++ b/crates/fault-tests/src/simulation/health_gossip.rs
@@ -1,6 +1,8 @@
-//! A fleet in one process for what gateways see of engines: the real decisions and the real desks of each gateway, a net between
-//! them that loses letters, engines of which one stops working and comes back, and gateways that lie. Seeded.
+//! Health gossip of a whole cluster in one process: the real policy and the real gossip of each gateway, a network between
+//! them that loses messages, engines of which one stops working and works again, and gateways that lie.
 
+use super::Simulation;
+use super::event_queue::EventQueue;
 use larchfall_health_gossip::EngineProcess;
 use larchfall_health_gossip::aggregation::AggregationSettings;
 use larchfall_health_gossip::datagram::MAX_ENTRIES;
@@ -8,101 +10,141 @@
 use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
 use larchfall_health_gossip::observations::{Observation, Observations, Report};
 use larchfall_policy::event::Evidence;
-use larchfall_policy::interface::*;
 use larchfall_policy::policy::{Policy, TICK};
 use larchfall_policy::time::{Duration, Timestamp};
+use larchfall_policy::types::{
+    AfterAttempt, AttemptEvidence, AttemptParameters, AttemptResult, Caps, Engine, EngineKind, Fleet,
+    Idempotency, LastObservation, Outcome, PolicyConfig, Request, RequestClass, RoutingDecision,
+};
 use nanorand::{Rng, WyRand};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
+use std::ops::Range;
+use std::rc::Rc;
 
+/// Number of engines.
 pub const ENGINES: usize = 20;
 /// The engine that stops working, or that is lied about.
-pub const BAD: usize = 7;
-const EVERY: Duration = Duration::from_millis(250);
+pub const BAD_ENGINE: usize = 7;
+
+const START: Timestamp = Timestamp::from_micros(1_000_000_000);
+/// From one report of a gateway to the next.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
+/// Gateways that each report is sent to.
 const FANOUT: usize = 8;
-const TAKES: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
+const FAILURE_TIME: Duration = Duration::from_millis(2);
+const DELAY_MICROS: Range<u64> = 200..5_000;
+const REQUEST_DEADLINE: Duration = Duration::from_millis(5_000);
+/// With few data sets each gateway would keep to the few engines that have the one.
+const DATA_SETS: u32 = 500;
+/// One gateway in this many has more traffic than the others.
+const BUSY_ONE_IN: usize = 10;
+/// This many times as much.
+const BUSY_FACTOR: f64 = 8.0;
+/// The mean over all gateways, in units of what those have that are not busy: nine of ten, and one of eight times as much.
+const MEAN_OF_OTHERS: f64 = 1.7;
+const ZONES: [&str; 3] = ["east", "west", "north"];
+/// Processes of engines that a gateway remembers.
+const MAX_PROCESSES: usize = 64;
+/// Times that a liar observes a failure between two reports.
+const LIES_PER_REPORT: usize = 3;
+/// Outcomes that a gateway counts for a verdict that it believes.
+const OUTCOMES_PER_VERDICT: usize = 2;
 
 /// What gateways tell each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Telling {
-    Nothing,
-    /// That an engine fails: whoever hears it believes it.
+pub enum GossipMode {
+    /// Nothing.
+    None,
+    /// That an engine fails; a gateway that hears it believes it.
     Verdicts,
-    Counts,
-    /// Counts, and turns at what is left out, of this length.
-    Turns(Duration),
+    /// Reports of what they observed.
+    Reports,
+    /// Reports, and an ejected engine is probed by one gateway in each slot of this length.
+    ReportsWithProbeSlots(Duration),
 }
 
+/// A cluster to simulate.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub struct GossipSetup {
+    /// Number of gateways.
     pub gateways: usize,
-    pub telling: Telling,
-    /// Requests a second at a gateway in the mean; every tenth gateway has eight times as many as the others.
-    pub pace: f64,
-    /// Share of letters that are lost.
+    /// What they tell each other.
+    pub mode: GossipMode,
+    /// Requests a second of a gateway in the mean; every tenth gateway has eight times as many as the others.
+    pub requests_per_second: f64,
+    /// Fraction of messages that is lost, in 0..=1.
     pub loss: f64,
-    /// So many gateways, all of one zone, say of `BAD` that it fails, whatever they see.
+    /// This many gateways, all of one zone, say that [`BAD_ENGINE`] fails, whatever they observe.
     pub liars: usize,
 }
 
-/// What was counted since it was last asked.
+/// What was counted.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct GossipCounts {
+    /// Requests of all gateways.
     pub requests: usize,
-    /// Attempts that the engine that does not work met.
-    pub met: usize,
-    /// Time that gateways that do not lie left `BAD` out, summed over them.
-    pub left_out: Duration,
+    /// Attempts that met the engine that does not work.
+    pub failed_attempts: usize,
+    /// Time for which gateways that do not lie had [`BAD_ENGINE`] ejected, summed over them.
+    pub ejected_time: Duration,
 }
 
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Comes(usize),
-    Ends { gateway: usize, b: usize, number: u8, engine: usize, good: bool },
-    Tick(usize),
-    Look(usize),
-    Heard { to: usize, letter: usize },
+    RequestArrives { gateway: usize },
+    AttemptEnds { gateway: usize, request: usize, attempt: u8, engine: usize, succeeded: bool },
+    PolicyTick { gateway: usize },
+    GossipTimer { gateway: usize },
+    ReportArrives { to: usize, sent: Rc<SentReport> },
 }
 
-struct Letter {
+struct SentReport {
     from: usize,
     report: Report,
 }
 
-struct Gateway {
+struct SimulatedGateway {
     policy: Policy,
-    sights: Observations,
-    desk: HealthGossip,
-    pace: f64,
-    next: usize,
+    observations: Observations,
+    gossip: HealthGossip,
+    requests_per_second: f64,
+    next_request: usize,
 }
 
-pub struct Sighted {
-    setting: Setting,
-    pub now: Timestamp,
-    pub works: bool,
-    pub seen: Seen,
-    gateways: Vec<Gateway>,
+impl SimulatedGateway {
+    fn has_ejected(&self, engine: usize) -> bool {
+        self.policy.engine_health(engine).is_some_and(|health| health.ejected)
+    }
+}
+
+/// The cluster.
+pub struct GossipSimulation {
+    /// Whether [`BAD_ENGINE`] works.
+    pub bad_engine_works: bool,
+    /// What was counted since it was last taken.
+    pub counts: GossipCounts,
+    setup: GossipSetup,
+    gateways: Vec<SimulatedGateway>,
+    /// The zones of the gateways, all of which live, by name.
     living: BTreeMap<String, String>,
-    queue: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
-    letters: Vec<Letter>,
-    events: u64,
-    chance: WyRand,
+    now: Timestamp,
+    queue: EventQueue<Event>,
+    random: WyRand,
 }
 
-fn process(e: usize) -> EngineProcess {
-    EngineProcess { id: e as u32, started_ms: 1 }
+fn engine_process(engine: usize) -> EngineProcess {
+    EngineProcess { id: engine as u32, started_ms: 1 }
 }
 
-fn name(i: usize) -> String {
-    format!("n{i:04}")
+fn name(gateway: usize) -> String {
+    format!("n{gateway:04}")
 }
 
-fn zone(i: usize) -> &'static str {
-    ["east", "west", "north"][i % 3]
+fn zone(gateway: usize) -> &'static str {
+    ZONES[gateway % ZONES.len()]
 }
 
-fn given(gateways: usize) -> PolicyConfig {
+fn policy_config(gateways: usize) -> PolicyConfig {
     let class = RequestClass {
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(500),
@@ -122,127 +164,97 @@
     PolicyConfig { fleet, classes: vec![class], caps, ..PolicyConfig::default() }
 }
 
-impl Sighted {
-    pub fn start(setting: Setting, seed: u64) -> Sighted {
-        let now = Timestamp::from_micros(1_000_000_000);
-        let turn = match setting.telling {
-            Telling::Turns(turn) => Some(turn),
-            _ => None,
-        };
-        let weigh = AggregationSettings {
-            window: Duration::from_millis(10_000),
-            max_age: Duration::from_millis(4_000),
-        };
-        let bounds = StoreLimits { gateways: 2048, processes: 64 };
-        // One part in ten at eight times the pace of the others, the mean as set.
-        let low = setting.pace / 1.7;
-        let gateway = |i: usize| {
-            let mut policy = Policy::new(seed ^ (i as u64) << 20, given(setting.gateways));
-            let engine = Engine { started: None, ..Engine::default() };
-            (0..ENGINES).for_each(|e| policy.update_engine(now, e, engine));
-            let pace = if i.is_multiple_of(10) { low * 8.0 } else { low };
-            let desk = HealthGossip::new(bounds, weigh, turn);
-            Gateway { policy, sights: Observations::new(64), desk, pace, next: 0 }
-        };
-        let gateways: Vec<Gateway> = (0..setting.gateways).map(gateway).collect();
-        let living = (0..setting.gateways).map(|i| (name(i), zone(i).to_owned())).collect();
-        let chance = WyRand::new_seed(seed);
-        let mut fleet = Sighted {
-            setting,
-            now,
-            works: true,
-            seen: Seen::default(),
+impl GossipSimulation {
+    /// Gateways that all have just started.
+    pub fn start(setup: GossipSetup, seed: u64) -> GossipSimulation {
+        let gateways = (0..setup.gateways).map(|gateway| start_gateway(&setup, gateway, seed)).collect();
+        let living = (0..setup.gateways).map(|gateway| (name(gateway), zone(gateway).to_owned())).collect();
+        let mut simulation = GossipSimulation {
+            bad_engine_works: true,
+            counts: GossipCounts::default(),
+            setup,
             gateways,
             living,
-            queue: BinaryHeap::new(),
-            letters: Vec::new(),
-            events: 0,
-            chance,
+            now: START,
+            queue: EventQueue::new(),
+            random: WyRand::new_seed(seed),
         };
-        for i in 0..fleet.gateways.len() {
-            let mut part = |duration: Duration| duration * fleet.chance.generate::<f64>();
-            let (tick, look) = (now + part(TICK), now + part(EVERY));
-            fleet.push(tick, Event::Tick(i));
-            fleet.push(look, Event::Look(i));
-            fleet.comes_next(i);
+        for gateway in 0..simulation.gateways.len() {
+            let first_tick = START + TICK * simulation.random.generate::<f64>();
+            let first_report = START + GOSSIP_INTERVAL * simulation.random.generate::<f64>();
+            simulation.queue.schedule(first_tick, Event::PolicyTick { gateway });
+            simulation.queue.schedule(first_report, Event::GossipTimer { gateway });
+            simulation.schedule_request(gateway);
         }
-        fleet
+        simulation
     }
 
-    fn push(&mut self, at: Timestamp, event: Event) {
-        self.events += 1;
-        self.queue.push(Reverse((at, self.events, event)));
+    /// The gateways that do not lie and have [`BAD_ENGINE`] ejected.
+    pub fn ejecting_gateways(&self) -> usize {
+        (0..self.gateways.len()).filter(|gateway| self.ejects_honestly(*gateway)).count()
     }
 
-    fn comes_next(&mut self, i: usize) {
-        let gap = -(1.0 - self.chance.generate::<f64>()).ln() / self.gateways[i].pace;
-        self.push(self.now + Duration::from_secs(gap), Event::Comes(i));
+    fn ejects_honestly(&self, gateway: usize) -> bool {
+        !self.lies(gateway) && self.gateways[gateway].has_ejected(BAD_ENGINE)
     }
 
-    /// How many gateways that do not lie have the engine left out.
-    pub fn leave_out(&self) -> usize {
-        let honest = self.gateways.iter().enumerate().filter(|(i, _)| !self.lies(*i));
-        honest.filter(|(_, f)| f.policy.engine_health(BAD).is_some_and(|health| health.ejected)).count()
+    /// Liars are of one zone, at the end of the cluster.
+    fn lies(&self, gateway: usize) -> bool {
+        let last = self.gateways.len() - 1;
+        zone(gateway) == zone(last) && (last - gateway) / ZONES.len() < self.setup.liars
     }
 
-    /// Liars are of one zone, at the end of the fleet.
-    fn lies(&self, i: usize) -> bool {
-        let rank = (self.gateways.len() - 1 - i) / 3;
-        zone(i) == zone(self.gateways.len() - 1) && rank < self.setting.liars
+    fn schedule_request(&mut self, gateway: usize) {
+        let exponential = -(1.0 - self.random.generate::<f64>()).ln();
+        let gap = exponential / self.gateways[gateway].requests_per_second;
+        self.queue.schedule(self.now + Duration::from_secs(gap), Event::RequestArrives { gateway });
     }
 
-    pub fn run(&mut self, duration: Duration) {
-        let until = self.now + duration;
-        while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
-            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
-            self.now = at;
-            match event {
-                Event::Comes(i) => self.comes(i),
-                Event::Ends { gateway, b, number, engine, good } => {
-                    self.ends(gateway, b, number, engine, good)
-                }
-                Event::Tick(i) => {
-                    self.gateways[i].policy.tick(at);
-                    drop(self.gateways[i].policy.take_events());
-                    self.push(at + TICK, Event::Tick(i));
-                }
-                Event::Look(i) => {
-                    self.look(i);
-                    self.push(at + EVERY, Event::Look(i));
-                }
-                Event::Heard { to, letter } => {
-                    let Letter { from, report } = &self.letters[letter];
-                    let reporter = Reporter { gateway: &name(*from), generation: 1, zone: zone(*from) };
-                    self.gateways[to].desk.on_report(reporter, report.number, &report.entries, at);
-                }
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::RequestArrives { gateway } => self.admit_request(gateway),
+            Event::AttemptEnds { gateway, request, attempt, engine, succeeded } => {
+                self.end_attempt(gateway, request, attempt, engine, succeeded);
+            }
+            Event::PolicyTick { gateway } => {
+                let policy = &mut self.gateways[gateway].policy;
+                policy.tick(self.now);
+                drop(policy.take_events());
+                self.queue.schedule(self.now + TICK, Event::PolicyTick { gateway });
+            }
+            Event::GossipTimer { gateway } => {
+                self.gossip(gateway);
+                self.queue.schedule(self.now + GOSSIP_INTERVAL, Event::GossipTimer { gateway });
+            }
+            Event::ReportArrives { to, sent } => {
+                let from = name(sent.from);
+                let reporter = Reporter { gateway: &from, generation: 1, zone: zone(sent.from) };
+                let SentReport { report, .. } = &*sent;
+                self.gateways[to].gossip.on_report(reporter, report.number, &report.entries, self.now);
             }
         }
-        self.now = until;
     }
 
-    fn comes(&mut self, i: usize) {
-        self.comes_next(i);
-        self.seen.requests += 1;
-        let now = self.now;
-        // Of many data sets, or each gateway would keep to the few engines that have the one.
-        let data_set = self.chance.generate_range(0..500);
-        let request =
-            Request { deadline: now + Duration::from_millis(5_000), data_set, ..Request::default() };
-        let gateway = &mut self.gateways[i];
-        let b = gateway.next;
-        gateway.next += 1;
-        gateway.policy.admit(now, b, request);
-        self.place(i, b, 0);
+    fn admit_request(&mut self, gateway: usize) {
+        self.schedule_request(gateway);
+        self.counts.requests += 1;
+        let data_set = self.random.generate_range(0..DATA_SETS);
+        let request = Request { deadline: self.now + REQUEST_DEADLINE, data_set, ..Request::default() };
+        let admitting = &mut self.gateways[gateway];
+        let number = admitting.next_request;
+        admitting.next_request += 1;
+        admitting.policy.admit(self.now, number, request);
+        self.route(gateway, number, 0);
     }
 
-    fn place(&mut self, i: usize, b: usize, number: u8) {
-        let (now, gateway) = (self.now, &mut self.gateways[i]);
-        match gateway.policy.route(now, b) {
+    fn route(&mut self, gateway: usize, request: usize, attempt: u8) {
+        match self.gateways[gateway].policy.route(self.now, request) {
             RoutingDecision::Send(AttemptParameters { engine, .. }) => {
-                let good = engine != BAD || self.works;
-                self.seen.met += usize::from(!good);
-                let takes = if good { TAKES } else { Duration::from_millis(2) };
-                self.push(now + takes, Event::Ends { gateway: i, b, number, engine, good });
+                let succeeded = engine != BAD_ENGINE || self.bad_engine_works;
+                self.counts.failed_attempts += usize::from(!succeeded);
+                let takes = if succeeded { SERVICE_TIME } else { FAILURE_TIME };
+                let end = Event::AttemptEnds { gateway, request, attempt, engine, succeeded };
+                self.queue.schedule(self.now + takes, end);
             }
             RoutingDecision::Wait
             | RoutingDecision::Reject(_)
@@ -251,72 +263,125 @@
         }
     }
 
-    fn ends(&mut self, i: usize, b: usize, number: u8, engine: usize, good: bool) {
-        let (now, gateway) = (self.now, &mut self.gateways[i]);
-        let outcome = if good { Outcome::Returned } else { Outcome::Errored };
+    fn end_attempt(&mut self, gateway: usize, request: usize, attempt: u8, engine: usize, succeeded: bool) {
+        let outcome = if succeeded { Outcome::Returned } else { Outcome::Errored };
+        let ending = &mut self.gateways[gateway];
         if let Some(observation) = Observation::of(outcome) {
-            gateway.sights.record(process(engine), observation, now);
+            ending.observations.record(engine_process(engine), observation, self.now);
         }
-        let seen =
-            larchfall_policy::interface::AttemptEvidence { last: LastObservation::Ended, same_process: true };
-        let answer = AttemptResult { over: good, took: TAKES, ..AttemptResult::bare(outcome, seen) };
-        if gateway.policy.on_attempt_finished(now, b, number, &answer) == AfterAttempt::RouteAgain {
-            self.place(i, b, number + 1);
+        let evidence = AttemptEvidence { last: LastObservation::Ended, same_process: true };
+        let result =
+            AttemptResult { over: succeeded, took: SERVICE_TIME, ..AttemptResult::bare(outcome, evidence) };
+        let after = ending.policy.on_attempt_finished(self.now, request, attempt, &result);
+        if after == AfterAttempt::RouteAgain {
+            self.route(gateway, request, attempt + 1);
         }
     }
 
-    fn look(&mut self, i: usize) {
-        let now = self.now;
-        self.seen.left_out = self.seen.left_out + if self.leaves_out(i) { EVERY } else { Duration::ZERO };
-        if self.setting.telling == Telling::Nothing {
-            return;
+    /// A gateway sends its report and takes over what the others reported.
+    fn gossip(&mut self, gateway: usize) {
+        if self.ejects_honestly(gateway) {
+            self.counts.ejected_time = self.counts.ejected_time + GOSSIP_INTERVAL;
         }
-        self.tell(i);
-        let lies = self.lies(i);
-        let gateway = &mut self.gateways[i];
-        if self.setting.telling == Telling::Verdicts {
-            return;
+        match self.setup.mode {
+            GossipMode::None => {}
+            GossipMode::Verdicts => self.send_report(gateway),
+            GossipMode::Reports | GossipMode::ReportsWithProbeSlots(_) => {
+                self.send_report(gateway);
+                self.take_over_reports(gateway);
+            }
         }
-        let sights: Vec<_> = gateway.sights.all().collect();
-        let outcomes = gateway.desk.take_outcomes(&sights, &self.living, |_| true, now);
+    }
+
+    fn take_over_reports(&mut self, gateway: usize) {
+        let lies = self.lies(gateway);
+        let taking = &mut self.gateways[gateway];
+        let own: Vec<_> = taking.observations.all().collect();
+        let outcomes = taking.gossip.take_outcomes(&own, &self.living, |_| true, self.now);
         for PeerOutcome { process, bad } in outcomes.into_iter().filter(|_| !lies) {
-            gateway.policy.record_engine_outcome(now, process.id as usize, bad, Evidence::Gossip);
+            taking.policy.record_engine_outcome(self.now, process.id as usize, bad, Evidence::Gossip);
         }
-        for e in 0..ENGINES {
-            if gateway.policy.engine_health(e).is_some_and(|health| health.ejected) {
-                let mine = gateway.desk.may_probe(&name(i), process(e), &self.living, now);
-                gateway.policy.set_probe_slot(e, mine);
+        for engine in 0..ENGINES {
+            if taking.has_ejected(engine) {
+                let process = engine_process(engine);
+                let may_probe = taking.gossip.may_probe(&name(gateway), process, &self.living, self.now);
+                taking.policy.set_probe_slot(engine, may_probe);
             }
         }
     }
 
-    fn leaves_out(&self, i: usize) -> bool {
-        !self.lies(i) && self.gateways[i].policy.engine_health(BAD).is_some_and(|health| health.ejected)
-    }
-
-    fn tell(&mut self, i: usize) {
-        if self.lies(i) {
-            (0..3).for_each(|_| self.gateways[i].sights.record(process(BAD), Observation::Failed, self.now));
+    fn send_report(&mut self, from: usize) {
+        if self.lies(from) {
+            for _ in 0..LIES_PER_REPORT {
+                let observations = &mut self.gateways[from].observations;
+                observations.record(engine_process(BAD_ENGINE), Observation::Failed, self.now);
+            }
         }
-        let says_failing = self.lies(i) || self.leaves_out(i);
-        let report = self.gateways[i].sights.next_report(MAX_ENTRIES, self.now);
-        self.letters.push(Letter { from: i, report });
-        let letter = self.letters.len() - 1;
+        let says_failing = self.lies(from) || self.ejects_honestly(from);
+        let report = self.gateways[from].observations.next_report(MAX_ENTRIES, self.now);
+        let sent = Rc::new(SentReport { from, report });
         for _ in 0..FANOUT.min(self.gateways.len() - 1) {
-            let to = self.chance.generate_range(0..self.gateways.len());
-            if to == i || self.chance.generate::<f64>() < self.setting.loss {
+            let to = self.random.generate_range(0..self.gateways.len());
+            if to == from || self.random.generate::<f64>() < self.setup.loss {
                 continue;
             }
-            if self.setting.telling == Telling::Verdicts {
+            if self.setup.mode == GossipMode::Verdicts {
                 if says_failing && !self.lies(to) {
-                    (0..2).for_each(|_| {
-                        self.gateways[to].policy.record_engine_outcome(self.now, BAD, true, Evidence::Gossip)
-                    });
+                    self.believe_verdict(to);
                 }
                 continue;
             }
-            let delay = Duration::from_micros(self.chance.generate_range(200..5_000));
-            self.push(self.now + delay, Event::Heard { to, letter });
+            let delay = Duration::from_micros(self.random.generate_range(DELAY_MICROS));
+            let arrival = Event::ReportArrives { to, sent: sent.clone() };
+            self.queue.schedule(self.now + delay, arrival);
+        }
+    }
+
+    fn believe_verdict(&mut self, gateway: usize) {
+        let policy = &mut self.gateways[gateway].policy;
+        for _ in 0..OUTCOMES_PER_VERDICT {
+            policy.record_engine_outcome(self.now, BAD_ENGINE, true, Evidence::Gossip);
         }
     }
 }
+
+fn start_gateway(setup: &GossipSetup, gateway: usize, seed: u64) -> SimulatedGateway {
+    let mut policy = Policy::new(seed ^ (gateway as u64) << 20, policy_config(setup.gateways));
+    let engine = Engine { started: None, ..Engine::default() };
+    (0..ENGINES).for_each(|place| policy.update_engine(START, place, engine));
+    let probe_slot = match setup.mode {
+        GossipMode::ReportsWithProbeSlots(slot) => Some(slot),
+        GossipMode::None | GossipMode::Verdicts | GossipMode::Reports => None,
+    };
+    let limits = StoreLimits { gateways: 2048, processes: MAX_PROCESSES };
+    let aggregation =
+        AggregationSettings { window: Duration::from_millis(10_000), max_age: Duration::from_millis(4_000) };
+    let others_rate = setup.requests_per_second / MEAN_OF_OTHERS;
+    let is_busy = gateway.is_multiple_of(BUSY_ONE_IN);
+    SimulatedGateway {
+        policy,
+        observations: Observations::new(MAX_PROCESSES),
+        gossip: HealthGossip::new(limits, aggregation, probe_slot),
+        requests_per_second: if is_busy { others_rate * BUSY_FACTOR } else { others_rate },
+        next_request: 0,
+    }
+}
+
+impl Simulation for GossipSimulation {
+    fn now(&self) -> Timestamp {
+        self.now
+    }
+
+    fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
+        while let Some(next) = self.queue.next_until(until) {
+            self.now = next.at;
+            self.handle(next.event);
+        }
+        self.now = until;
+    }
+
+    fn poll_interval(&self) -> Duration {
+        GOSSIP_INTERVAL
+    }
+}
