--- a/crates/fault-tests/examples/lease_simulation.rs
+++ b/crates/fault-tests/examples/lease_simulation.rs
@@ -1,4 +1,4 @@
-//! How long nobody holds a duty when its holder falls out, and what duties cost between gateways, in one process by seed:
+//! How long nobody holds a lease when its holder falls out, and what leases cost between gateways, in one process by seed:
 //! cargo run --release -p larchfall-fault-tests --example lease_simulation
 
 use hdrhistogram::Histogram;
@@ -6,54 +6,93 @@
 use larchfall_fault_tests::simulation::{Simulation, ms};
 use nanorand::Rng;
 
-const TIMES: u64 = 200;
+const SEEDS: u64 = 200;
+const VOTERS: usize = 5;
+const ROLE: &str = "duty:000";
+
+#[derive(Clone, Copy)]
+enum Fall {
+    Killed,
+    Suspended,
+    CutOff,
+    Leaves,
+}
+
+impl Fall {
+    const ALL: [Fall; 4] = [Fall::Killed, Fall::Suspended, Fall::CutOff, Fall::Leaves];
+
+    fn words(self) -> &'static str {
+        match self {
+            Fall::Killed => "killed",
+            Fall::Suspended => "suspended",
+            Fall::CutOff => "cut off",
+            Fall::Leaves => "leaves",
+        }
+    }
+
+    fn inflict(self, cluster: &mut LeaseSimulation, holder: usize) {
+        match self {
+            Fall::Killed => cluster.kill(holder),
+            Fall::Suspended => cluster.suspend(holder, ms(30_000)),
+            Fall::CutOff => cluster.link = Box::new(move |from, to| (from == holder) == (to == holder)),
+            Fall::Leaves => cluster.leave(holder),
+        }
+    }
+}
 
 fn main() {
     println!(
-        "| fronts | what happens to the holder | nobody holds it, ms (p50, p99, most) | not found again in 20 s | wrong |"
+        "| gateways | what happens to the holder | nobody holds it, ms (p50, p99, most) | not held again in 20 s | wrong |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    for n in [5, 12, 24] {
-        for what in ["killed", "stopped", "cut off", "leaves"] {
-            falls(n, what);
+    for gateways in [5, 12, 24] {
+        for fall in Fall::ALL {
+            measure_fall(gateways, fall);
         }
     }
-    println!("\n| fronts | duties | letters a front and second |\n| --- | --- | --- |");
-    for n in [5, 24, 100] {
-        for duties in [1, 10, 100] {
-            let mut fleet = LeaseSimulation::start(n, settings(5, duties, true), 7);
-            fleet.action_interval = ms(500);
-            fleet.run(ms(20_000));
-            let before = fleet.messages_sent;
-            fleet.run(ms(10_000));
-            println!("| {n} | {duties} | {:.1} |", (fleet.messages_sent - before) as f64 / 10.0 / n as f64);
+    println!("\n| gateways | leases | messages a gateway and second |\n| --- | --- | --- |");
+    for gateways in [5, 24, 100] {
+        for role_count in [1, 10, 100] {
+            measure_traffic(gateways, role_count);
         }
     }
 }
 
-fn falls(n: usize, what: &str) {
-    let mut gaps = Histogram::<u64>::new(3).expect("bounds that it knows");
-    let (mut lost, mut wrong) = (0, 0);
-    for seed in 0..TIMES {
-        let mut fleet = LeaseSimulation::start(n, settings(5, 1, true), seed);
-        fleet.run_until(ms(20_000), LeaseSimulation::all_held);
-        let duration = ms(fleet.random().generate_range(6_000..9_000));
-        fleet.run(duration);
-        let Some(holder) = fleet.holders("duty:000").first().copied() else { continue };
-        fleet.gaps.clear();
-        match what {
-            "killed" => fleet.kill(holder),
-            "stopped" => fleet.suspend(holder, ms(30_000)),
-            "cut off" => fleet.link = Box::new(move |a, b| (a == holder) == (b == holder)),
-            _ => fleet.leave(holder),
-        }
-        let other = |f: &LeaseSimulation| f.holders("duty:000").iter().any(|i| *i != holder);
-        lost += usize::from(fleet.run_until(ms(20_000), other).is_none());
-        fleet.run(ms(15_000));
-        let gap = fleet.gaps.iter().max().map_or(0, |gap| gap.micros() / 1000);
-        gaps.record(gap).expect("within bounds");
-        wrong += fleet.violations.len();
+fn measure_fall(gateways: usize, fall: Fall) {
+    let mut unheld_ms = Histogram::<u64>::new(3).expect("bounds that it knows");
+    let mut not_held_again = 0;
+    let mut wrong = 0;
+    for seed in 0..SEEDS {
+        let mut cluster = LeaseSimulation::start(gateways, settings(VOTERS, 1, true), seed);
+        cluster.run_until(ms(20_000), LeaseSimulation::all_held);
+        let calm = ms(cluster.random().generate_range(6_000..9_000));
+        cluster.run(calm);
+        let Some(holder) = cluster.holders(ROLE).first().copied() else { continue };
+        cluster.gaps.clear();
+        fall.inflict(&mut cluster, holder);
+        let has_successor =
+            |cluster: &LeaseSimulation| cluster.holders(ROLE).iter().any(|other| *other != holder);
+        not_held_again += usize::from(cluster.run_until(ms(20_000), has_successor).is_none());
+        cluster.run(ms(15_000));
+        let longest_ms = cluster.gaps.iter().max().map_or(0, |gap| gap.micros() / 1000);
+        unheld_ms.record(longest_ms).expect("within bounds");
+        wrong += cluster.violations.len();
     }
-    let at = |q| gaps.value_at_quantile(q);
-    println!("| {n} | {what} | {}, {}, {} | {lost} | {wrong} |", at(0.5), at(0.99), gaps.max());
+    println!(
+        "| {gateways} | {} | {}, {}, {} | {not_held_again} | {wrong} |",
+        fall.words(),
+        unheld_ms.value_at_quantile(0.5),
+        unheld_ms.value_at_quantile(0.99),
+        unheld_ms.max()
+    );
+}
+
+fn measure_traffic(gateways: usize, role_count: usize) {
+    let mut cluster = LeaseSimulation::start(gateways, settings(VOTERS, role_count, true), 7);
+    cluster.action_interval = ms(500);
+    cluster.run(ms(20_000));
+    let before = cluster.messages_sent;
+    cluster.run(ms(10_000));
+    let per_second = (cluster.messages_sent - before) as f64 / 10.0;
+    println!("| {gateways} | {role_count} | {:.1} |", per_second / gateways as f64);
 }
--- a/crates/fault-tests/src/lib.rs
+++ b/crates/fault-tests/src/lib.rs
@@ -1,6 +1,8 @@
 //! What tests and measurements of several gateways need: gateways as processes, with a network, clocks and disks that break;
 //! stub engines and clients around them; an audit of what they recorded; and simulations of whole clusters in one process.
 
+#![deny(missing_docs)]
+
 pub mod audit;
 pub mod fault_script;
 pub mod fenced_resource;
--- a/crates/fault-tests/src/simulation/leases.rs
+++ b/crates/fault-tests/src/simulation/leases/mod.rs
@@ -2,8 +2,13 @@
 //! loses, delays and cuts, and a resource that each holder acts on, which remembers the highest token. The simulation's time
 //! is true time; each gateway only ever sees its own clock.
 
+mod gateway;
+
+pub use gateway::{DiskBehavior, SimulatedGateway};
+
 use super::event_queue::EventQueue;
 use super::{Simulation, ms};
+use gateway::clock_time;
 use larchfall_leases::candidacy::LeaseTerms;
 use larchfall_leases::fencing::TokenFence;
 use larchfall_leases::manager::{
@@ -48,46 +53,6 @@
     }
 }
 
-/// What a gateway's disk does with a voter record.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum DiskBehavior {
-    /// Keeps it.
-    Healthy,
-    /// Reports an error.
-    Fails,
-    /// Reports success, and keeps what it had.
-    LosesWrites,
-}
-
-/// A gateway.
-pub struct SimulatedGateway {
-    manager: LeaseManager,
-    up: bool,
-    suspended_until: Option<Timestamp>,
-    /// Its clock runs this many times as fast as true time; a change counts from its next restart.
-    pub clock_rate: f64,
-    /// What its disk does.
-    pub disk: DiskBehavior,
-    /// How long a write takes.
-    pub write_time: Duration,
-    record: Option<VoterRecord>,
-    /// Counts its processes.
-    generation: u64,
-    started: Timestamp,
-    timer_set_for: Timestamp,
-}
-
-impl SimulatedGateway {
-    /// What its clock shows.
-    fn clock(&self, true_time: Timestamp) -> Timestamp {
-        clock_time(true_time, self.clock_rate)
-    }
-}
-
-fn clock_time(true_time: Timestamp, rate: f64) -> Timestamp {
-    Timestamp::from_micros((true_time.micros() as f64 * rate) as u64)
-}
-
 enum Event {
     Timer { gateway: usize, generation: u64 },
     Message { to: usize, from: usize, from_generation: u64, payload: Payload },
