--- a/crates/fault-tests/examples/subset_algorithms.rs
+++ b/crates/fault-tests/examples/subset_algorithms.rs
@@ -156,7 +156,7 @@
         priority_weight: 1.0,
         latency_objective: Duration::ZERO,
         objective_stretch: 0.0,
-        effect: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         locks_data_set: false,
--- a/crates/fault-tests/src/simulation/health_gossip.rs
+++ b/crates/fault-tests/src/simulation/health_gossip.rs
@@ -13,8 +13,8 @@
 use larchfall_policy::policy::{Policy, TICK};
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{
-    AfterAttempt, AttemptEvidence, AttemptParameters, AttemptResult, Caps, Engine, EngineKind, Fleet,
-    Idempotency, LastObservation, Outcome, PolicyConfig, Request, RequestClass, RoutingDecision,
+    AfterAttempt, AttemptEvidence, AttemptParameters, AttemptResult, Capabilities, Engine, EngineKind,
+    Idempotency, LastObservation, Outcome, PolicyConfig, Request, RequestClass, RoutingDecision, Topology,
 };
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
@@ -149,7 +149,7 @@
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(500),
         objective_stretch: 0.0,
-        effect: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         locks_data_set: false,
@@ -159,9 +159,10 @@
     };
     // Cores for all, so that nothing here is about load.
     let kind = EngineKind { cores: gateways.max(8) as f64, memory_mb: 0.0 };
-    let caps = Caps { max_attempts: 3, clock_step: Duration::from_millis(1), ..Caps::default() };
-    let fleet = Fleet { gateways, me: 0, zone: 0, kinds: vec![kind] };
-    PolicyConfig { fleet, classes: vec![class], caps, ..PolicyConfig::default() }
+    let capabilities =
+        Capabilities { max_attempts: 3, clock_step: Duration::from_millis(1), ..Capabilities::default() };
+    let topology = Topology { gateways, gateway_index: 0, zone: 0, kinds: vec![kind] };
+    PolicyConfig { topology, classes: vec![class], capabilities, ..PolicyConfig::default() }
 }
 
 impl GossipSimulation {
@@ -270,8 +271,11 @@
             ending.observations.record(engine_process(engine), observation, self.now);
         }
         let evidence = AttemptEvidence { last: LastObservation::Ended, same_process: true };
-        let result =
-            AttemptResult { over: succeeded, took: SERVICE_TIME, ..AttemptResult::bare(outcome, evidence) };
+        let result = AttemptResult {
+            request_finished: succeeded,
+            took: SERVICE_TIME,
+            ..AttemptResult::bare(outcome, evidence)
+        };
         let after = ending.policy.on_attempt_finished(self.now, request, attempt, &result);
         if after == AfterAttempt::RouteAgain {
             self.route(gateway, request, attempt + 1);
--- a/crates/gateway/src/cli/files.rs
+++ b/crates/gateway/src/cli/files.rs
@@ -2,7 +2,7 @@
 
 use super::arguments::FilePaths;
 use crate::config::{self, Config, ConfigFileError};
-use larchfall_operator_config::OperatorConfig;
+use larchfall_operator_config::{OperatorConfig, ReadError};
 
 /// The environment's name for the configuration file, where the command line names none.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
@@ -25,7 +25,7 @@
     pub config: OperatorConfig,
 }
 
-/// Why the files were not taken.
+/// Why the files were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum FilesError {
     /// Neither the command line nor the environment names a configuration.
@@ -36,7 +36,7 @@
     Config(#[from] ConfigFileError),
     /// The operator's own settings can't be read, or are wrong.
     #[error(transparent)]
-    OperatorConfig(#[from] larchfall_operator_config::ReadError),
+    OperatorConfig(#[from] ReadError),
 }
 
 impl FilePaths {
--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -9,7 +9,7 @@
     // (gateways, reports bound to kind 1 that fill it, loads that still go, most of them to kind 1)
     for (gateways, reports, loads, to_1) in [(24, 20, 2, 0), (60, 20, 1, 0), (24, 0, 2, 1)] {
         let mut config = typical_config();
-        config.fleet.gateways = gateways;
+        config.topology.gateways = gateways;
         config.classes[REPORT].kinds = Some(vec![1]);
         let mut gateway = config.start(8);
         (0..8).for_each(|e| gateway.policy.update_engine(ms(0), 8 + e, Engine { kind: 1, ..engine() }));
@@ -31,28 +31,34 @@
         (60, 100, None, 0, false),
     ] {
         let mut config = typical_config();
-        config.fleet.gateways = gateways;
+        config.topology.gateways = gateways;
         let mut gateway = config.start(2);
-        let mut at = 0;
+        let mut time = 0;
         for _ in 0..40 {
-            at += 1000;
-            let one = Request { deadline: ms(at + 5000), ..request(LOOK_UP) };
-            let (b, RoutingDecision::Send(d)) = gateway.admit(at, one) else { continue };
+            time += 1000;
+            let one = Request { deadline: ms(time + 5000), ..request(LOOK_UP) };
+            let (b, RoutingDecision::Send(d)) = gateway.admit(time, one) else { continue };
             let (took, busy) = if d.engine == 0 { (took, busy) } else { (100, busy.map(|_| 0.5)) };
             let (took, work) = (Duration::from_millis(took), Some(Duration::from_millis(100)));
-            let report = LoadReport { in_hand: None, busy };
-            let answer =
-                AttemptResult { outcome: Outcome::Returned, took, over: true, seen: SAID, work, report };
-            gateway.policy.on_attempt_finished(ms(at) + took, b, 0, &answer);
-            gateway.policy.tick(ms(at + 900));
+            let report = LoadReport { in_flight: None, busy };
+            let answer = AttemptResult {
+                outcome: Outcome::Returned,
+                took,
+                request_finished: true,
+                evidence: ENDED_BY_ENGINE,
+                work,
+                report,
+            };
+            gateway.policy.on_attempt_finished(ms(time) + took, b, 0, &answer);
+            gateway.policy.tick(ms(time + 900));
         }
         let mut to_1 = 0;
         for i in 0..8 {
-            let now = at + 900 + later + i;
+            let now = time + 900 + later + i;
             // A data set of its own each, so that none is warm; each leaves before the next comes.
             let one = Request { deadline: ms(now + 5000), data_set: 90 + i as u32, ..request(LOOK_UP) };
-            let (b, place) = gateway.admit(now, one);
-            to_1 += usize::from(sent_to(place) == Some(1));
+            let (b, decision) = gateway.admit(now, one);
+            to_1 += usize::from(sent_to(decision) == Some(1));
             gateway.end(now, b, 0, Outcome::Cancelled, 0);
             gateway.policy.on_client_disconnected(b);
         }
@@ -75,19 +81,19 @@
     ];
     for (zone_1, one_set, connection_cost, kept, one_engine) in cases {
         let mut config = typical_config();
-        (config.caps.connection_cost, config.caps.idle_connection_lifetime) =
+        (config.capabilities.connection_cost, config.capabilities.idle_connection_lifetime) =
             (connection_cost, Duration::from_millis(kept));
         let mut gateway = config.start(2);
         gateway.policy.update_engine(ms(1), 1, Engine { zone: zone_1, ..engine() });
-        let mut at_0 = 0;
-        for at in 0..20 {
-            let data_set = if one_set { 5 } else { 100 + at as u32 };
-            let (b, place) = gateway.admit(3 * at, Request { data_set, ..request(LOOK_UP) });
-            at_0 += usize::from(sent_to(place) == Some(0));
-            gateway.end(3 * at, b, 0, Outcome::Returned, 1);
+        let mut sent_to_first = 0;
+        for time in 0..20 {
+            let data_set = if one_set { 5 } else { 100 + time as u32 };
+            let (b, decision) = gateway.admit(3 * time, Request { data_set, ..request(LOOK_UP) });
+            sent_to_first += usize::from(sent_to(decision) == Some(0));
+            gateway.end(3 * time, b, 0, Outcome::Returned, 1);
         }
         let case = format!("zone {zone_1}, one set {one_set}, price {connection_cost}, kept {kept}");
-        assert_eq!(at_0 == 20 || at_0 == 0, one_engine, "{case}: {at_0} of 20");
+        assert_eq!(sent_to_first == 20 || sent_to_first == 0, one_engine, "{case}: {sent_to_first} of 20");
     }
 }
 
