--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -17,8 +17,8 @@
 }
 
 impl Fraction {
-    fn of(&self, whole: usize) -> usize {
-        whole * self.numerator / self.denominator
+    fn of(&self, total: usize) -> usize {
+        total * self.numerator / self.denominator
     }
 }
 
--- a/crates/gateway/tests/gateway/cli.rs
+++ b/crates/gateway/tests/gateway/cli.rs
@@ -48,16 +48,16 @@
 
 #[test]
 fn a_configuration_is_rejected_by_the_name_of_what_is_wrong() {
-    let sound = common::config(
+    let accepted = common::config(
         "127.0.0.1:0",
         "127.0.0.1:9".parse().unwrap(),
         Some("10.0.0.1:7".parse().unwrap()),
         256,
     );
-    assert!(config::parse(sound.as_bytes()).is_ok(), "{:?}", config::parse(sound.as_bytes()).err());
+    assert!(config::parse(accepted.as_bytes()).is_ok(), "{:?}", config::parse(accepted.as_bytes()).err());
     for (change, expected) in WRONG_CONFIGURATIONS {
         let text = match change.split_once('|') {
-            Some((from, to)) => sound.replace(from, to),
+            Some((from, to)) => accepted.replace(from, to),
             None => (*change).to_owned(),
         };
         let error = config::parse(text.as_bytes()).err().map(|error| error.to_string()).unwrap_or_default();
--- a/crates/gateway/tests/gateway/codecs/discovery.rs
+++ b/crates/gateway/tests/gateway/codecs/discovery.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn discovery_frames_that_are_none_are_told_apart() {
+fn malformed_discovery_frames_are_rejected() {
     let mut unknown_kind = frame(1, true, &[]);
     unknown_kind[12] = 9;
     let mut odd = frame(1, true, &[]);
@@ -93,7 +93,7 @@
                 assert!(KNOWN.contains(removed), "{removed} is not in the list");
                 (KNOWN.replacen(removed, inserted, 1), expected)
             }
-            [whole, expected] => (whole.strip_prefix("= ").expect(case).to_owned(), expected),
+            [complete, expected] => (complete.strip_prefix("= ").expect(case).to_owned(), expected),
             _ => panic!("{case}"),
         };
         assert_eq!(read_known(&text), Err(expected.strip_prefix("! ").expect(case).to_owned()));
--- a/crates/gateway/tests/gateway/codecs/engine_http.rs
+++ b/crates/gateway/tests/gateway/codecs/engine_http.rs
@@ -7,7 +7,7 @@
 use larchfall_policy::types::{LoadReport, ProgressUpdate};
 
 #[test]
-fn calls_to_engines_hold_what_they_are_given_unchanged() {
+fn calls_to_engines_carry_their_values_unchanged() {
     let call = start_statement(
         "10.0.0.1:7001",
         &StatementCall {
--- a/crates/gateway/tests/gateway/codecs/message_pack.rs
+++ b/crates/gateway/tests/gateway/codecs/message_pack.rs
@@ -26,7 +26,7 @@
 ];
 
 #[test]
-fn a_request_is_read_whole_and_not_before() {
+fn a_request_is_decoded_once_it_is_complete() {
     let input = bytes(&request(7, "report", FULL, "select 1"));
     for cut in 0..input.len() {
         assert_eq!(decode(&input[..cut]), Ok(None), "cut at {cut}");
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn a_request_with_an_unusable_field_is_told_which() {
+fn a_request_with_an_unusable_field_names_the_field() {
     let with = |changed: &str, value: &str| {
         let field = |(name, old)| if name == changed { (name, value) } else { (name, old) };
         let fields: Vec<(&str, &str)> = FULL.iter().copied().map(field).collect();
         bytes(&request(9, "report", &fields, ""))
     };
-    let without = |left_out: &str| {
-        let fields: Vec<_> = FULL.iter().copied().filter(|(name, _)| *name != left_out).collect();
+    let without = |omitted: &str| {
+        let fields: Vec<_> = FULL.iter().copied().filter(|(name, _)| *name != omitted).collect();
         bytes(&request(9, "report", &fields, ""))
     };
     let cases = [
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_request_in_another_form_is_told_so() {
+fn a_request_in_another_form_is_rejected_with_the_reason() {
     let cases = [
         (
             "a body that is text",
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn other_messages_are_told_apart_from_what_is_no_message() {
+fn other_messages_are_distinguished_from_what_is_no_message() {
     let deep = [vec![0x91; 200], vec![0xc0]].concat();
     let cases = [
         (
--- a/crates/gateway/tests/gateway/combined_faults.rs
+++ b/crates/gateway/tests/gateway/combined_faults.rs
@@ -318,9 +318,11 @@
 
 fn run_seed(seed: u64) {
     let chance = Mutex::new(WyRand::new_seed(seed));
-    let at: Vec<String> = (0..ENGINES).map(|i| format!("127.0.{}.{}:0", 10 + seed % 200, 1 + i)).collect();
-    let at: Vec<&str> = at.iter().map(String::as_str).collect();
-    let mut stub_engines = StubEngines::start(&at, move |_, statement| fate(&chance, statement)).unwrap();
+    let addresses: Vec<String> =
+        (0..ENGINES).map(|i| format!("127.0.{}.{}:0", 10 + seed % 200, 1 + i)).collect();
+    let addresses: Vec<&str> = addresses.iter().map(String::as_str).collect();
+    let mut stub_engines =
+        StubEngines::start(&addresses, move |_, statement| fate(&chance, statement)).unwrap();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let engines: Vec<SocketAddr> = (0..ENGINES).map(|i| stub_engines.address(i)).collect();
     let retry_budget = r#""safety":{"budget_free":2.0,"extra_per_request":0.1,"extra_window":10000000,"#;
--- a/crates/gateway/tests/gateway/paged_rest.rs
+++ b/crates/gateway/tests/gateway/paged_rest.rs
@@ -3,7 +3,7 @@
 
 use crate::common::{Gateway, config, site, until_seen, wait_for};
 use larchfall_paged_rest::document::{Document, StatementState};
-use larchfall_stub::client::Answer as Whole;
+use larchfall_stub::client::Answer as MessagePackAnswer;
 use larchfall_stub::discovery::Discovery;
 use larchfall_stub::engine::{Act, Engine};
 use larchfall_stub::rest::{Answer, RestClient, path};
@@ -192,7 +192,7 @@
         [(&slow, 0, false), (&slow, 1, true), (&many, 0, false), (&many, 2, false), (&many, 1, true)]
     {
         let gateway = gateway(Some(engine.address));
-        let given_up = engine.seen().cancelled.len();
+        let cancelled_before = engine.seen().cancelled.len();
         let mut client = gateway.rest_client();
         let mut last = document(&post(&mut client, "once", "select 1"));
         for _ in 0..reads {
@@ -206,7 +206,7 @@
         } else {
             drop(client);
         }
-        until_seen(engine, "the query to be given up", |s| s.cancelled.len() > given_up);
+        until_seen(engine, "the query to be cancelled", |s| s.cancelled.len() > cancelled_before);
         let answer = gateway.rest_client().call("GET", path(&next), &[], b"").unwrap();
         assert_eq!(answer.status, 410, "its pages are gone");
         wait_for("the end to be counted", || {
@@ -255,7 +255,7 @@
     let engine = engine(Act::Serve(Duration::from_millis(150), pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let key = "00000000000000ab";
-    let mut whole = gateway.client();
+    let mut message_pack_client = gateway.client();
     let mut paged: Vec<RestClient> = (0..2).map(|_| gateway.rest_client()).collect();
     let session = format!("order_key={key}");
     for n in 0..6 {
@@ -269,7 +269,7 @@
                 ("opkey", &reference),
                 ("subject", key),
             ];
-            whole.send("load", &fields, &statement).unwrap();
+            message_pack_client.send("load", &fields, &statement).unwrap();
         } else if let Some(client) = paged.get_mut(n / 2) {
             let mut head = head("load");
             head.extend([("Idempotency-Key", &reference[..]), ("X-Trino-Session", &session[..])]);
@@ -282,7 +282,7 @@
         });
     }
     for _ in 0..3 {
-        assert!(matches!(whole.answer().unwrap().1, Whole::Rows(_)));
+        assert!(matches!(message_pack_client.answer().unwrap().1, MessagePackAnswer::Rows(_)));
     }
     for client in &mut paged {
         let first = client.answer().unwrap();
@@ -310,9 +310,9 @@
     assert_eq!(rows(&follow(&mut client, &first)), ["ok"]);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     // The other protocol has its own connections.
-    let mut whole = gateway.client();
-    let ping = whole.ping().unwrap();
-    assert_eq!(whole.answer().unwrap(), (ping, Whole::Pong));
+    let mut message_pack_client = gateway.client();
+    let ping = message_pack_client.ping().unwrap();
+    assert_eq!(message_pack_client.answer().unwrap(), (ping, MessagePackAnswer::Pong));
     // As many results as may be in flight; the next is rejected.
     drop((silent, trickle));
     let mut others: Vec<RestClient> = (0..6).map(|_| gateway.rest_client()).collect();
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn the_operators_file_is_used_whole_or_not_at_all() {
+fn the_operators_file_is_applied_completely_or_not_at_all() {
     let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
--- a/crates/gateway/tests/gateway/races.rs
+++ b/crates/gateway/tests/gateway/races.rs
@@ -86,7 +86,7 @@
         reply("200 OK", "Page-No: 1\r\n", "another\n"),
     ];
     for answer in corrupt {
-        let said = String::from_utf8_lossy(&answer).into_owned();
+        let printed = String::from_utf8_lossy(&answer).into_owned();
         let engine = ScriptedEngine::start(move |call, stream| {
             let answer = if call.line.starts_with("post") { answer.clone() } else { result_reply("own\n") };
             stream.write_all(&answer).is_ok()
@@ -94,8 +94,8 @@
         let gateway = Gateway::start(Some(engine.address));
         let mut client = gateway.client();
         client.send("once", &fields(ID, "20000"), "").unwrap();
-        assert_eq!(client.answer().unwrap().1, rows("own\n"), "{said}");
-        assert_eq!(engine.posts().len(), 1, "{said}");
+        assert_eq!(client.answer().unwrap().1, rows("own\n"), "{printed}");
+        assert_eq!(engine.posts().len(), 1, "{printed}");
     }
 }
 
@@ -126,11 +126,11 @@
 #[test]
 fn a_retry_whose_window_ends_during_a_slow_connect_is_not_sent() {
     let first = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at_first = first.local_addr().unwrap();
+    let first_address = first.local_addr().unwrap();
     let second = Full::start();
     let short = slow_connect_settings().replace(r#""dedup_window":12000000"#, r#""dedup_window":1500000"#);
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", discovery.address, &[at_first], 256, &short);
+    let text = config_of("127.0.0.1:0", discovery.address, &[first_address], 256, &short);
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     let sent = client.send("load", &keyed(ID, "25000"), "").unwrap();
@@ -138,7 +138,7 @@
     let began = Instant::now();
     assert!(read_call(&mut BufReader::new(held.try_clone().unwrap())).is_some());
     // The other one joins before the first one dies with the call in its hands.
-    gateway.list(2, &[Endpoint::ready(1, at_first), Endpoint::ready(2, second.address())]);
+    gateway.list(2, &[Endpoint::ready(1, first_address), Endpoint::ready(2, second.address())]);
     wait_for("the gateway to apply it", || {
         gateway.signal("-USR1");
         gateway.log.last("discovery_events: ")?.contains("discovery_events: 2,").then_some(())
@@ -289,13 +289,13 @@
         let lines = BufReader::new(child.stdout.take().unwrap()).lines().map_while(Result::ok);
         let mut seen = Vec::new();
         let mut again = None;
-        for said in lines {
+        for printed in lines {
             // What reads the file again has to find it once more.
-            if said.contains("listening") && signal == "-HUP" {
+            if printed.contains("listening") && signal == "-HUP" {
                 let (path, text) = (path.clone(), text.clone());
                 again = Some(thread::spawn(move || std::fs::write(path, text)));
             }
-            seen.push(said);
+            seen.push(printed);
             if seen.iter().any(|s| s.contains(line)) {
                 break;
             }
@@ -337,7 +337,7 @@
 
 /// Guards against an end that comes by a second signal, or while the files are read again, or between two pieces of a request.
 #[test]
-fn told_to_stop_twice_and_while_it_reads_its_files_a_gateway_answers_what_comes_in_pieces() {
+fn stopped_twice_and_while_it_reads_its_files_a_gateway_answers_what_comes_in_pieces() {
     let takes = Duration::from_millis(300);
     let engine = Engine::start("127.0.0.1:0", move |_| Act::Serve(takes, vec![b"ok\n".to_vec()])).unwrap();
     let mut gateway = Gateway::start(Some(engine.address));
--- a/crates/gateway/tests/gateway/sockets/attempts.rs
+++ b/crates/gateway/tests/gateway/sockets/attempts.rs
@@ -80,7 +80,7 @@
         let id = &id.repeat(4);
         client.send(class, &fields_of(class, id, "700"), "").unwrap();
         assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == name), "{class}");
-        until_seen(&engine, "the query to be given up", |s| s.cancelled.contains(&id.to_owned()));
+        until_seen(&engine, "the query to be cancelled", |s| s.cancelled.contains(&id.to_owned()));
     }
 }
 
@@ -93,7 +93,7 @@
     until_seen(&engine, "the query to start", |s| s.started.len() == 1);
     client.abort(sent).unwrap();
     client.abort(77).unwrap();
-    until_seen(&engine, "the query to be given up", |s| s.cancelled == [ID]);
+    until_seen(&engine, "the query to be cancelled", |s| s.cancelled == [ID]);
     let ping = client.ping().unwrap();
     assert_eq!(client.answer().unwrap(), (ping, Answer::Pong));
 }
@@ -106,7 +106,7 @@
     client.send("look", &fields(ID, "20000"), "").unwrap();
     until_seen(&engine, "the query to start", |s| s.started.len() == 1);
     drop(client);
-    until_seen(&engine, "the query to be given up", |s| s.cancelled == [ID]);
+    until_seen(&engine, "the query to be cancelled", |s| s.cancelled == [ID]);
     gateway.log.wait_for("reason: client-closed");
 }
 
--- a/crates/gateway/tests/gateway/sockets/discovery.rs
+++ b/crates/gateway/tests/gateway/sockets/discovery.rs
@@ -134,7 +134,7 @@
     way.set_mode(|_, _| true, ProxyMode::Stall);
     // Bytes that are on their way now still arrive.
     std::thread::sleep(Duration::from_millis(200));
-    let (told, mut last, mut n) = (Instant::now(), Instant::now(), 0);
+    let (announced, mut last, mut n) = (Instant::now(), Instant::now(), 0);
     gateway.list(2, &[Endpoint::draining(1, engine.address)]);
     wait_for("the list to expire", || {
         n += 1;
@@ -142,7 +142,7 @@
         last = if served { Instant::now() } else { last };
         (!served).then_some(())
     });
-    let after = last.duration_since(told);
+    let after = last.duration_since(announced);
     assert!(after > Duration::from_secs(5) && after < Duration::from_secs(9), "served until {after:?} after");
     gateway.log.wait_for("endpoint list expired");
     gateway.list(3, &[Endpoint::ready(1, engine.address)]);
--- a/crates/gateway/tests/gateway/sockets/key_order.rs
+++ b/crates/gateway/tests/gateway/sockets/key_order.rs
@@ -36,7 +36,7 @@
     for (replies, time) in [(false, "900"), (true, "20000")] {
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
         let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
-        let (posts, came) = mpsc::channel();
+        let (posts, received) = mpsc::channel();
         std::thread::spawn(move || {
             for stream in engine.incoming().flatten() {
                 let posts = posts.clone();
@@ -59,15 +59,15 @@
         });
         let mut client = gateway.client();
         client.send("load", &fields_of("load", &id(1), time), "").unwrap();
-        let first = came.recv().unwrap();
+        let first = received.recv().unwrap();
         client.send("load", &fields_of("load", &id(2), "25000"), "").unwrap();
         // The first one's own retries have their turn; the second one's has not.
-        let next = wait_for("the next attempt", || came.recv().ok());
+        let next = wait_for("the next attempt", || received.recv().ok());
         assert!(replies || next - first > MIN_KEY_COOLDOWN, "{:?} after", next - first);
         if replies {
             assert_eq!(client.answer().unwrap().0, 1);
-            let after = came.try_iter().last().unwrap_or(next);
-            let second = came.recv().unwrap();
+            let after = received.try_iter().last().unwrap_or(next);
+            let second = received.recv().unwrap();
             assert!(second - after > MIN_KEY_COOLDOWN, "{:?} after", second - after);
         }
     }
@@ -110,8 +110,9 @@
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("load", &fields_of("load", "00000000000000a1", "1400"), "long").unwrap();
-    let at = wait_for("the first to run", || stub_engines.audit_log().executions.first().map(|r| r.process));
-    stub_engines.close(at);
+    let process =
+        wait_for("the first to run", || stub_engines.audit_log().executions.first().map(|r| r.process));
+    stub_engines.close(process);
     client.send("load", &fields_of("load", "00000000000000a2", "25000"), "short").unwrap();
     let rejected = Answer::Error("Rejected".into(), Some("500".into()));
     assert_eq!(client.answer().unwrap(), (1, rejected));
@@ -120,7 +121,7 @@
     let until = ran[0].ended.expect("shutdown requested");
     assert!(until <= ran[1].started, "the next began {:?} too early", until - ran[1].started);
     assert!(until - ran[0].started < SHUTDOWN_TIME, "not told before it ended: {:?}", until - ran[0].started);
-    stub_engines.open(at);
+    stub_engines.open(process);
 }
 
 /// Guards against a key that cools down after a complete result only because its last page came on another connection.
--- a/crates/gateway/tests/gateway/sockets/limits.rs
+++ b/crates/gateway/tests/gateway/sockets/limits.rs
@@ -77,7 +77,7 @@
         assert_eq!(client.answer().unwrap(), (sent, Answer::Error("Rejected".into(), Some("500".into()))));
     }
     client.abort(1).unwrap();
-    until_seen(&engine, "one to be given up", |s| s.cancelled.len() == 1);
+    until_seen(&engine, "one to be cancelled", |s| s.cancelled.len() == 1);
     wait_for("the engine to be used again", || {
         client.send("once", &fields(ID, "25000"), "").unwrap();
         (client.answer().unwrap().1 == rows("ok\n")).then_some(())
--- a/crates/gateway/tests/gateway/sockets/malformed.rs
+++ b/crates/gateway/tests/gateway/sockets/malformed.rs
@@ -45,18 +45,18 @@
 #[test]
 fn a_client_without_a_complete_message_is_not_waited_for() {
     let gateway = Gateway::start(None);
-    let whole = {
+    let complete = {
         let mut bytes = Vec::new();
         rmpv::encode::write_value(&mut bytes, &request(1, "look", &fields(ID, "5000"), "")).unwrap();
         bytes
     };
-    let half = [&whole[..], &whole[..9]].concat();
+    let half = [&complete[..], &complete[..9]].concat();
     // A body of 60 MB that is announced, and never comes.
-    let huge = [&whole[..whole.len() - 2], &[0xc6, 3, 0x93, 0x87, 0]].concat();
+    let huge = [&complete[..complete.len() - 2], &[0xc6, 3, 0x93, 0x87, 0]].concat();
     let (waits, long) = ("reason: no-whole-message", "detail: message too long");
     for (bytes, what, reason) in [
         (&b""[..], "nothing", waits),
-        (&whole[..9], "a half", waits),
+        (&complete[..9], "a half", waits),
         (&half, "one and a half", waits),
         (&huge, "60 MB", long),
     ] {
@@ -64,7 +64,7 @@
         let ended = gateway.log.count(reason) + 1;
         client.raw(bytes).unwrap();
         wait_for(what, || (gateway.log.count(reason) == ended).then_some(()));
-        assert!(bytes.len() > whole.len() || client.is_ended(), "{what}");
+        assert!(bytes.len() > complete.len() || client.is_ended(), "{what}");
     }
 }
 
--- a/crates/gateway/tests/gateway/sockets/restarts.rs
+++ b/crates/gateway/tests/gateway/sockets/restarts.rs
@@ -45,8 +45,8 @@
     assert_eq!(client.answer().unwrap(), (1, Answer::Error("Rejected".into(), Some("500".into()))));
     stream.set_nonblocking(true).unwrap();
     let mut bytes = [0; 512];
-    let came = stream.read(&mut bytes).unwrap_or(0);
-    assert_eq!(came, 0, "{}", String::from_utf8_lossy(&bytes[..came]));
+    let length = stream.read(&mut bytes).unwrap_or(0);
+    assert_eq!(length, 0, "{}", String::from_utf8_lossy(&bytes[..length]));
 }
 
 #[test]
@@ -77,19 +77,21 @@
 
 /// Guards against an end by the clock alone: a gateway that was stalled has not read its sockets yet.
 #[test]
-fn what_came_while_a_stopping_gateway_stalled_is_answered() {
+fn requests_that_arrive_while_a_stopping_gateway_stalls_are_answered() {
     let slow = engine(Act::Serve(Duration::from_millis(400), pages(&["ok\n"])));
     for _ in 0..4 {
         let mut gateway = Gateway::start(Some(slow.address));
         let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
         gateway.signal("-TERM");
         gateway.log.wait_for("shutdown requested");
-        let told = Instant::now();
+        let requested = Instant::now();
         gateway.suspend();
         for (n, client) in clients.iter_mut().enumerate() {
             client.send("look", &fields(&format!("{:016x}", n + 1), "20000"), "").unwrap();
         }
-        wait_for("the last to have come", || (told.elapsed() > Duration::from_millis(900)).then_some(()));
+        wait_for("the last to have come", || {
+            (requested.elapsed() > Duration::from_millis(900)).then_some(())
+        });
         gateway.resume();
         for client in &mut clients {
             assert_eq!(client.answer().unwrap().1, rows("ok\n"));
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn engines_are_told_apart_by_id_and_each_event_is_applied_once() {
+fn engines_are_distinguished_by_id_and_each_event_is_applied_once() {
     use EngineState::{Gone, Ready};
     struct Step<'a> {
         event: WatchEvent,
--- a/crates/gateway/tests/gateway/timers.rs
+++ b/crates/gateway/tests/gateway/timers.rs
@@ -38,7 +38,7 @@
     may::config().set_workers(1);
     let timers = timers();
     let this_thread = || thread::current().id();
-    let at = may::go!(move || {
+    let handle = may::go!(move || {
         let before = this_thread();
         timers.sleep(Duration::from_millis(3));
         let slept = this_thread();
@@ -46,7 +46,7 @@
         timers.park_until(&Blocker::current(), deadline);
         (before, slept, this_thread(), timers.waiting())
     });
-    let (before, slept, parked, waiting) = at.join().unwrap();
+    let (before, slept, parked, waiting) = handle.join().unwrap();
     assert_eq!((before, before, 0), (slept, parked, waiting));
 }
 
