--- a/crates/fault-tests/tests/rules.rs
+++ b/crates/fault-tests/tests/rules.rs
@@ -17,13 +17,13 @@
     RetryBudget { free: 2.0, per_request: 0.1, window: Duration::from_secs(10) };
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
-/// Five gateways, or more by hand: FRONTS=24; nine seconds, or more by hand: LASTS=1800.
+/// Five gateways, or more by hand: GATEWAYS=24; nine seconds, or more by hand: SECONDS=1800.
 fn config() -> ScenarioConfig {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let default = ScenarioConfig::default();
     ScenarioConfig {
-        gateways: number("FRONTS").map_or(default.gateways, |gateways| gateways as usize),
-        duration_ms: number("LASTS").map_or(default.duration_ms, |seconds| seconds * 1000),
+        gateways: number("GATEWAYS").map_or(default.gateways, |gateways| gateways as usize),
+        duration_ms: number("SECONDS").map_or(default.duration_ms, |seconds| seconds * 1000),
         features: [Feature::Probing, Feature::Quotas].into(),
         fault_weights: basic_fault_weights(),
         ..default
@@ -43,7 +43,7 @@
 
 #[test]
 fn the_rules_hold_over_all_gateways_while_they_and_the_network_between_them_break() {
-    // More by hand: FRONTS=24 SEEDS="301 302" cargo test -p larchfall-fault-tests --test rules -- --nocapture
+    // More by hand: GATEWAYS=24 SEEDS="301 302" cargo test -p larchfall-fault-tests --test rules -- --nocapture
     let seeds = std::env::var("SEEDS").unwrap_or_else(|_| "201 202".into());
     seeds.split_whitespace().for_each(|seed| run_seed(seed.parse().unwrap()));
 }
