--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -122,7 +122,7 @@
         multiple: safety.overload_multiple,
         window: Duration::from_micros(safety.overload_window),
         initial_capacity_factor: safety.initial_capacity_factor,
-        warm_up_time: Duration::from_micros(safety.warm_up_time),
+        ramp_time: Duration::from_micros(safety.ramp_time),
     }
 }
 
--- a/crates/config/src/raw.rs
+++ b/crates/config/src/raw.rs
@@ -121,7 +121,7 @@
     #[serde(rename = "key_quiet")]
     pub(crate) key_cooldown: u64,
     #[serde(rename = "ramp_time")]
-    pub(crate) warm_up_time: u64,
+    pub(crate) ramp_time: u64,
 }
 
 #[derive(Deserialize, Default)]
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -60,7 +60,7 @@
     assert_eq!((caps.clock_step, policy.key_cooldown), (ms(1), ms(700)));
     let slow_start = &policy.slow_start;
     assert_eq!((slow_start.multiple, slow_start.initial_capacity_factor), (3.5, 0.3));
-    assert_eq!((slow_start.window, slow_start.warm_up_time), (ms(2_000), ms(14_000)));
+    assert_eq!((slow_start.window, slow_start.ramp_time), (ms(2_000), ms(14_000)));
     let budget = policy.retry_budget.as_ref().unwrap();
     assert_eq!((budget.window, budget.free, budget.per_request), (ms(10_000), 2.5, 0.1));
 
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -147,7 +147,7 @@
             others.gateways.to_string(),
             others.answered.to_string(),
             others.failed.to_string(),
-            others.heard_at.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs())),
+            others.heard_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs())),
             if is_own_slot { "mine" } else { "another's" }.to_owned(),
         ]
     }
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -85,7 +85,7 @@
         };
         info!(state.log, "membership"; "known" => table.len(), "version" => version, "own_health" => health);
         for (name, member) in &table {
-            let heard = member.heard_at.map_or(-1.0, |at| now.since(at).secs());
+            let heard = member.heard_at.map_or(-1.0, |time| now.since(time).secs());
             info!(state.log, "member"; "name" => name, "state" => state_word(member.status.state),
                 "generation" => member.status.generation, "incarnation" => member.status.incarnation,
                 "address" => member.info.address.to_string(), "zone" => &member.info.zone,
--- a/crates/gateway/src/cluster/status_pages.rs
+++ b/crates/gateway/src/cluster/status_pages.rs
@@ -32,7 +32,8 @@
     /// was heard, in seconds.
     fn member_rows(&self, now: Timestamp) -> Vec<Vec<String>> {
         let row = |(name, member): (&String, &Member)| {
-            let heard = member.heard_at.map_or(String::new(), |at| format!("{:.1}", now.since(at).secs()));
+            let heard =
+                member.heard_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs()));
             vec![
                 name.clone(),
                 state_word(member.status.state).to_owned(),
--- a/crates/gateway/src/cluster/supervisor/mod.rs
+++ b/crates/gateway/src/cluster/supervisor/mod.rs
@@ -100,7 +100,7 @@
                 running.until = until;
                 Order::Extend { lease: lease.to_owned(), until }
             }
-            None if lock(&self.not_before).get(lease).is_some_and(|at| now < *at) => return,
+            None if lock(&self.not_before).get(lease).is_some_and(|time| now < *time) => return,
             None => {
                 all.insert(lease.to_owned(), Running { token, until, is_ending: false });
                 Order::Start { program, token, until }
--- a/crates/gateway/src/cluster/supervisor/process.rs
+++ b/crates/gateway/src/cluster/supervisor/process.rs
@@ -46,12 +46,12 @@
 
     /// `grace` is the time between the program being told to end and being killed.
     fn next_action(&mut self, grace: Duration, now: Timestamp) -> Action {
-        let end = self.end_requested.map_or(self.until, |at| at + grace);
-        let kill_at = (self.until - KILLED_BEFORE_EXPIRY).min(end);
-        if now >= kill_at {
+        let end = self.end_requested.map_or(self.until, |time| time + grace);
+        let kill_time = (self.until - KILLED_BEFORE_EXPIRY).min(end);
+        if now >= kill_time {
             return Action::Kill;
         }
-        if !self.is_terminated && (self.end_requested.is_some() || now >= kill_at - grace) {
+        if !self.is_terminated && (self.end_requested.is_some() || now >= kill_time - grace) {
             self.is_terminated = true;
             return Action::Terminate;
         }
--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -97,7 +97,7 @@
         2 => false,
         kind => return Err(DiscoveryError::FrameKind { kind }),
     };
-    let revision = u64::from_be_bytes(array_at(frame, 0));
+    let revision = u64::from_be_bytes(read_array(frame, 0));
     let records = &frame[FRAME_HEAD_BYTES..];
     if records.len() % RECORD_BYTES != 0 {
         return Err(DiscoveryError::RecordsLength { bytes: records.len() });
@@ -106,9 +106,9 @@
     decoded(Frame::Event(WatchEvent { revision, full_list, entries }))
 }
 
-fn array_at<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
+fn read_array<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
     let mut out = [0; N];
-    out.copy_from_slice(&bytes[at..at + N]);
+    out.copy_from_slice(&bytes[offset..offset + N]);
     out
 }
 
@@ -120,16 +120,16 @@
         state => return Err(DiscoveryError::EndpointState { state }),
     };
     Ok(EndpointEntry {
-        id: u32::from_be_bytes(array_at(record, 0)),
+        id: u32::from_be_bytes(read_array(record, 0)),
         address: SocketAddrV4::new(
-            Ipv4Addr::from(array_at::<4>(record, 4)),
-            u16::from_be_bytes(array_at(record, 8)),
+            Ipv4Addr::from(read_array::<4>(record, 4)),
+            u16::from_be_bytes(read_array(record, 8)),
         ),
         state,
         zone: usize::from(record[11]),
         kind: usize::from(record[12]),
-        cell: usize::from(u16::from_be_bytes(array_at(record, 13))),
-        started_ms: u64::from_be_bytes(array_at(record, 19)),
+        cell: usize::from(u16::from_be_bytes(read_array(record, 13))),
+        started_ms: u64::from_be_bytes(read_array(record, 19)),
     })
 }
 
--- a/crates/gateway/src/codec/statement.rs
+++ b/crates/gateway/src/codec/statement.rs
@@ -108,7 +108,7 @@
 }
 
 fn data_set_of_schema(schema: &[u8]) -> Option<u32> {
-    let underscore = schema.iter().rposition(|byte| *byte == b'_').filter(|at| *at > 0)?;
+    let underscore = schema.iter().rposition(|byte| *byte == b'_').filter(|position| *position > 0)?;
     let digits = &schema[underscore + 1..];
     if !digits.iter().all(u8::is_ascii_digit) {
         return None;
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -17,12 +17,12 @@
     ) -> AttemptEnd {
         let mut connection = Some(connection);
         let mut reply = first_reply;
-        let mut called_at = self.started;
+        let mut call_time = self.started;
         let mut cut_offs = 0;
         loop {
             match reply {
                 Ok(reply) if reply.status == 202 => {
-                    connection = self.on_progress(connection, &reply, called_at);
+                    connection = self.on_progress(connection, &reply, call_time);
                 }
                 Ok(reply) if reply.status == 200 && reply.page_count.is_some() => {
                     return self.collect_pages(connection, reply);
@@ -57,7 +57,7 @@
                 }
             };
             let poll = engine_http::fetch_page(self.instance.address, &self.context.id, 0);
-            called_at = self.state.clock.now();
+            call_time = self.state.clock.now();
             reply = self.call(&mut open, &poll, POLL_TIMEOUT);
             connection = Some(open);
         }
@@ -68,7 +68,7 @@
         &self,
         connection: Option<Connection>,
         reply: &Reply,
-        called_at: Timestamp,
+        call_time: Timestamp,
     ) -> Option<Connection> {
         self.same_process.set(true);
         if let Some(update) = reply.progress {
@@ -76,7 +76,7 @@
         }
         let connection = keep_if_clean(connection, reply.closes);
         // Guards against an engine that has nothing to tell and does not hold the call back.
-        if reply.progress.is_none() && self.state.clock.now().since(called_at) < RETRY_PAUSE {
+        if reply.progress.is_none() && self.state.clock.now().since(call_time) < RETRY_PAUSE {
             self.state.sleep(RETRY_PAUSE);
         }
         connection
--- a/crates/gateway/src/state/clock.rs
+++ b/crates/gateway/src/state/clock.rs
@@ -8,18 +8,18 @@
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
-    unix_at_start: Duration,
+    unix_start: Duration,
 }
 
 impl Clock {
     /// Starts the clock at `unix_now`, the time since 1970.
     pub fn start(unix_now: Duration) -> Clock {
-        Clock { started: Instant::now(), unix_at_start: unix_now }
+        Clock { started: Instant::now(), unix_start: unix_now }
     }
 
     /// The present time.
     pub fn now(&self) -> Timestamp {
-        Timestamp::from_micros(self.unix_at_start.micros())
+        Timestamp::from_micros(self.unix_start.micros())
             + Duration::from_micros(self.started.elapsed().as_micros() as u64)
     }
 
--- a/crates/gateway/tests/gateway/codecs/discovery.rs
+++ b/crates/gateway/tests/gateway/codecs/discovery.rs
@@ -18,7 +18,7 @@
         |id, state| Endpoint { id, address: "10.1.0.9:7001".parse().unwrap(), state, zone: 1, kind: 0 };
     let input = frame(41, true, &[listed(0x00c4_1f7a, 0), listed(2, 1), listed(3, 2)]);
     for cut in 0..input.len() {
-        assert_eq!(decode(&input[..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(decode(&input[..cut]), Ok(None), "cut after {cut} bytes");
     }
     let decoded = decode(&input).unwrap().expect("a complete frame");
     let Frame::Event(event) = decoded.value else { panic!("no event") };
--- a/crates/gateway/tests/gateway/codecs/engine_http.rs
+++ b/crates/gateway/tests/gateway/codecs/engine_http.rs
@@ -92,7 +92,7 @@
         assert_eq!(reply.map_err(|error| error.to_string()), expected.map_err(str::to_owned), "{what}");
         if is_reply {
             for cut in 0..input.len() {
-                assert_eq!(decode(&input[..cut]), Ok(None), "{what} cut at {cut}");
+                assert_eq!(decode(&input[..cut]), Ok(None), "{what} cut after {cut}");
             }
         }
     }
--- a/crates/gateway/tests/gateway/codecs/message_pack.rs
+++ b/crates/gateway/tests/gateway/codecs/message_pack.rs
@@ -29,8 +29,8 @@
 fn a_request_is_decoded_once_it_is_complete() {
     let input = bytes(&request(7, "report", FULL, "select 1"));
     for cut in 0..input.len() {
-        assert_eq!(decode(&input[..cut]), Ok(None), "cut at {cut}");
-        assert_eq!(FrameScanner::default().complete_length(&input[..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(decode(&input[..cut]), Ok(None), "cut after {cut} bytes");
+        assert_eq!(FrameScanner::default().complete_length(&input[..cut]), Ok(None), "cut after {cut} bytes");
     }
     let twice = [&input[..], &input[..]].concat();
     let decoded = decode(&twice).unwrap().expect("a complete message");
@@ -230,7 +230,11 @@
         for step in [1, 7, 4096] {
             let mut scanner = FrameScanner::default();
             for cut in (0..length).step_by(step) {
-                assert_eq!(scanner.complete_length(&bytes[..cut]), Ok(None), "{length} bytes cut at {cut}");
+                assert_eq!(
+                    scanner.complete_length(&bytes[..cut]),
+                    Ok(None),
+                    "{length} bytes cut after {cut}"
+                );
             }
             assert_eq!(scanner.complete_length(&bytes), Ok(Some(length)));
         }
--- a/crates/gateway/tests/gateway/engine_connections.rs
+++ b/crates/gateway/tests/gateway/engine_connections.rs
@@ -71,7 +71,7 @@
     in_coroutine(|| {
         let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
         let pool = pool(4);
-        [0, 20, 100].iter().for_each(|at| pool.put_back(open(0, engine.address), ms(*at)));
+        [0, 20, 100].iter().for_each(|time| pool.put_back(open(0, engine.address), ms(*time)));
         let usable_from =
             |now| pool.take_idle(instance(0, engine.address), ms(now)).map(|reused| reused.usable_from);
         assert_eq!(usable_from(110), Some(ms(20) + REUSE_DELAY), "the last used of those past the delay");
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -19,10 +19,10 @@
     struct Case {
         what: &'static str,
         slept_since: u64,
-        read_at: u64,
+        read_time: u64,
         expected: u64,
     }
-    let case = |what, slept_since, read_at, expected| Case { what, slept_since, read_at, expected };
+    let case = |what, slept_since, read_time, expected| Case { what, slept_since, read_time, expected };
     // The timer last came by at 100, and comes next with the read.
     let cases = [
         case("asleep all through it", 50, 2100, 100),
@@ -31,9 +31,9 @@
         case("since within it", 120, 2100, 120),
         case("a new connection", 0, 2100, 100),
     ];
-    for Case { what, slept_since, read_at, expected } in cases {
+    for Case { what, slept_since, read_time, expected } in cases {
         let detector = StallDetector::start(ms(100));
-        assert_eq!(detector.earliest_send_time(ms(slept_since), ms(read_at)), ms(expected), "{what}");
+        assert_eq!(detector.earliest_send_time(ms(slept_since), ms(read_time)), ms(expected), "{what}");
     }
     let detector = StallDetector::start(ms(100));
     [600, 700, 720].iter().for_each(|now| _ = detector.on_timer(ms(*now)));
--- a/crates/policy/src/types/config.rs
+++ b/crates/policy/src/types/config.rs
@@ -103,14 +103,14 @@
     /// Fraction of its full capacity that an engine has at its start, in 0..=1.
     pub initial_capacity_factor: f64,
     /// Longest time until it has all of it.
-    pub warm_up_time: Duration,
+    pub ramp_time: Duration,
 }
 
 impl SlowStartPolicy {
     /// Fraction of its capacity that an engine should have: nobody tells the ramp, so it is straight over the longest time.
     pub fn capacity_factor(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
-        let progress = now.since(started) / (self.warm_up_time + RAMP_MARGIN);
+        let progress = now.since(started) / (self.ramp_time + RAMP_MARGIN);
         if progress >= 1.0 {
             return 1.0;
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -55,7 +55,7 @@
             multiple: 2.0,
             window: Duration::from_millis(2000),
             initial_capacity_factor: 0.32,
-            warm_up_time: Duration::from_millis(15_000),
+            ramp_time: Duration::from_millis(15_000),
         },
         retry_budget: None,
         key_cooldown: Duration::ZERO,
--- a/crates/policy/tests/key_order.rs
+++ b/crates/policy/tests/key_order.rs
@@ -196,7 +196,7 @@
             Action::Arrive(i) => {
                 let call = self.flying.remove(i);
                 if self.running.iter().any(|r| r.request != call.request) {
-                    self.broken = Some("two of a key run at once");
+                    self.broken = Some("two of a key run together");
                 }
                 self.running.push(RemoteAttempt { since: self.now, ..call });
             }
--- a/crates/policy/tests/policy/cancellation.rs
+++ b/crates/policy/tests/policy/cancellation.rs
@@ -55,7 +55,7 @@
         assert_eq!(
             gateway.policy.route(ms(time), b) == RoutingDecision::CancelAttempt(0),
             off,
-            "{swaps_when_out_of_memory} at {time}"
+            "{swaps_when_out_of_memory}, {time} ms"
         );
     }
 }
--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn health_checks_cost_a_part_of_a_request_at_most() {
+fn health_checks_cost_no_more_than_a_part_of_a_request() {
     // (what a probe costs, probes at least and at most after 4,000 requests of one of many gateways)
     for (price, least, most) in
         [(None, 0, 0), (Some(0.0), 1000, 2000), (Some(0.011), 1000, 2000), (Some(0.11), 100, 200)]
@@ -105,6 +105,6 @@
             gateway.policy.on_client_disconnected(b);
             probes += gateway.policy.health_checks().len();
         }
-        assert!((least..=most).contains(&probes), "at {price:?}: {probes}");
+        assert!((least..=most).contains(&probes), "price {price:?}: {probes}");
     }
 }
--- a/crates/policy/tests/policy/limits.rs
+++ b/crates/policy/tests/policy/limits.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_saturated_engine_rejects_at_once() {
+fn a_saturated_engine_rejects_immediately() {
     // One engine of 8 cores: (class, threads, most that may be out before the first is pushed back)
     for (class, most) in [(LOOK_UP, 12), (REPORT, 3), (LOAD, 6)] {
         let mut gateway = typical_config().start(1);
@@ -151,7 +151,7 @@
             }
         }
         gateway.policy.tick(ms(time));
-        assert_eq!(sent_to(gateway.admit(time, one).1).is_none(), bound, "{done:?} at {time}");
+        assert_eq!(sent_to(gateway.admit(time, one).1).is_none(), bound, "{done:?}, {time} ms");
     }
 }
 
--- a/crates/policy/tests/policy/outlier_detection.rs
+++ b/crates/policy/tests/policy/outlier_detection.rs
@@ -42,15 +42,16 @@
 #[test]
 fn failures_that_all_engines_share_eject_none() {
     // Share of bad outcomes at all of four engines, then at engine 0 alone; which of them are left out.
-    for (bad_at_all, bad_at_one, ejected) in [(0.0, 0.0, 0), (0.08, 0.0, 0), (0.0, 1.0, 1), (0.08, 1.0, 1)] {
+    for (bad_everywhere, bad_first, ejected) in [(0.0, 0.0, 0), (0.08, 0.0, 0), (0.0, 1.0, 1), (0.08, 1.0, 1)]
+    {
         let mut gateway = typical_config().start(4);
         let (mut ended, mut bad) = (0, [0.0; 2]);
         for time in 0..2000 {
             let (b, decision) = gateway.admit(time, request(LOOK_UP));
             let Some(e) = sent_to(decision) else { continue };
             ended += 1;
-            bad[0] += bad_at_all;
-            bad[1] += if e == 0 && ended > 1500 { bad_at_one } else { 0.0 };
+            bad[0] += bad_everywhere;
+            bad[1] += if e == 0 && ended > 1500 { bad_first } else { 0.0 };
             let over = bad.iter().position(|b| *b >= 1.0);
             let outcome = if over.is_some() { Outcome::Reset } else { Outcome::Returned };
             over.into_iter().for_each(|i| bad[i] -= 1.0);
@@ -60,8 +61,12 @@
         let lines = gateway.policy.take_events();
         let ejected_count = lines.iter().filter(|e| matches!(e, PolicyEvent::EngineEjected { .. })).count();
         let restored = lines.iter().filter(|e| matches!(e, PolicyEvent::EngineRestored { .. })).count();
-        assert_eq!(ejected_count - restored, ejected, "{bad_at_all} at all, {bad_at_one} at one: {lines:?}");
-        assert!(ejected_count <= ejected, "{bad_at_all} at all, {bad_at_one} at one: {lines:?}");
+        assert_eq!(
+            ejected_count - restored,
+            ejected,
+            "everywhere {bad_everywhere}, first {bad_first}: {lines:?}"
+        );
+        assert!(ejected_count <= ejected, "everywhere {bad_everywhere}, first {bad_first}: {lines:?}");
     }
 }
 
@@ -112,7 +117,7 @@
 }
 
 #[test]
-fn with_most_engines_unhealthy_none_is_left_out() {
+fn with_most_engines_unhealthy_none_is_ejected() {
     // (engines, of them unhealthy, whether those still get requests)
     for (engines, unhealthy, used) in [(4, 1, false), (4, 2, false), (4, 3, true), (4, 4, true)] {
         let mut gateway = typical_config().start(unhealthy);
--- a/crates/policy/tests/policy/requests.rs
+++ b/crates/policy/tests/policy/requests.rs
@@ -24,12 +24,12 @@
     let (second, _) = gateway.admit(1, keyed);
     gateway.policy.abandon(ms(10), first);
     for (time, turn) in [(20, false), (2_159, false), (2_160, true)] {
-        assert_eq!(sent_to(gateway.policy.route(ms(time), second)).is_some(), turn, "at {time}");
+        assert_eq!(sent_to(gateway.policy.route(ms(time), second)).is_some(), turn, "{time} ms");
     }
 }
 
 #[test]
-fn a_request_without_time_for_its_work_is_rejected_at_once() {
+fn a_request_without_time_for_its_work_is_rejected_immediately() {
     // (class, work ms on one thread, time left ms, sent)
     for (class, work, left, sent) in [
         (LOOK_UP, 200, 300, true),
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -63,7 +63,7 @@
         (with_key(DeduplicationScope::Cell), Outcome::Reset, 100, false, false),
         (with_key(DeduplicationScope::Cell), Outcome::ConnectFailed, 100, true, true),
     ];
-    for (idempotency, outcome, time, again, push_back) in cases {
+    for (idempotency, outcome, time, again, rejects) in cases {
         let mut config = typical_config();
         config.classes[LOAD].idempotency = idempotency;
         let mut gateway = config.start(1);
@@ -73,11 +73,15 @@
         gateway.policy.update_engine(ms(1), 1, Engine { zone: 1, cell: 1, ..engine() });
         assert_eq!(gateway.end(time, b, 0, outcome, time), AfterAttempt::RouteAgain);
         let decision = gateway.policy.route(ms(time), b);
-        assert_eq!(sent_to(decision).is_some(), again, "{idempotency:?} {outcome:?} at {time}: {decision:?}");
+        assert_eq!(
+            sent_to(decision).is_some(),
+            again,
+            "{idempotency:?} {outcome:?}, {time} ms: {decision:?}"
+        );
         if !again {
             assert_eq!(
                 matches!(decision, RoutingDecision::Reject(_)),
-                push_back,
+                rejects,
                 "{idempotency:?} {outcome:?}: {decision:?}"
             );
         }
@@ -290,7 +294,7 @@
             gateway.end(10, b, 0, Outcome::Rejected, 1);
             further += usize::from(sent_to(gateway.policy.route(ms(10), b)).is_some());
         }
-        assert_eq!(further, got, "{free} + {per_request} a batch of {returned}, {flood:?}");
+        assert_eq!(further, got, "{free} + {per_request} a request of {returned}, {flood:?}");
     }
 }
 
@@ -306,7 +310,7 @@
     let mut further = |time, allowed| {
         let (b, _) = gateway.admit(time, request(LOOK_UP));
         gateway.end(time, b, 0, Outcome::Rejected, 1);
-        assert_eq!(sent_to(gateway.policy.route(ms(time), b)).is_some(), allowed, "at {time}");
+        assert_eq!(sent_to(gateway.policy.route(ms(time), b)).is_some(), allowed, "{time} ms");
     };
     further(999, true);
     further(1_100, false);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -195,6 +195,6 @@
         let case =
             Case { gateways, work: (300, 300, 0), traffic: Traffic::Even, listed_within: 0, restarted: 0 };
         let worst = case.worst(1);
-        assert!(worst > 0.25, "{gateways} gateways: {worst:.2} of the budget at most");
+        assert!(worst > 0.25, "{gateways} gateways: {worst:.2} of the budget");
     }
 }
