--- a/crates/fault-tests/examples/health_gossip.rs
+++ b/crates/fault-tests/examples/health_gossip.rs
@@ -5,7 +5,7 @@
 use larchfall_fault_tests::gateway_cluster::GatewayCluster;
 use larchfall_fault_tests::gateway_config::{config_of, settings_for};
 use larchfall_fault_tests::load::{self, LoadCounts, LoadPlan};
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use nanorand::{Rng, WyRand};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,10 +59,10 @@
     let met = met.clone();
     let serve = move |_: &_| {
         if failing.load(Ordering::Relaxed) != place {
-            return Act::Serve(SERVICE_TIME, vec![b"1\n".to_vec()]);
+            return EngineBehavior::Serve(SERVICE_TIME, vec![b"1\n".to_vec()]);
         }
         met.fetch_add(1, Ordering::Relaxed);
-        Act::Fail
+        EngineBehavior::Fail
     };
     Engine::start("127.0.0.1:0", serve).expect("a port")
 }
--- a/crates/fault-tests/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -3,7 +3,7 @@
 use crate::gateway_process::GatewayProcess;
 use crate::sync::lock;
 use larchfall_stub::client::{Answer, Client};
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 ///
 /// If there is no free port.
 pub fn steady_engine(takes: Duration) -> Engine {
-    Engine::start("127.0.0.1:0", move |_| Act::Serve(takes, one_row())).expect("a free port")
+    Engine::start("127.0.0.1:0", move |_| EngineBehavior::Serve(takes, one_row())).expect("a free port")
 }
 
 /// An engine that serves requests one after the other as far as its cores go: `cores / takes` of them a second.
@@ -39,7 +39,7 @@
         let mut free_from = lock(&free_from);
         let now = Instant::now();
         *free_from = now.max(*free_from) + takes / cores;
-        Act::Serve(*free_from + takes - takes / cores - now, one_row())
+        EngineBehavior::Serve(*free_from + takes - takes / cores - now, one_row())
     })
 }
 
@@ -57,9 +57,9 @@
         let is_broken = broken.clone();
         let engine = Engine::start("127.0.0.1:0", move |_| {
             if is_broken.load(Ordering::Relaxed) {
-                Act::Fail
+                EngineBehavior::Fail
             } else {
-                Act::Serve(Duration::from_millis(2), one_row())
+                EngineBehavior::Serve(Duration::from_millis(2), one_row())
             }
         })?;
         Ok(BreakableEngine { engine, broken })
--- a/crates/gateway/tests/gateway/engine_connections.rs
+++ b/crates/gateway/tests/gateway/engine_connections.rs
@@ -11,7 +11,7 @@
 use larchfall_gateway::state::engine_table::EngineInstance;
 use larchfall_gateway::state::timers::Timers;
 use larchfall_policy::time::Duration;
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -38,7 +38,7 @@
 #[test]
 fn idle_connections_are_reused_only_while_they_are_good() {
     in_coroutine(|| {
-        let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
+        let engine = Engine::start("127.0.0.1:0", |_| EngineBehavior::Decline).unwrap();
         let closing = TcpListener::bind("127.0.0.1:0").unwrap();
         let closing_address = closing.local_addr().unwrap();
         let here = instance(0, engine.address);
@@ -69,7 +69,7 @@
 #[test]
 fn the_last_used_of_the_connections_past_their_reuse_delay_is_taken() {
     in_coroutine(|| {
-        let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
+        let engine = Engine::start("127.0.0.1:0", |_| EngineBehavior::Decline).unwrap();
         let pool = pool(4);
         [0, 20, 100].iter().for_each(|time| pool.put_back(open(0, engine.address), ms(*time)));
         let usable_from =
@@ -83,7 +83,7 @@
 #[test]
 fn permits_bound_all_connections_and_idle_ones_make_room() {
     in_coroutine(|| {
-        let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
+        let engine = Engine::start("127.0.0.1:0", |_| EngineBehavior::Decline).unwrap();
         let pool = pool(2);
         let timers = timers();
         let held = [pool.acquire(1, None), pool.acquire(1, None)];
@@ -161,7 +161,7 @@
         assert_eq!(refused.err(), Some(ConnectError::Refused));
         let no_time = Connection::open(instance(0, address), StdDuration::ZERO);
         assert_eq!(no_time.err(), Some(ConnectError::Unreachable));
-        let engine = Engine::start("127.0.0.1:0", |_| Act::Decline).unwrap();
+        let engine = Engine::start("127.0.0.1:0", |_| EngineBehavior::Decline).unwrap();
         let mut connection = open(0, engine.address);
         for _ in 0..2 {
             let reply = connection.call(&engine_http::read_load("h"), &clock, within(20_000)).unwrap();
--- a/crates/gateway/tests/gateway/paged_rest.rs
+++ b/crates/gateway/tests/gateway/paged_rest.rs
@@ -5,7 +5,7 @@
 use larchfall_paged_rest::document::{Document, StatementState};
 use larchfall_stub::client::Answer as MessagePackAnswer;
 use larchfall_stub::discovery::Discovery;
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use larchfall_stub::rest::{Answer, RestClient, path};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -27,7 +27,7 @@
     Gateway::start_site(discovery, &text, Some(&site(REST)))
 }
 
-fn engine(act: Act) -> Engine {
+fn engine(act: EngineBehavior) -> Engine {
     Engine::start("127.0.0.1:0", move |_| act.clone()).unwrap()
 }
 
@@ -64,7 +64,7 @@
 #[test]
 fn a_result_comes_in_pages_that_stay_the_same() {
     let texts = ["a\tb\n", "c\td\n", "e\tf\ng\th\n", "i\tj\n"];
-    let engine = engine(Act::Serve(Duration::ZERO, pages(&texts)));
+    let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&texts)));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let first = post(&mut client, "look", "select 1");
@@ -96,12 +96,12 @@
 fn each_end_of_a_request_has_its_one_answer() {
     // What the engine does, the class, the response's status and error, how often the statement came.
     let cases = [
-        (Act::Serve(Duration::from_millis(500), pages(&["late\n"])), "look", 200, None, 1),
-        (Act::Serve(Duration::ZERO, pages(&[""])), "once", 200, None, 1),
-        (Act::Decline, "once", 429, Some("QUERY_QUEUE_FULL"), 0),
-        (Act::Fail, "once", 200, Some("GENERIC_INTERNAL_ERROR"), 1),
-        (Act::Cut, "once", 200, Some("GENERIC_INTERNAL_ERROR"), 1),
-        (Act::Fail, "look", 429, Some("QUERY_QUEUE_FULL"), 0),
+        (EngineBehavior::Serve(Duration::from_millis(500), pages(&["late\n"])), "look", 200, None, 1),
+        (EngineBehavior::Serve(Duration::ZERO, pages(&[""])), "once", 200, None, 1),
+        (EngineBehavior::Decline, "once", 429, Some("QUERY_QUEUE_FULL"), 0),
+        (EngineBehavior::Fail, "once", 200, Some("GENERIC_INTERNAL_ERROR"), 1),
+        (EngineBehavior::Cut, "once", 200, Some("GENERIC_INTERNAL_ERROR"), 1),
+        (EngineBehavior::Fail, "look", 429, Some("QUERY_QUEUE_FULL"), 0),
     ];
     for (act, class, status, error, times) in cases {
         let engine = engine(act.clone());
@@ -126,7 +126,7 @@
 
 #[test]
 fn an_unusable_statement_is_named_and_sent_to_no_engine() {
-    let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let user = ("X-Trino-User", "acme");
@@ -157,7 +157,7 @@
 
 #[test]
 fn calls_come_chunked_pipelined_and_with_an_expectation() {
-    let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let fields = "Host: h\r\nX-Trino-User: acme\r\nX-Trino-Source: look\r\n";
@@ -185,8 +185,9 @@
 
 #[test]
 fn an_abandoned_result_cancels_its_request() {
-    let slow = engine(Act::Serve(FOREVER, pages(&["never\n"])));
-    let many = engine(Act::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n", "4\n", "5\n", "6\n"])));
+    let slow = engine(EngineBehavior::Serve(FOREVER, pages(&["never\n"])));
+    let many =
+        engine(EngineBehavior::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n", "4\n", "5\n", "6\n"])));
     // The engine, how many pages the client reads after the first, and whether it says that it goes.
     for (engine, reads, says) in
         [(&slow, 0, false), (&slow, 1, true), (&many, 0, false), (&many, 2, false), (&many, 1, true)]
@@ -218,7 +219,7 @@
 
 #[test]
 fn a_lost_page_restarts_a_result_only_while_none_of_its_rows_were_delivered() {
-    for (class, act) in [("once", Act::LosePage), ("look", Act::LosePage)] {
+    for (class, act) in [("once", EngineBehavior::LosePage), ("look", EngineBehavior::LosePage)] {
         let engine = engine(act);
         let gateway = gateway(Some(engine.address));
         let mut client = gateway.rest_client();
@@ -238,7 +239,8 @@
 #[test]
 fn a_slow_reader_holds_its_engine_back_and_loses_nothing() {
     let texts: Vec<String> = (0..12).map(|n| format!("{n}\n")).collect();
-    let engine = engine(Act::Serve(Duration::ZERO, texts.iter().map(|t| t.clone().into_bytes()).collect()));
+    let engine =
+        engine(EngineBehavior::Serve(Duration::ZERO, texts.iter().map(|t| t.clone().into_bytes()).collect()));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let mut all = vec![document(&post(&mut client, "once", "select 1"))];
@@ -252,7 +254,7 @@
 
 #[test]
 fn requests_of_one_key_run_one_at_a_time_over_both_protocols() {
-    let engine = engine(Act::Serve(Duration::from_millis(150), pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::from_millis(150), pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let key = "00000000000000ab";
     let mut message_pack_client = gateway.client();
@@ -296,7 +298,10 @@
 #[test]
 fn silent_connections_and_open_results_are_bounded_and_others_are_served() {
     let engine = Engine::start("127.0.0.1:0", |call| {
-        Act::Serve(if call.statement == b"long" { FOREVER } else { Duration::ZERO }, pages(&["ok\n"]))
+        EngineBehavior::Serve(
+            if call.statement == b"long" { FOREVER } else { Duration::ZERO },
+            pages(&["ok\n"]),
+        )
     })
     .unwrap();
     let gateway = gateway(Some(engine.address));
@@ -329,7 +334,7 @@
 
 #[test]
 fn the_operators_file_is_applied_completely_or_not_at_all() {
-    let engine = engine(Act::Serve(Duration::ZERO, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let presto = [("X-Presto-User", "acme"), ("X-Presto-Source", "look")];
@@ -345,7 +350,7 @@
 
 #[test]
 fn a_stopping_gateway_lets_results_be_read_and_admits_nothing_new() {
-    let engine = engine(Act::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n"])));
     let mut gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let first = post(&mut client, "once", "select 1");
--- a/crates/gateway/tests/gateway/protocol_cost.rs
+++ b/crates/gateway/tests/gateway/protocol_cost.rs
@@ -5,7 +5,7 @@
 use larchfall_paged_rest::document::Document;
 use larchfall_stub::client::Answer;
 use larchfall_stub::discovery::Discovery;
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use larchfall_stub::rest::{RestClient, path};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -110,7 +110,10 @@
     let many: Vec<Vec<u8>> = vec![rows.clone(); PAGES];
     let one = vec![rows.clone()];
     let engine = Engine::start("127.0.0.1:0", move |call| {
-        Act::Serve(Duration::ZERO, if call.statement == b"many" { many.clone() } else { one.clone() })
+        EngineBehavior::Serve(
+            Duration::ZERO,
+            if call.statement == b"many" { many.clone() } else { one.clone() },
+        )
     })
     .unwrap();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
--- a/crates/gateway/tests/gateway/races.rs
+++ b/crates/gateway/tests/gateway/races.rs
@@ -6,7 +6,7 @@
 use larchfall_fault_tests::proxy::{Proxies, ProxyMode};
 use larchfall_stub::client::{Answer, Client, request};
 use larchfall_stub::discovery::{Discovery, Endpoint};
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Command, Stdio};
@@ -156,7 +156,8 @@
 #[test]
 fn what_a_disconnected_client_sent_is_not_sent_on() {
     let engine =
-        Engine::start("127.0.0.1:0", |_| Act::Serve(Duration::ZERO, vec![b"ok\n".to_vec()])).unwrap();
+        Engine::start("127.0.0.1:0", |_| EngineBehavior::Serve(Duration::ZERO, vec![b"ok\n".to_vec()]))
+            .unwrap();
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
@@ -196,7 +197,8 @@
     for (takes, more, reason) in cases {
         let takes = Duration::from_millis(takes);
         let engine =
-            Engine::start("127.0.0.1:0", move |_| Act::Serve(takes, vec![b"ok\n".to_vec()])).unwrap();
+            Engine::start("127.0.0.1:0", move |_| EngineBehavior::Serve(takes, vec![b"ok\n".to_vec()]))
+                .unwrap();
         let gateway = Gateway::start(Some(engine.address));
         let mut client = gateway.client();
         let bytes = [bytes_of(1, &fields(ID, "20000"), ""), more].concat();
@@ -339,7 +341,8 @@
 #[test]
 fn stopped_twice_and_while_it_reads_its_files_a_gateway_answers_what_comes_in_pieces() {
     let takes = Duration::from_millis(300);
-    let engine = Engine::start("127.0.0.1:0", move |_| Act::Serve(takes, vec![b"ok\n".to_vec()])).unwrap();
+    let engine =
+        Engine::start("127.0.0.1:0", move |_| EngineBehavior::Serve(takes, vec![b"ok\n".to_vec()])).unwrap();
     let mut gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     let bytes = bytes_of(1, &fields(ID, "20000"), "");
@@ -360,8 +363,10 @@
 /// Guards against idle clients that take the descriptors that connections to discovery and engines need.
 #[test]
 fn discovery_and_engines_reconnect_while_idle_clients_hold_all_client_descriptors() {
-    let serves =
-        || Engine::start("127.0.0.1:0", |_| Act::Serve(Duration::ZERO, vec![b"ok\n".to_vec()])).unwrap();
+    let serves = || {
+        Engine::start("127.0.0.1:0", |_| EngineBehavior::Serve(Duration::ZERO, vec![b"ok\n".to_vec()]))
+            .unwrap()
+    };
     let (old, new) = (serves(), serves());
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let way = Proxies::start(1, &[discovery.address]).unwrap();
--- a/crates/gateway/tests/gateway/sockets/attempts.rs
+++ b/crates/gateway/tests/gateway/sockets/attempts.rs
@@ -3,7 +3,7 @@
 use super::{FOREVER, ID, NOW, engine, fields, fields_of, pages, rows};
 use crate::common::{Gateway, nobody, until_seen};
 use larchfall_stub::client::Answer;
-use larchfall_stub::engine::Act;
+use larchfall_stub::engine::EngineBehavior;
 use std::io::Read;
 use std::net::TcpListener;
 use std::time::Duration;
@@ -14,19 +14,24 @@
     let rejected = Answer::Error("Rejected".into(), Some("500".into()));
     // What the engine does, the class, the response, and how often the statement came to the engine.
     let cases = [
-        (Act::Serve(NOW, pages(&["a\tb\n"])), "look", rows("a\tb\n"), 1),
-        (Act::Serve(NOW, pages(&["1\n", "2\n", "3\n"])), "look", rows("1\n2\n3\n"), 1),
-        (Act::Serve(NOW, pages(&[""])), "once", rows(""), 1),
-        (Act::Serve(Duration::from_millis(700), pages(&["late\n"])), "load", rows("late\n"), 1),
-        (Act::Hang(b"again\n".to_vec()), "once", rows("again\n"), 1),
-        (Act::Decline, "once", rejected.clone(), 0),
-        (Act::Decline, "look", rejected.clone(), 0),
-        (Act::Fail, "once", errored.clone(), 1),
-        (Act::Fail, "look", rejected.clone(), 0),
-        (Act::Cut, "once", errored.clone(), 1),
-        (Act::LosePage, "once", errored.clone(), 1),
-        (Act::Say(b"SSH-2.0-toy\r\n".to_vec()), "once", errored.clone(), 1),
-        (Act::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()), "once", errored, 1),
+        (EngineBehavior::Serve(NOW, pages(&["a\tb\n"])), "look", rows("a\tb\n"), 1),
+        (EngineBehavior::Serve(NOW, pages(&["1\n", "2\n", "3\n"])), "look", rows("1\n2\n3\n"), 1),
+        (EngineBehavior::Serve(NOW, pages(&[""])), "once", rows(""), 1),
+        (EngineBehavior::Serve(Duration::from_millis(700), pages(&["late\n"])), "load", rows("late\n"), 1),
+        (EngineBehavior::Hang(b"again\n".to_vec()), "once", rows("again\n"), 1),
+        (EngineBehavior::Decline, "once", rejected.clone(), 0),
+        (EngineBehavior::Decline, "look", rejected.clone(), 0),
+        (EngineBehavior::Fail, "once", errored.clone(), 1),
+        (EngineBehavior::Fail, "look", rejected.clone(), 0),
+        (EngineBehavior::Cut, "once", errored.clone(), 1),
+        (EngineBehavior::LosePage, "once", errored.clone(), 1),
+        (EngineBehavior::WriteRaw(b"SSH-2.0-toy\r\n".to_vec()), "once", errored.clone(), 1),
+        (
+            EngineBehavior::WriteRaw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
+            "once",
+            errored,
+            1,
+        ),
     ];
     for (act, class, expected, times) in cases {
         let engine = engine(act.clone());
@@ -72,7 +77,7 @@
 
 #[test]
 fn a_request_past_its_deadline_is_answered_and_cancelled() {
-    let engine = engine(Act::Serve(FOREVER, pages(&[""])));
+    let engine = engine(EngineBehavior::Serve(FOREVER, pages(&[""])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     let cases = [("look", "aaaa", "Rejected"), ("once", "bbbb", "Errored"), ("load", "cccc", "Rejected")];
@@ -86,7 +91,7 @@
 
 #[test]
 fn an_aborted_request_is_cancelled_and_not_answered() {
-    let engine = engine(Act::Serve(FOREVER, pages(&[""])));
+    let engine = engine(EngineBehavior::Serve(FOREVER, pages(&[""])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     let sent = client.send("load", &fields_of("load", ID, "20000"), "").unwrap();
@@ -100,7 +105,7 @@
 
 #[test]
 fn a_client_that_disconnects_cancels_its_requests() {
-    let engine = engine(Act::Serve(FOREVER, pages(&[""])));
+    let engine = engine(EngineBehavior::Serve(FOREVER, pages(&[""])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
@@ -112,7 +117,7 @@
 
 #[test]
 fn network_and_client_delays_are_taken_off_the_deadline() {
-    let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     // Clients hold requests of one key apart by up to 250 ms, and count that time.
@@ -126,7 +131,7 @@
 
 #[test]
 fn counters_are_printed_when_asked_for() {
-    let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
--- a/crates/gateway/tests/gateway/sockets/discovery.rs
+++ b/crates/gateway/tests/gateway/sockets/discovery.rs
@@ -5,13 +5,13 @@
 use larchfall_fault_tests::proxy::{Proxies, ProxyMode};
 use larchfall_stub::client::Answer;
 use larchfall_stub::discovery::{Discovery, Endpoint, frame};
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use std::time::{Duration, Instant};
 
 #[test]
 fn the_discovery_service_is_followed_through_bad_frames_and_ends() {
-    let old = engine(Act::Serve(NOW, pages(&["old\n"])));
-    let new = engine(Act::Serve(NOW, pages(&["new\n"])));
+    let old = engine(EngineBehavior::Serve(NOW, pages(&["old\n"])));
+    let new = engine(EngineBehavior::Serve(NOW, pages(&["new\n"])));
     let gateway = Gateway::start(Some(old.address));
     let mut client = gateway.client();
     let mut ask = |wanted: &str| {
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_silent_discovery_service_is_connected_to_again() {
-    let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let discovery = Discovery::start_mute("127.0.0.1:0").unwrap();
     let gateway = Gateway::start_on("127.0.0.1:0", discovery, Some(engine.address), 256);
     let silent = || gateway.log.count("reason: silent");
@@ -49,8 +49,8 @@
 /// Guards against a gateway that SIGHUP ends, and one that stays with a discovery service that sends nothing more.
 #[test]
 fn a_reloading_gateway_serves_on_and_follows_the_new_discovery_service() {
-    let old = engine(Act::Serve(Duration::from_millis(400), pages(&["old\n"])));
-    let new = engine(Act::Serve(NOW, pages(&["new\n"])));
+    let old = engine(EngineBehavior::Serve(Duration::from_millis(400), pages(&["old\n"])));
+    let new = engine(EngineBehavior::Serve(NOW, pages(&["new\n"])));
     let gateway =
         Gateway::start_on("127.0.0.1:0", Discovery::start("127.0.0.1:0").unwrap(), Some(old.address), 256);
     let mut client = gateway.client();
@@ -72,7 +72,7 @@
 
 /// A gateway with one engine, and the proxy between it and its discovery service.
 fn with_proxied_discovery() -> (Gateway, Engine, Proxies) {
-    let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let way = Proxies::start(1, &[discovery.address]).unwrap();
     let text = config_of("127.0.0.1:0", way.address(0, 0), &[engine.address], 256, &settings());
--- a/crates/gateway/tests/gateway/sockets/key_order.rs
+++ b/crates/gateway/tests/gateway/sockets/key_order.rs
@@ -4,7 +4,7 @@
 use crate::common::{Gateway, config_of, settings, wait_for};
 use larchfall_stub::client::Answer;
 use larchfall_stub::discovery::Discovery;
-use larchfall_stub::engine::Act;
+use larchfall_stub::engine::EngineBehavior;
 use larchfall_stub::stub_engines::{SHUTDOWN_TIME, StatementOutcome, StubEngines};
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
 
 #[test]
 fn requests_of_one_key_run_one_after_the_other_in_order() {
-    let engine = engine(Act::Serve(Duration::from_millis(30), pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::from_millis(30), pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     let ids: Vec<String> = (0..6).map(|n| format!("{n:016x}")).collect();
--- a/crates/gateway/tests/gateway/sockets/limits.rs
+++ b/crates/gateway/tests/gateway/sockets/limits.rs
@@ -4,7 +4,7 @@
 use crate::common::{Gateway, until_seen, wait_for};
 use larchfall_stub::client::{Answer, Client};
 use larchfall_stub::discovery::Discovery;
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use std::io::Write;
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 /// Guards against connections that are kept for good, while later ones wait in the listener's queue.
 #[test]
 fn idle_connections_make_room_and_those_with_a_request_stay() {
-    let engine = engine(Act::Serve(Duration::from_millis(1500), pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::from_millis(1500), pages(&["ok\n"])));
     let gateway =
         Gateway::start_on("127.0.0.1:0", Discovery::start("127.0.0.1:0").unwrap(), Some(engine.address), 64);
     let mut busy = gateway.client();
@@ -48,7 +48,7 @@
 
 #[test]
 fn more_requests_than_a_connection_may_have_are_rejected() {
-    let engine = engine(Act::Serve(FOREVER, pages(&[""])));
+    let engine = engine(EngineBehavior::Serve(FOREVER, pages(&[""])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     for n in 0..33 {
@@ -61,7 +61,7 @@
 fn attempts_beyond_the_descriptors_are_rejected_and_say_nothing_of_the_engine() {
     let engine = Engine::start("127.0.0.1:0", |call| {
         let takes = if call.statement == b"long" { FOREVER } else { NOW };
-        Act::Serve(takes, pages(&["ok\n"]))
+        EngineBehavior::Serve(takes, pages(&["ok\n"]))
     })
     .unwrap();
     // Of 32 descriptors four are for connections to engines.
@@ -92,7 +92,7 @@
 /// to send kept all others, and every engine's reply, waiting for seconds.
 #[test]
 fn clients_that_never_pause_do_not_starve_others() {
-    let engine = engine(Act::Serve(Duration::from_millis(50), pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::from_millis(50), pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let over = Arc::new(AtomicBool::new(false));
     let abort = [0x93, 2, 0xa5, b'a', b'b', b'o', b'r', b't', 0x91, 77].repeat(3000);
--- a/crates/gateway/tests/gateway/sockets/malformed.rs
+++ b/crates/gateway/tests/gateway/sockets/malformed.rs
@@ -3,12 +3,12 @@
 use super::{ID, NOW, engine, fields, fields_of, pages, rows};
 use crate::common::{Gateway, wait_for};
 use larchfall_stub::client::{Answer, request};
-use larchfall_stub::engine::Act;
+use larchfall_stub::engine::EngineBehavior;
 use std::time::Duration;
 
 #[test]
 fn what_is_no_message_ends_its_connection_and_no_other() {
-    let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut good = gateway.client();
     let twice = {
@@ -71,7 +71,7 @@
 /// Guards against a request that no engine could use either: it would answer with an error and be blamed for it.
 #[test]
 fn an_unusable_request_is_answered_with_an_error_and_sent_to_no_engine() {
-    let engine = engine(Act::Serve(Duration::from_millis(300), pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::from_millis(300), pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     let errored = Answer::Error("Errored".into(), None);
--- a/crates/gateway/tests/gateway/sockets/mod.rs
+++ b/crates/gateway/tests/gateway/sockets/mod.rs
@@ -8,7 +8,7 @@
 mod restarts;
 
 use larchfall_stub::client::Answer;
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use std::time::Duration;
 
 const NOW: Duration = Duration::ZERO;
@@ -30,7 +30,7 @@
     fields
 }
 
-fn engine(act: Act) -> Engine {
+fn engine(act: EngineBehavior) -> Engine {
     Engine::start("127.0.0.1:0", move |_| act.clone()).unwrap()
 }
 
--- a/crates/gateway/tests/gateway/sockets/restarts.rs
+++ b/crates/gateway/tests/gateway/sockets/restarts.rs
@@ -4,13 +4,13 @@
 use crate::common::{Full, Gateway, config_of, settings, until_seen, wait_for};
 use larchfall_stub::client::{Answer, Client};
 use larchfall_stub::discovery::{Discovery, Endpoint};
-use larchfall_stub::engine::{Act, Engine};
+use larchfall_stub::engine::{Engine, EngineBehavior};
 use std::io::Read;
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_gateway_that_was_paused_goes_on() {
-    let engine = engine(Act::Serve(Duration::from_millis(300), pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(Duration::from_millis(300), pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
@@ -53,7 +53,7 @@
 fn a_stopping_gateway_serves_on_answers_all_and_ends() {
     let slow = Engine::start("127.0.0.1:0", |call| {
         let takes = if call.statement == b"long" { FOREVER } else { Duration::from_millis(600) };
-        Act::Serve(takes, vec![b"ok\n".to_vec()])
+        EngineBehavior::Serve(takes, vec![b"ok\n".to_vec()])
     })
     .unwrap();
     let mut gateway = Gateway::start(Some(slow.address));
@@ -78,7 +78,7 @@
 /// Guards against an end by the clock alone: a gateway that was stalled has not read its sockets yet.
 #[test]
 fn requests_that_arrive_while_a_stopping_gateway_stalls_are_answered() {
-    let slow = engine(Act::Serve(Duration::from_millis(400), pages(&["ok\n"])));
+    let slow = engine(EngineBehavior::Serve(Duration::from_millis(400), pages(&["ok\n"])));
     for _ in 0..4 {
         let mut gateway = Gateway::start(Some(slow.address));
         let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_killed_gateway_starts_again_on_its_address() {
-    let engine = engine(Act::Serve(NOW, pages(&["ok\n"])));
+    let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let mut first = Gateway::start(Some(engine.address));
     let mut client = first.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
--- a/examples/stub-engine/src/engine.rs
+++ b/examples/stub-engine/src/engine.rs
@@ -11,7 +11,7 @@
 
 /// What becomes of a statement, or of the connection that brings it.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum EngineBehavior {
     /// Ends after this long with these pages.
     Serve(Duration, Vec<Vec<u8>>),
     /// Never runs.
@@ -23,7 +23,7 @@
     /// Nothing more is written to this connection; the query runs and ends at once with this page.
     Hang(Vec<u8>),
     /// These bytes are written as they are, and the connection ends.
-    Say(Vec<u8>),
+    WriteRaw(Vec<u8>),
     /// The first page announces two; the second is lost.
     LosePage,
 }
@@ -55,11 +55,11 @@
 }
 
 struct Query {
-    act: Act,
+    behavior: EngineBehavior,
     began: Instant,
 }
 
-type Decide = Box<dyn Fn(&Call) -> Act + Send + Sync>;
+type Decide = Box<dyn Fn(&Call) -> EngineBehavior + Send + Sync>;
 
 /// A running engine; it serves until the process ends.
 pub struct Engine {
@@ -76,7 +76,10 @@
 
 impl Engine {
     /// Listens at an address; `decide` says what becomes of each statement.
-    pub fn start(listen: &str, decide: impl Fn(&Call) -> Act + Send + Sync + 'static) -> io::Result<Engine> {
+    pub fn start(
+        listen: &str,
+        decide: impl Fn(&Call) -> EngineBehavior + Send + Sync + 'static,
+    ) -> io::Result<Engine> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
         let inner =
@@ -134,24 +137,27 @@
     ) -> Option<()> {
         let id = request.headers.get("x-trace")?.clone();
         let call = Call { id: id.clone(), head: request.headers, statement: request.body };
-        let act = (self.decide)(&call);
+        let behavior = (self.decide)(&call);
         lock(&self.seen).started.push(call);
-        match &act {
-            Act::Cut => return None,
-            Act::Say(bytes) => {
+        match &behavior {
+            EngineBehavior::Cut => return None,
+            EngineBehavior::WriteRaw(bytes) => {
                 output.write_all(bytes).ok()?;
                 return None;
             }
-            Act::Hang(page) => {
-                let act = Act::Serve(Duration::ZERO, vec![page.clone()]);
-                lock(&self.queries).insert(id, Query { act, began: Instant::now() });
+            EngineBehavior::Hang(page) => {
+                let behavior = EngineBehavior::Serve(Duration::ZERO, vec![page.clone()]);
+                lock(&self.queries).insert(id, Query { behavior, began: Instant::now() });
                 let mut rest = [0; 1024];
                 while input.read(&mut rest).ok()? > 0 {}
                 return None;
             }
-            Act::Serve(..) | Act::Decline | Act::Fail | Act::LosePage => {}
+            EngineBehavior::Serve(..)
+            | EngineBehavior::Decline
+            | EngineBehavior::Fail
+            | EngineBehavior::LosePage => {}
         }
-        lock(&self.queries).insert(id.clone(), Query { act, began: Instant::now() });
+        lock(&self.queries).insert(id.clone(), Query { behavior, began: Instant::now() });
         lock(&self.seen).running += 1;
         output.write_all(&self.poll_result(&id)).ok()
     }
@@ -166,23 +172,26 @@
         long_poll(|| {
             let queries = lock(&self.queries);
             let Some(query) = queries.get(id) else { return Some(response(500, "", b"")) };
-            match &query.act {
-                Act::Serve(takes, pages) if query.began.elapsed() >= *takes => {
+            match &query.behavior {
+                EngineBehavior::Serve(takes, pages) if query.began.elapsed() >= *takes => {
                     let first = pages.first().map_or(&b""[..], |page| page);
                     Some(response(200, &format!("Page-Count: {}\r\n", pages.len().max(1)), first))
                 }
-                Act::Decline => Some(response(503, "X-Declined: 1\r\n", b"")),
-                Act::Fail => Some(response(500, "", b"")),
-                Act::LosePage => Some(response(200, "Page-Count: 2\r\n", b"one\n")),
-                Act::Serve(..) | Act::Cut | Act::Hang(_) | Act::Say(_) => None,
+                EngineBehavior::Decline => Some(response(503, "X-Declined: 1\r\n", b"")),
+                EngineBehavior::Fail => Some(response(500, "", b"")),
+                EngineBehavior::LosePage => Some(response(200, "Page-Count: 2\r\n", b"one\n")),
+                EngineBehavior::Serve(..)
+                | EngineBehavior::Cut
+                | EngineBehavior::Hang(_)
+                | EngineBehavior::WriteRaw(_) => None,
             }
         })
     }
 
     fn page(&self, id: &str, page: usize) -> Vec<u8> {
         let queries = lock(&self.queries);
-        match queries.get(id).map(|query| &query.act) {
-            Some(Act::Serve(_, pages)) if page < pages.len() => {
+        match queries.get(id).map(|query| &query.behavior) {
+            Some(EngineBehavior::Serve(_, pages)) if page < pages.len() => {
                 response(200, &format!("Page-No: {page}\r\n"), &pages[page])
             }
             _ => response(500, "", b""),
--- a/examples/stub-engine/src/main.rs
+++ b/examples/stub-engine/src/main.rs
@@ -2,7 +2,7 @@
 
 use larchfall_stub::client::{Answer, Client};
 use larchfall_stub::discovery::{Discovery, Endpoint, frame};
-use larchfall_stub::engine::{Act, Call, Engine};
+use larchfall_stub::engine::{Call, Engine, EngineBehavior};
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -23,12 +23,12 @@
 const MAX_PAGE_BYTES: usize = 6_000;
 
 /// Rows with the statement's words, in pages.
-fn answer(call: &Call) -> Act {
+fn answer(call: &Call) -> EngineBehavior {
     let statement = String::from_utf8_lossy(&call.statement);
     println!("statement {}: {statement}", call.id);
     match statement.split_whitespace().next() {
-        Some("decline") => return Act::Decline,
-        Some("fail") => return Act::Fail,
+        Some("decline") => return EngineBehavior::Decline,
+        Some("fail") => return EngineBehavior::Fail,
         _ => {}
     }
     let mut pages = Vec::new();
@@ -41,7 +41,7 @@
         page.extend(row.into_bytes());
     }
     pages.push(page);
-    Act::Serve(SERVICE_TIME, pages)
+    EngineBehavior::Serve(SERVICE_TIME, pages)
 }
 
 fn serve() -> std::io::Result<()> {
