--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -5,8 +5,8 @@
 use crate::{Names, Settings};
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::{
-    Capabilities, DeduplicationScope, EngineKind, Idempotency, PolicyConfig, RequestClass, RetryBudgetRule,
-    SlowStartPolicy, Tenant, Topology,
+    Capabilities, DeduplicationScope, EngineKind, Idempotency, PolicyConfig, RequestClass, RetryBudgetConfig,
+    SlowStartConfig, Tenant, Topology,
 };
 
 pub(crate) fn settings(raw: Raw) -> Result<Settings, SettingsError> {
@@ -91,10 +91,10 @@
         memory_mb: memory_mb.get(i).copied().unwrap_or(0.0),
     };
     Topology {
-        gateways: raw.gateways,
+        gateway_count: raw.gateways,
         gateway_index: raw.me,
         zone: raw.zone,
-        kinds: (0..raw.kinds.len().max(cores.len())).map(kind).collect(),
+        engine_kinds: (0..raw.kinds.len().max(cores.len())).map(kind).collect(),
     }
 }
 
@@ -113,24 +113,24 @@
         progress_interval: unless_zero(raw.domain.progress_interval),
         unobserved_attempt_lifetime: None,
         endpoint_list_lifetime: None,
-        clock_step: Duration::from_micros(raw.clock_step),
+        clock_resolution: Duration::from_micros(raw.clock_step),
     }
 }
 
-fn slow_start(safety: &RawSafety) -> SlowStartPolicy {
-    SlowStartPolicy {
-        multiple: safety.overload_multiple,
+fn slow_start(safety: &RawSafety) -> SlowStartConfig {
+    SlowStartConfig {
+        overload_multiple: safety.overload_multiple,
         window: Duration::from_micros(safety.overload_window),
-        initial_capacity_factor: safety.initial_capacity_factor,
-        ramp_time: Duration::from_micros(safety.ramp_time),
+        initial_warm_up_factor: safety.initial_capacity_factor,
+        warm_up_time: Duration::from_micros(safety.ramp_time),
     }
 }
 
-fn retry_budget(safety: &RawSafety) -> Option<RetryBudgetRule> {
+fn retry_budget(safety: &RawSafety) -> Option<RetryBudgetConfig> {
     let window = safety.retry_window.and_then(unless_zero)?;
-    Some(RetryBudgetRule {
+    Some(RetryBudgetConfig {
         window,
-        free: safety.free_retries.unwrap_or(0.0),
-        per_request: safety.retries_per_request.unwrap_or(0.0),
+        free_retries: safety.free_retries.unwrap_or(0.0),
+        retries_per_request: safety.retries_per_request.unwrap_or(0.0),
     })
 }
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -40,8 +40,12 @@
     let settings = read(FILE.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
     let Settings { policy, names, .. } = &settings;
 
-    assert_eq!((policy.topology.gateways, policy.topology.gateway_index, policy.topology.zone), (4, 2, 1));
-    let kinds: Vec<_> = policy.topology.kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
+    assert_eq!(
+        (policy.topology.gateway_count, policy.topology.gateway_index, policy.topology.zone),
+        (4, 2, 1)
+    );
+    let kinds: Vec<_> =
+        policy.topology.engine_kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
     assert_eq!(kinds, [(4.0, 8_192.0), (16.0, 65_536.0)]);
     let [load, look, once] = &policy.classes[..] else { panic!("{:?}", policy.classes) };
     load_class(load);
@@ -57,12 +61,12 @@
     );
     assert_eq!((caps.health_check_cost, caps.connection_cost, caps.max_attempts), (Some(0.002), 0.01, 3));
     assert_eq!((caps.max_retry_after, caps.progress_interval), (Some(ms(500)), Some(ms(250))));
-    assert_eq!((caps.clock_step, policy.key_cooldown), (ms(1), ms(700)));
+    assert_eq!((caps.clock_resolution, policy.key_cooldown), (ms(1), ms(700)));
     let slow_start = &policy.slow_start;
-    assert_eq!((slow_start.multiple, slow_start.initial_capacity_factor), (3.5, 0.3));
-    assert_eq!((slow_start.window, slow_start.ramp_time), (ms(2_000), ms(14_000)));
+    assert_eq!((slow_start.overload_multiple, slow_start.initial_warm_up_factor), (3.5, 0.3));
+    assert_eq!((slow_start.window, slow_start.warm_up_time), (ms(2_000), ms(14_000)));
     let budget = policy.retry_budget.as_ref().unwrap();
-    assert_eq!((budget.window, budget.free, budget.per_request), (ms(10_000), 2.5, 0.1));
+    assert_eq!((budget.window, budget.free_retries, budget.retries_per_request), (ms(10_000), 2.5, 0.1));
 
     assert!(settings.outcomes_report_work && settings.must_subscribe && settings.single_attempt);
     assert_eq!(settings.load_report_fields, ["concurrent", "load_share"]);
--- a/crates/fault-tests/src/simulation/health_gossip.rs
+++ b/crates/fault-tests/src/simulation/health_gossip.rs
@@ -10,7 +10,7 @@
 use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
 use larchfall_health_gossip::observations::{Observation, Observations, Report};
 use larchfall_policy::event::Evidence;
-use larchfall_policy::policy::{Policy, TICK};
+use larchfall_policy::policy::{Policy, TICK_INTERVAL};
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{
     AfterAttempt, AttemptEvidence, AttemptParameters, AttemptResult, Capabilities, Engine, EngineKind,
@@ -159,9 +159,12 @@
     };
     // Cores for all, so that nothing here is about load.
     let kind = EngineKind { cores: gateways.max(8) as f64, memory_mb: 0.0 };
-    let capabilities =
-        Capabilities { max_attempts: 3, clock_step: Duration::from_millis(1), ..Capabilities::default() };
-    let topology = Topology { gateways, gateway_index: 0, zone: 0, kinds: vec![kind] };
+    let capabilities = Capabilities {
+        max_attempts: 3,
+        clock_resolution: Duration::from_millis(1),
+        ..Capabilities::default()
+    };
+    let topology = Topology { gateway_count: gateways, gateway_index: 0, zone: 0, engine_kinds: vec![kind] };
     PolicyConfig { topology, classes: vec![class], capabilities, ..PolicyConfig::default() }
 }
 
@@ -181,7 +184,7 @@
             random: WyRand::new_seed(seed),
         };
         for gateway in 0..simulation.gateways.len() {
-            let first_tick = START + TICK * simulation.random.generate::<f64>();
+            let first_tick = START + TICK_INTERVAL * simulation.random.generate::<f64>();
             let first_report = START + GOSSIP_INTERVAL * simulation.random.generate::<f64>();
             simulation.queue.schedule(first_tick, Event::PolicyTick { gateway });
             simulation.queue.schedule(first_report, Event::GossipTimer { gateway });
@@ -221,7 +224,7 @@
                 let policy = &mut self.gateways[gateway].policy;
                 policy.tick(self.now);
                 drop(policy.take_events());
-                self.queue.schedule(self.now + TICK, Event::PolicyTick { gateway });
+                self.queue.schedule(self.now + TICK_INTERVAL, Event::PolicyTick { gateway });
             }
             Event::GossipTimer { gateway } => {
                 self.gossip(gateway);
@@ -351,7 +354,7 @@
 
 fn start_gateway(setup: &GossipSetup, gateway: usize, seed: u64) -> SimulatedGateway {
     let mut policy = Policy::new(seed ^ (gateway as u64) << 20, policy_config(setup.gateways));
-    let engine = Engine { started: None, ..Engine::default() };
+    let engine = Engine { start_time: None, ..Engine::default() };
     (0..ENGINES).for_each(|place| policy.update_engine(START, place, engine));
     let probe_slot = match setup.mode {
         GossipMode::ReportsWithProbeSlots(slot) => Some(slot),
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -10,7 +10,7 @@
 use larchfall_leases::messages::{MemberId, Payload, paginate};
 use larchfall_operator_config::{QuotaConfig, QuotaKinds};
 use larchfall_policy::time::{Duration, Timestamp};
-use larchfall_policy::types::{RequestClass, SlowStartPolicy};
+use larchfall_policy::types::{RequestClass, SlowStartConfig};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::{CapacityDemand, Demand};
 use larchfall_quotas::manager::{QuotaManager, QuotaSettings, QuotaStatus, RequestTerms};
@@ -28,7 +28,7 @@
 pub struct QuotaInputs {
     /// How many gateways there are at most.
     pub gateways: usize,
-    slow_start: SlowStartPolicy,
+    slow_start: SlowStartConfig,
     classes: Vec<RequestClass>,
     tenants: Vec<Tenant>,
 }
@@ -43,7 +43,7 @@
     pub fn new(platform: &Settings) -> QuotaInputs {
         let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
         QuotaInputs {
-            gateways: platform.policy.topology.gateways,
+            gateways: platform.policy.topology.gateway_count,
             slow_start: platform.policy.slow_start.clone(),
             classes: platform.policy.classes.clone(),
             tenants: platform.names.tenants.iter().map(tenant).collect(),
--- a/crates/gateway/src/state/engine_table.rs
+++ b/crates/gateway/src/state/engine_table.rs
@@ -234,6 +234,6 @@
         kind: entry.kind,
         cell: entry.cell,
         state: entry.state,
-        started: (entry.started_ms > 0).then(|| Timestamp::from_micros(entry.started_ms * 1000)),
+        start_time: (entry.started_ms > 0).then(|| Timestamp::from_micros(entry.started_ms * 1000)),
     }
 }
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -26,7 +26,7 @@
 pub use capacity::ReadyForQuota;
 pub use engines::{EndpointSummary, EngineStatus};
 pub use in_flight::{AdmissionError, Disconnection};
-pub use larchfall_policy::policy::TICK;
+pub use larchfall_policy::policy::TICK_INTERVAL;
 
 /// The policy, and what belongs to its decisions.
 pub struct PolicyHandle {
--- a/crates/gateway/src/state/policy_handle/capacity.rs
+++ b/crates/gateway/src/state/policy_handle/capacity.rs
@@ -1,7 +1,7 @@
 //! How much of which engine this gateway may use: its subset, and its quotas of what gateways share.
 
 use super::{Decisions, PolicyHandle};
-use larchfall_policy::types::{Engine, SlowStartPolicy};
+use larchfall_policy::types::{Engine, SlowStartConfig};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::Arrivals;
 use std::collections::{BTreeMap, BTreeSet};
@@ -104,14 +104,14 @@
     }
 
     /// Ready engines that this gateway uses, and whether each is in slow start by this policy.
-    pub fn ready_for_quotas(&self, slow_start: &SlowStartPolicy) -> Vec<ReadyForQuota> {
+    pub fn ready_for_quotas(&self, slow_start: &SlowStartConfig) -> Vec<ReadyForQuota> {
         let decisions = self.lock();
         let now = self.clock.now();
         let used = decisions.engines.ready().into_iter().filter(|ready| decisions.capacity.uses(ready.id));
         used.map(|ready| ReadyForQuota {
             id: ready.id,
             engine: ready.engine,
-            in_slow_start: slow_start.capacity_factor(ready.engine.started, now) < 1.0,
+            in_slow_start: slow_start.warm_up_factor(ready.engine.start_time, now) < 1.0,
         })
         .collect()
     }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -42,7 +42,7 @@
             let numbered = |number: usize| Gateway { key: number as u64, zone: None };
             return Members {
                 me: numbered(self.topology.gateway_index),
-                alive: (0..self.topology.gateways.max(1)).map(numbered).collect(),
+                alive: (0..self.topology.gateway_count.max(1)).map(numbered).collect(),
             };
         };
         let zone_index = |zone: &str| state.settings.names.zones.iter().position(|known| known == zone);
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -6,7 +6,7 @@
 use crate::engine::load_report;
 use crate::state::State;
 use crate::state::clock::timeout;
-use crate::state::policy_handle::TICK;
+use crate::state::policy_handle::TICK_INTERVAL;
 use crate::state::stall_detector::TIMER_PERIOD;
 use larchfall_policy::time::{Duration, Timestamp};
 use may::os::unix::net::UnixStream;
@@ -18,7 +18,7 @@
 /// Runs until the process ends.
 pub fn run(state: &Arc<State>, service: Option<&Arc<RestService>>) {
     let blocker = Blocker::current();
-    let mut next_tick = state.clock.now() + TICK;
+    let mut next_tick = state.clock.now() + TICK_INTERVAL;
     loop {
         let next_deadline = state.timers.wake_due(&blocker);
         let now = state.clock.now();
@@ -28,7 +28,7 @@
         if now >= next_tick {
             tick(state, service, now);
             // Ticks that fell into a stall are not made up for.
-            next_tick = (next_tick + TICK).max(now + Duration::from_millis(1));
+            next_tick = (next_tick + TICK_INTERVAL).max(now + Duration::from_millis(1));
         }
         let until =
             next_deadline.map_or(next_tick, |deadline| deadline.min(next_tick)).min(now + TIMER_PERIOD);
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -133,7 +133,7 @@
             engines.apply(&event);
         let now_updated: Vec<usize> = updates.iter().map(|update| update.index).collect();
         assert_eq!([&now_updated[..], &now_added, &now_replaced], [updated, added, replaced], "{event:?}");
-        assert!(updates.iter().all(|update| update.engine.started == Some(Timestamp::from_micros(5000))));
+        assert!(updates.iter().all(|update| update.engine.start_time == Some(Timestamp::from_micros(5000))));
     }
     let port = |engine| engines.instance(engine).map(|instance| instance.address.port());
     assert_eq!((engines.revision(), port(2), port(1)), (5, Some(4), Some(2)));
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -32,7 +32,7 @@
     // Once: what is as slow elsewhere was estimated wrong, and cancelling it again only wastes more.
     let judges_pace = !record.went_off_estimate;
     for attempt in record.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
-        let ejected = engines.get(&attempt.engine).is_some_and(|engine| engine.outliers.is_ejected());
+        let ejected = engines.get(&attempt.engine).is_some_and(|engine| engine.outlier_detector.is_ejected());
         let silent = attempt.is_silent(update_overdue_after(capabilities), now);
         let is_off_estimate =
             |predicted: Duration| predicted > off_estimate_after && predicted > class.latency_objective;
--- a/crates/policy/src/capacity_pool.rs
+++ b/crates/policy/src/capacity_pool.rs
@@ -21,8 +21,8 @@
 }
 
 impl CapacityPool {
-    fn add(&mut self, limit: &ConcurrencyLimit, class: usize, capacity_factor: f64) {
-        self.observed_capacity += limit.observed_capacity() * capacity_factor;
+    fn add(&mut self, limit: &ConcurrencyLimit, class: usize, warm_up_factor: f64) {
+        self.observed_capacity += limit.observed_capacity() * warm_up_factor;
         self.in_use += limit.sustained_in_use();
         self.headroom += limit.headroom(class);
         self.answers += limit.signal.answers();
@@ -49,8 +49,8 @@
 }
 
 impl CapacityPools {
-    pub(crate) fn add(&mut self, kind: usize, limit: &ConcurrencyLimit, class: usize, capacity_factor: f64) {
-        self.all.add(limit, class, capacity_factor);
-        self.by_kind.entry(kind).or_default().add(limit, class, capacity_factor);
+    pub(crate) fn add(&mut self, kind: usize, limit: &ConcurrencyLimit, class: usize, warm_up_factor: f64) {
+        self.all.add(limit, class, warm_up_factor);
+        self.by_kind.entry(kind).or_default().add(limit, class, warm_up_factor);
     }
 }
--- a/crates/policy/src/class_state.rs
+++ b/crates/policy/src/class_state.rs
@@ -2,7 +2,7 @@
 
 use crate::memory_grant::MemoryGrant;
 use crate::request_class::{RankedClass, rank};
-use crate::slow_start::ClassMix;
+use crate::slow_start::ClassDemand;
 use crate::time::Duration;
 use crate::types::RequestClass;
 use crate::work_estimate::WorkEstimate;
@@ -15,7 +15,7 @@
     work: WorkEstimate,
     memory: MemoryGrant,
     /// Threads times requests lately: what the first limits of an engine are split by.
-    wanted_threads: f64,
+    thread_demand: f64,
 }
 
 /// All classes, ranked, with what is learned of each.
@@ -33,7 +33,7 @@
         let learned = |class: &RequestClass| Learned {
             work: WorkEstimate::new(class),
             memory: MemoryGrant::new(),
-            wanted_threads: class.threads,
+            thread_demand: class.threads,
         };
         let learned = classes.iter().map(learned).collect();
         ClassTable { ranked: rank(classes), learned }
@@ -55,41 +55,41 @@
         self.ranked[class].aimd.wire_priority
     }
 
-    pub(crate) fn work(&self, class: usize) -> &WorkEstimate {
+    pub(crate) fn work_estimate(&self, class: usize) -> &WorkEstimate {
         &self.learned[class].work
     }
 
-    pub(crate) fn work_mut(&mut self, class: usize) -> &mut WorkEstimate {
+    pub(crate) fn work_estimate_mut(&mut self, class: usize) -> &mut WorkEstimate {
         &mut self.learned[class].work
     }
 
-    pub(crate) fn memory(&self, class: usize) -> &MemoryGrant {
+    pub(crate) fn memory_grant(&self, class: usize) -> &MemoryGrant {
         &self.learned[class].memory
     }
 
-    pub(crate) fn memory_mut(&mut self, class: usize) -> &mut MemoryGrant {
+    pub(crate) fn memory_grant_mut(&mut self, class: usize) -> &mut MemoryGrant {
         &mut self.learned[class].memory
     }
 
     /// A request of the class was admitted.
     pub(crate) fn record_request(&mut self, class: usize, work_hint: Option<Duration>) {
         for learned in &mut self.learned {
-            learned.wanted_threads *= WANTED_DECAY;
+            learned.thread_demand *= WANTED_DECAY;
         }
-        self.learned[class].wanted_threads += self.threads(class);
+        self.learned[class].thread_demand += self.threads(class);
         self.learned[class].work.record_hint(work_hint);
     }
 
-    pub(crate) fn wanted_threads(&self) -> Vec<f64> {
-        self.learned.iter().map(|learned| learned.wanted_threads).collect()
+    pub(crate) fn thread_demand(&self) -> Vec<f64> {
+        self.learned.iter().map(|learned| learned.thread_demand).collect()
     }
 
     /// Requests lately and their usual work, by class.
-    pub(crate) fn mix(&self) -> Vec<ClassMix> {
+    pub(crate) fn class_demand(&self) -> Vec<ClassDemand> {
         let classes = self.learned.iter().zip(&self.ranked);
-        let mix = |(learned, class): (&Learned, &RankedClass)| ClassMix {
-            requests: learned.wanted_threads / class.settings.threads,
-            work: learned.work.mean(),
+        let mix = |(learned, class): (&Learned, &RankedClass)| ClassDemand {
+            requests: learned.thread_demand / class.settings.threads,
+            work: learned.work.mean_secs(),
         };
         classes.map(mix).collect()
     }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -9,7 +9,7 @@
 use crate::time::Duration;
 
 /// Time between two ticks. Shorter than a second, with the steps scaled to it, since queues build up in less than that.
-pub const TICK: Duration = Duration::from_millis(250);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 const THREADS_PER_CORE: f64 = 1.5;
 /// Weight of one tick in the running mean of the threads in use.
 const MEAN_WEIGHT_PER_TICK: f64 = 0.125;
@@ -45,14 +45,14 @@
 
 impl ConcurrencyLimit {
     /// Limits for an engine with so many cores, used by so many gateways, split by the threads that each class wanted lately.
-    pub(crate) fn new(cores: f64, gateways: usize, wanted_threads: &[f64]) -> ConcurrencyLimit {
+    pub(crate) fn new(cores: f64, gateways: usize, thread_demand: &[f64]) -> ConcurrencyLimit {
         let capacity = (cores * THREADS_PER_CORE).max(1.0);
-        let all_wanted = wanted_threads.iter().sum::<f64>().max(1e-9);
+        let all_wanted = thread_demand.iter().sum::<f64>().max(1e-9);
         let even_capacity = capacity / gateways as f64;
         let limit = |wanted: &f64| ClassLimit { threads: even_capacity * (wanted / all_wanted), in_use: 0.0 };
         let gateway_fraction = 1.0 / gateways as f64;
         ConcurrencyLimit {
-            classes: wanted_threads.iter().map(limit).collect(),
+            classes: thread_demand.iter().map(limit).collect(),
             capacity,
             observed_capacity: capacity * gateway_fraction,
             gateway_fraction,
@@ -146,7 +146,7 @@
         self.mean_in_use += (self.in_use() - self.mean_in_use) * MEAN_WEIGHT_PER_TICK;
         let late = self.signal.is_late(self.attempts_in_flight, all_engines);
         if late {
-            self.observed_capacity *= AIMD_BY_RANK[0].decrease_factor.powf(TICK.secs());
+            self.observed_capacity *= AIMD_BY_RANK[0].decrease_factor.powf(TICK_INTERVAL.secs());
         } else if saturated && all_engines.answers > MINIMUM_ANSWERS {
             self.grow_observed_capacity(all_engines, max_fraction);
         }
@@ -164,12 +164,12 @@
         let below_one_request = CAPACITY_GROWTH * calm / (1.0 + self.observed_capacity.powi(2));
         let pace =
             self.gateway_fraction * (2.0 * self.gateway_fraction * (1.0 + 2.0 * calm) + below_one_request);
-        let step = AIMD_BY_RANK[0].increase_threads_per_second * TICK.secs() * pace.min(1.0);
+        let step = AIMD_BY_RANK[0].increase_threads_per_second * TICK_INTERVAL.secs() * pace.min(1.0);
         self.observed_capacity = (self.observed_capacity + step).min(self.capacity * max_fraction);
     }
 
     fn move_class_limits(&mut self, classes: &[RankedClass], late: bool, becomes_congested: bool) {
-        let step = TICK.secs();
+        let step = TICK_INTERVAL.secs();
         let congested = self.signal.is_congested();
         let even_capacity = self.capacity * self.gateway_fraction;
         let all_threads = classes.iter().map(|class| class.settings.threads).sum::<f64>();
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whether the list has expired, where that changed since the last call.
-    pub(crate) fn take_change(&mut self, lifetime: Option<Duration>, now: Timestamp) -> Option<bool> {
+    pub(crate) fn take_expiry_change(&mut self, lifetime: Option<Duration>, now: Timestamp) -> Option<bool> {
         let expired = !self.is_current(lifetime, now);
         let changed = expired != self.expired;
         self.expired = expired;
--- a/crates/policy/src/engine_record.rs
+++ b/crates/policy/src/engine_record.rs
@@ -4,7 +4,7 @@
 use crate::data_sets::{CachedDataSets, DataSetLocks};
 use crate::load_report::RelativeLoad;
 use crate::outlier_detection::OutlierDetector;
-use crate::slow_start::SlowStartLedger;
+use crate::slow_start::SentWorkWindow;
 use crate::time::{Duration, Timestamp};
 use crate::types::{Engine, EngineState, Outcome};
 
@@ -14,18 +14,18 @@
 /// State of one engine, as this gateway sees it.
 #[derive(Default)]
 pub(crate) struct EngineRecord {
-    pub listed: Engine,
-    listed_time: Timestamp,
+    pub entry: Engine,
+    entry_time: Timestamp,
     pub limit: ConcurrencyLimit,
-    pub slow_start: SlowStartLedger,
-    pub outliers: OutlierDetector,
+    pub sent_in_slow_start: SentWorkWindow,
+    pub outlier_detector: OutlierDetector,
     /// When it last answered or sent a progress update.
     pub heard_time: Timestamp,
     /// Attempts in flight whose progress updates are overdue this tick.
     pub overdue_updates: usize,
-    pub load: RelativeLoad,
-    pub locks: DataSetLocks,
-    pub cached: CachedDataSets,
+    pub relative_load: RelativeLoad,
+    pub data_set_locks: DataSetLocks,
+    pub cached_data_sets: CachedDataSets,
     /// When an attempt last ended there with an answer of the engine's, which leaves its connection idle.
     connection_idle_since: Option<Timestamp>,
     /// This gateway's part of what it bears in slow start, where an allocator hands parts out.
@@ -37,26 +37,26 @@
 }
 
 impl EngineRecord {
-    pub(crate) fn new(listed: Engine, limit: ConcurrencyLimit, now: Timestamp) -> EngineRecord {
-        EngineRecord { listed, listed_time: now, limit, heard_time: now, ..EngineRecord::default() }
+    pub(crate) fn new(entry: Engine, limit: ConcurrencyLimit, now: Timestamp) -> EngineRecord {
+        EngineRecord { entry, entry_time: now, limit, heard_time: now, ..EngineRecord::default() }
     }
 
     /// Takes over a newer entry of the list. Whatever was held against the process that ran there before says nothing of a
     /// new one.
-    pub(crate) fn relist(&mut self, listed: Engine, now: Timestamp) {
-        if self.listed.started != listed.started {
-            self.outliers = OutlierDetector::default();
+    pub(crate) fn update_entry(&mut self, entry: Engine, now: Timestamp) {
+        if self.entry.start_time != entry.start_time {
+            self.outlier_detector = OutlierDetector::default();
             self.connection_idle_since = None;
             self.heard_time = now;
-            self.cached.clear();
+            self.cached_data_sets.clear();
             self.limit.signal.clear();
         }
-        self.listed = listed;
-        self.listed_time = now;
+        self.entry = entry;
+        self.entry_time = now;
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        self.listed.state == EngineState::Ready
+        self.entry.state == EngineState::Ready
     }
 
     pub(crate) fn is_used(&self) -> bool {
@@ -64,16 +64,16 @@
     }
 
     /// Gone, not soon back, and with nothing in flight.
-    pub(crate) fn is_forgettable(&self, now: Timestamp) -> bool {
-        self.listed.state == EngineState::Gone
-            && now.since(self.listed_time) >= FORGET_AFTER
+    pub(crate) fn is_removable(&self, now: Timestamp) -> bool {
+        self.entry.state == EngineState::Gone
+            && now.since(self.entry_time) >= FORGET_AFTER
             && self.limit.attempts_in_flight() == 0
     }
 
     /// Threads that other gateways use there beyond what engines mostly have, while that is fresh.
     pub(crate) fn peer_excess_threads(&self, now: Timestamp) -> f64 {
-        let weight = self.load.freshness(now) * self.limit.peer_load_fraction();
-        self.load.excess() * self.limit.capacity() * weight
+        let weight = self.relative_load.freshness(now) * self.limit.peer_load_fraction();
+        self.relative_load.excess() * self.limit.capacity() * weight
     }
 
     /// Whether a connection is likely to be idle there, and open.
@@ -84,7 +84,7 @@
 
     /// Whether an outcome counts for or against the engine. A time-out at an engine that answered others meanwhile is
     /// load, which the limits answer.
-    pub(crate) fn judge(&self, outcome: Outcome, sent_time: Timestamp) -> Option<bool> {
+    pub(crate) fn classify_outcome(&self, outcome: Outcome, sent_time: Timestamp) -> Option<bool> {
         match outcome {
             Outcome::Returned => Some(false),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored => Some(true),
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -5,9 +5,9 @@
 use crate::idempotency;
 use crate::outlier_detection::is_ejection_trusted;
 use crate::request_record::RequestRecord;
-use crate::slow_start::SlowStartGate;
+use crate::slow_start::SlowStartAdmission;
 use crate::time::Timestamp;
-use crate::types::{Capabilities, Idempotency, RequestClass, SlowStartPolicy, Topology};
+use crate::types::{Capabilities, Idempotency, RequestClass, SlowStartConfig, Topology};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     pub class: &'a RequestClass,
     pub capabilities: &'a Capabilities,
     pub topology: &'a Topology,
-    pub slow_start: SlowStartGate<'a>,
+    pub slow_start: SlowStartAdmission<'a>,
     pub now: Timestamp,
 }
 
@@ -51,8 +51,8 @@
         let no_pool = CapacityPool::default();
         let mut best = BestEngine::default();
         for (&index, engine) in engines.iter_mut().filter(|(_, engine)| self.is_in_reach(engine, &reach)) {
-            let pool = pools.by_kind.get(&engine.listed.kind).unwrap_or(&no_pool);
-            let ejected = reach.trusts_ejections && engine.outliers.is_ejected();
+            let pool = pools.by_kind.get(&engine.entry.kind).unwrap_or(&no_pool);
+            let ejected = reach.trusts_ejections && engine.outlier_detector.is_ejected();
             if self.is_eligible(engine, ejected, pool) {
                 best.offer(index, self.score(index, engine, ejected, pool), random);
             }
@@ -67,13 +67,13 @@
         let beyond_subset = self.record.first_run.is_some() || !used;
         let mut reach = Reach { beyond_subset, trusts_ejections: false };
         let in_reach = || engines.values().filter(|engine| self.is_in_reach(engine, &reach));
-        let ejected = in_reach().filter(|engine| engine.outliers.is_ejected()).count();
+        let ejected = in_reach().filter(|engine| engine.outlier_detector.is_ejected()).count();
         reach.trusts_ejections = is_ejection_trusted(in_reach().count(), ejected);
         reach
     }
 
     fn is_open(&self, engine: &EngineRecord) -> bool {
-        engine.is_ready() && self.class.allows_engine(&engine.listed)
+        engine.is_ready() && self.class.allows_engine(&engine.entry)
     }
 
     fn is_in_reach(&self, engine: &EngineRecord, reach: &Reach) -> bool {
@@ -82,15 +82,16 @@
 
     fn pools(&self, engines: &BTreeMap<usize, EngineRecord>, reach: &Reach) -> CapacityPools {
         let counts = |engine: &EngineRecord| {
-            self.is_in_reach(engine, reach) && !(reach.trusts_ejections && engine.outliers.is_ejected())
+            self.is_in_reach(engine, reach)
+                && !(reach.trusts_ejections && engine.outlier_detector.is_ejected())
         };
-        capacity_pools(engines, self.slow_start.policy, self.record.request.class, self.now, counts)
+        capacity_pools(engines, self.slow_start.config, self.record.request.class, self.now, counts)
     }
 
     fn is_eligible(&self, engine: &mut EngineRecord, ejected: bool, pool: &CapacityPool) -> bool {
         // A probe is a request that may run again.
         let may_probe = self.class.idempotency == Idempotency::Idempotent && !engine.awaits_probe_slot;
-        if ejected && !(may_probe && engine.outliers.is_probe_due(self.now)) {
+        if ejected && !(may_probe && engine.outlier_detector.is_probe_due(self.now)) {
             return false;
         }
         let class = self.record.request.class;
@@ -101,13 +102,13 @@
         if !idempotency::allows_attempt(
             self.class.idempotency,
             first_run,
-            &engine.listed,
+            &engine.entry,
             self.now,
-            self.capabilities.clock_step,
+            self.capabilities.clock_resolution,
         ) {
             return false;
         }
-        self.slow_start.admits(&engine.listed, &mut engine.slow_start, engine.slow_start_fraction)
+        self.slow_start.admits(&engine.entry, &mut engine.sent_in_slow_start, engine.slow_start_fraction)
     }
 
     /// Headroom in threads, with what speaks for and against the engine besides.
@@ -117,12 +118,16 @@
         let spare_fraction = pool.spare_fraction() * engine.limit.peer_load_fraction();
         let has_idle_connection =
             engine.has_idle_connection(self.capabilities.idle_connection_lifetime, self.now);
-        let cached = if engine.cached.contains(request.data_set) { CACHED_DATA_SET_WORTH } else { 0.0 };
-        let same_zone = if engine.listed.zone == self.topology.zone { SAME_ZONE_WORTH } else { 0.0 };
+        let cached =
+            if engine.cached_data_sets.contains(request.data_set) { CACHED_DATA_SET_WORTH } else { 0.0 };
+        let same_zone = if engine.entry.zone == self.topology.zone { SAME_ZONE_WORTH } else { 0.0 };
         let idle_connection =
             if has_idle_connection { IDLE_CONNECTION_WORTH * self.capabilities.connection_cost } else { 0.0 };
-        let probe_overdue =
-            if ejected { engine.outliers.probe_overdue(self.now).secs() * OVERDUE_PROBE_WORTH } else { 0.0 };
+        let probe_overdue = if ejected {
+            engine.outlier_detector.probe_overdue(self.now).secs() * OVERDUE_PROBE_WORTH
+        } else {
+            0.0
+        };
         let penalty = if self.is_last_resort(index, engine) { LAST_RESORT_PENALTY } else { 0.0 };
         engine.limit.headroom(request.class) - engine.peer_excess_threads(self.now)
             + spare_fraction * engine.limit.capacity()
@@ -136,7 +141,7 @@
     /// Behind a lock the request would wait whatever the headroom, and where its last attempt ended it was not served.
     fn is_last_resort(&self, index: usize, engine: &EngineRecord) -> bool {
         let needs_lock = self.class.waits_for_data_lock || self.class.locks_data_set;
-        needs_lock && engine.locks.is_held(self.record.request.data_set, self.now)
+        needs_lock && engine.data_set_locks.is_held(self.record.request.data_set, self.now)
             || self.record.last_engine == Some(index)
     }
 }
@@ -144,15 +149,15 @@
 /// What the engines that count show together, for one class.
 pub(crate) fn capacity_pools(
     engines: &BTreeMap<usize, EngineRecord>,
-    slow_start: &SlowStartPolicy,
+    slow_start: &SlowStartConfig,
     class: usize,
     now: Timestamp,
     counts: impl Fn(&EngineRecord) -> bool,
 ) -> CapacityPools {
     let mut pools = CapacityPools::default();
     for engine in engines.values().filter(|engine| counts(engine)) {
-        let capacity_factor = slow_start.capacity_factor(engine.listed.started, now);
-        pools.add(engine.listed.kind, &engine.limit, class, capacity_factor);
+        let warm_up_factor = slow_start.warm_up_factor(engine.entry.start_time, now);
+        pools.add(engine.entry.kind, &engine.limit, class, warm_up_factor);
     }
     pools
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -22,17 +22,17 @@
 use crate::outlier_detection::FailureBaseline;
 use crate::request_record::{AttemptInFlight, RequestRecord};
 use crate::retry_budget::RetryBudget;
-use crate::slow_start::SlowStartGate;
+use crate::slow_start::SlowStartAdmission;
 use crate::tenant_quota::TenantQuota;
 use crate::time::{Duration, Timestamp};
 use crate::types::{
     AttemptParameters, Capabilities, DeduplicationScope, Idempotency, PolicyConfig, ProgressUpdate, Request,
-    RoutingDecision, SlowStartPolicy, Topology,
+    RoutingDecision, SlowStartConfig, Topology,
 };
 use nanorand::WyRand;
 use std::collections::BTreeMap;
 
-pub use crate::concurrency_limit::TICK;
+pub use crate::concurrency_limit::TICK_INTERVAL;
 
 /// How often a request that waits for its key is looked at; one with an attempt in flight, each tick.
 const KEY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -43,7 +43,7 @@
 pub struct Policy {
     topology: Topology,
     capabilities: Capabilities,
-    slow_start: SlowStartPolicy,
+    slow_start: SlowStartConfig,
     classes: ClassTable,
     tenants: Vec<TenantQuota>,
     retry_budget: RetryBudget,
@@ -68,7 +68,7 @@
     /// A policy without engines; the seed decides ties and which engines are checked.
     pub fn new(seed: u64, config: PolicyConfig) -> Policy {
         let mut topology = config.topology;
-        topology.gateways = topology.gateways.max(1);
+        topology.gateway_count = topology.gateway_count.max(1);
         let unobserved_lifetime = config.capabilities.unobserved_attempt_lifetime.unwrap_or_default();
         Policy {
             topology,
@@ -112,7 +112,7 @@
         if let Some(key) = request.key {
             self.key_order.admit(key, index);
         }
-        let work = self.classes.work(class).estimate(request.work);
+        let work = self.classes.work_estimate(class).estimate(request.work);
         let traffic_fraction = self.traffic_fraction();
         let quota = request.tenant.and_then(|tenant| self.tenants.get_mut(tenant));
         let within_quota = quota.is_none_or(|quota| quota.try_acquire(traffic_fraction, now));
@@ -157,9 +157,9 @@
         let Some(attempt) = record.in_flight.iter().find(live) else { return false };
         let Some(engine) = self.engines.get(&attempt.engine) else { return false };
         let idempotency = self.classes.settings(record.request.class).idempotency;
-        let step = self.capabilities.clock_step;
+        let step = self.capabilities.clock_resolution;
         self.is_endpoint_list_current(now)
-            && idempotency::allows_attempt(idempotency, record.first_run, &engine.listed, now, step)
+            && idempotency::allows_attempt(idempotency, record.first_run, &engine.entry, now, step)
     }
 
     /// An engine says something of an attempt in flight.
@@ -176,7 +176,7 @@
         engine.heard_time = now;
         if update == ProgressUpdate::WaitsForDataLock {
             let until = now + self.capabilities.progress_interval.unwrap_or_default();
-            engine.locks.record_reported(data_set, until);
+            engine.data_set_locks.record_reported(data_set, until);
         }
     }
 
@@ -186,7 +186,7 @@
             Some(record) if record.in_flight.is_empty() => {
                 (now + KEY_CHECK_INTERVAL).min(self.last_answer_time(record))
             }
-            Some(_) | None => now + TICK,
+            Some(_) | None => now + TICK_INTERVAL,
         }
     }
 
@@ -235,11 +235,11 @@
 
     /// This gateway's part of all traffic.
     fn traffic_fraction(&self) -> f64 {
-        self.traffic.value(self.topology.gateways)
+        self.traffic.value(self.topology.gateway_count)
     }
 
     fn last_answer_time(&self, record: &RequestRecord) -> Timestamp {
-        deadline::last_answer_time(record.request.deadline, self.capabilities.clock_step)
+        deadline::last_answer_time(record.request.deadline, self.capabilities.clock_resolution)
     }
 
     /// Whether one more attempt of a request is allowed; the first always is.
@@ -258,11 +258,11 @@
             return None;
         }
         let record = self.requests.get(&request)?;
-        let mix = self.classes.mix();
-        let slow_start = SlowStartGate {
-            policy: &self.slow_start,
+        let class_demand = self.classes.class_demand();
+        let slow_start = SlowStartAdmission {
+            config: &self.slow_start,
             topology: &self.topology,
-            mix: &mix,
+            class_demand: &class_demand,
             class: record.request.class,
             joined_time: self.joined_time.unwrap_or(now),
             now,
@@ -291,31 +291,35 @@
         if let Some(key) = record.request.key {
             self.key_order.on_attempt_started(key, request, number, engine);
         }
-        target.outliers.on_attempt_sent(now);
+        target.outlier_detector.on_attempt_sent(now);
         target.limit.start_attempt(class, settings.threads);
-        if self.slow_start.capacity_factor(target.listed.started, now) < 1.0 {
-            target.slow_start.record(self.classes.work(class).mean(), now);
+        if self.slow_start.warm_up_factor(target.entry.start_time, now) < 1.0 {
+            target.sent_in_slow_start.record(self.classes.work_estimate(class).mean_secs(), now);
         }
         let memory_estimate = record.request.memory_mb.filter(|_| self.capabilities.sets_memory_grant);
-        let memory_mb = memory_estimate.map(|estimate| self.classes.memory(class).grant_mb(estimate));
+        let memory_mb = memory_estimate.map(|estimate| self.classes.memory_grant(class).grant_mb(estimate));
         record.in_flight.push(AttemptInFlight {
             number,
             engine,
             sent_time: now,
             heard_time: now,
             memory_mb,
-            waited_for_lock: settings.waits_for_data_lock && target.locks.is_held(data_set, now),
+            waited_for_lock: settings.waits_for_data_lock && target.data_set_locks.is_held(data_set, now),
             ..AttemptInFlight::default()
         });
         record.attempts_made += 1;
         record.last_engine = Some(engine);
-        target.cached.record(data_set);
+        target.cached_data_sets.record(data_set);
         if settings.locks_data_set {
-            target.locks.acquire(data_set);
+            target.data_set_locks.acquire(data_set);
         }
         RoutingDecision::Send(AttemptParameters {
             engine,
-            timeout: deadline::attempt_timeout(record.request.deadline, now, self.capabilities.clock_step),
+            timeout: deadline::attempt_timeout(
+                record.request.deadline,
+                now,
+                self.capabilities.clock_resolution,
+            ),
             memory_mb,
             priority: self.classes.wire_priority(class),
         })
@@ -324,7 +328,7 @@
     fn review_attempts(&mut self, now: Timestamp, request: usize) -> RoutingDecision {
         let Some(record) = self.requests.get_mut(&request) else { return RoutingDecision::Wait };
         let class = record.request.class;
-        let work = self.classes.work(class);
+        let work = self.classes.work_estimate(class);
         let off_estimate_after = work.off_estimate_after(record.work, self.classes.threads(class));
         let settings = self.classes.settings(class);
         cancellation::cancel_one(record, settings, off_estimate_after, &self.capabilities, &self.engines, now)
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -37,10 +37,10 @@
         }
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return AfterAttempt::Finished };
         if !never_ran(result) {
-            record.record_possible_run(engine.listed, attempt.sent_time);
+            record.record_possible_run(engine.entry, attempt.sent_time);
         }
         release(engine, record, &self.classes, now);
-        let bad = engine.judge(result.outcome, attempt.sent_time);
+        let bad = engine.classify_outcome(result.outcome, attempt.sent_time);
         learn(engine, record, &attempt, result, &mut self.classes, &mut self.mean_slowdown, now);
         engine.record_contact(result.outcome, now);
         let finished = record.finished;
@@ -84,9 +84,9 @@
     let class = record.request.class;
     engine.limit.finish_attempt(class, classes.threads(class));
     if classes.settings(class).locks_data_set {
-        engine.locks.release(record.request.data_set);
+        engine.data_set_locks.release(record.request.data_set);
     }
-    engine.locks.remove_expired(now);
+    engine.data_set_locks.remove_expired(now);
 }
 
 fn learn(
@@ -101,7 +101,7 @@
     let class = record.request.class;
     let returned = result.outcome == Outcome::Returned;
     if attempt.memory_mb.is_some() && (attempt.spilled || returned) {
-        classes.memory_mut(class).record(attempt.spilled);
+        classes.memory_grant_mut(class).record(attempt.spilled);
     }
     match result.outcome {
         Outcome::Returned => {
@@ -116,7 +116,7 @@
                 thread_seconds: result.took.secs() * classes.threads(class),
             };
             record_slowdown(engine, attempt, result, &observed, mean_slowdown, now);
-            classes.work_mut(class).record_answer(&observed);
+            classes.work_estimate_mut(class).record_answer(&observed);
         }
         Outcome::Rejected => engine.limit.signal.record_rejection(),
         Outcome::TimedOut if !attempt.waited_for_lock => engine.limit.signal.record_rejection(),
@@ -143,5 +143,5 @@
         return;
     }
     let slowdown = observed.thread_seconds / work.secs().max(0.001);
-    engine.load.record(slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN), mean_slowdown, now);
+    engine.relative_load.record(slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN), mean_slowdown, now);
 }
--- a/crates/policy/src/policy/engines.rs
+++ b/crates/policy/src/policy/engines.rs
@@ -14,18 +14,18 @@
     pub fn update_engine(&mut self, now: Timestamp, engine: usize, listed: Engine) {
         self.joined_time.get_or_insert(now);
         if let Some(record) = self.engines.get_mut(&engine) {
-            record.relist(listed, now);
+            record.update_entry(listed, now);
             return;
         }
-        let wanted_threads = self.classes.wanted_threads();
+        let thread_demand = self.classes.thread_demand();
         let limit =
-            ConcurrencyLimit::new(self.topology.cores(&listed), self.topology.gateways, &wanted_threads);
+            ConcurrencyLimit::new(self.topology.cores(&listed), self.topology.gateway_count, &thread_demand);
         self.engines.insert(engine, EngineRecord::new(listed, limit, now));
     }
 
     /// Forgets an engine that is gone, not soon back and has nothing in flight: then its index is free.
     pub fn forget_engine(&mut self, now: Timestamp, engine: usize) -> bool {
-        let forgettable = self.engines.get(&engine).is_some_and(|record| record.is_forgettable(now));
+        let forgettable = self.engines.get(&engine).is_some_and(|record| record.is_removable(now));
         if forgettable {
             self.engines.remove(&engine);
         }
@@ -34,8 +34,8 @@
 
     /// So many gateways count from now on: by them engines are divided evenly.
     pub fn set_gateway_count(&mut self, gateways: usize) {
-        self.topology.gateways = gateways.max(1);
-        let fraction = 1.0 / self.topology.gateways as f64;
+        self.topology.gateway_count = gateways.max(1);
+        let fraction = 1.0 / self.topology.gateway_count as f64;
         for engine in self.engines.values_mut() {
             engine.limit.set_gateway_fraction(fraction);
         }
@@ -45,7 +45,7 @@
     pub fn set_engine_quota(&mut self, engine: usize, slow_start: Option<f64>, threads: Option<f64>) {
         let Some(engine) = self.engines.get_mut(&engine) else { return };
         engine.slow_start_fraction = slow_start;
-        engine.limit.set_gateway_fraction(threads.unwrap_or(1.0 / self.topology.gateways as f64));
+        engine.limit.set_gateway_fraction(threads.unwrap_or(1.0 / self.topology.gateway_count as f64));
     }
 
     /// Whether an engine is within the subset that this gateway uses.
@@ -73,7 +73,7 @@
     pub fn engine_health(&self, engine: usize) -> Option<EngineHealth> {
         let record = self.engines.get(&engine)?;
         Some(EngineHealth {
-            ejected: record.outliers.is_ejected(),
+            ejected: record.outlier_detector.is_ejected(),
             congested: record.limit.signal.is_congested(),
         })
     }
@@ -97,17 +97,17 @@
         if let Some(all) = report.in_flight.filter(|all| *all > 0.0) {
             self.traffic.record(own, all);
         }
-        let cores = self.topology.cores(&engine.listed);
+        let cores = self.topology.cores(&engine.entry);
         let peer_load = report.in_flight.map(|all| (all - own).max(0.0) / cores);
         if let Some(load) = peer_load.or(report.busy) {
-            engine.load.record(load, &mut self.mean_reported_load, now);
+            engine.relative_load.record(load, &mut self.mean_reported_load, now);
         }
     }
 
     /// An outcome at an engine, of this gateway's own attempts or one that peers reported.
     pub fn record_engine_outcome(&mut self, now: Timestamp, engine: usize, bad: bool, evidence: Evidence) {
         let Some(record) = self.engines.get_mut(&engine) else { return };
-        match record.outliers.record(bad, &mut self.failure_baseline, now) {
+        match record.outlier_detector.record(bad, &mut self.failure_baseline, now) {
             Some(HealthChange::Ejected) => self.events.push(PolicyEvent::EngineEjected { engine, evidence }),
             Some(HealthChange::Restored) => {
                 self.events.push(PolicyEvent::EngineRestored { engine, evidence });
--- a/crates/policy/src/policy/tick.rs
+++ b/crates/policy/src/policy/tick.rs
@@ -1,6 +1,6 @@
 //! The periodic work: what attempts in flight show, the limits, silence, and overload.
 
-use super::{Policy, TICK};
+use super::{Policy, TICK_INTERVAL};
 use crate::cancellation::update_overdue_after;
 use crate::class_state::ClassTable;
 use crate::engine_record::EngineRecord;
@@ -21,7 +21,7 @@
 const ANY_CLASS: usize = 0;
 
 impl Policy {
-    /// To be called each [`TICK`].
+    /// To be called each [`TICK_INTERVAL`].
     pub fn tick(&mut self, now: Timestamp) {
         self.hold_keys(now);
         self.review_in_flight(now);
@@ -35,9 +35,9 @@
         let engines = &self.engines;
         let is_draining = |engine| {
             let record: Option<&EngineRecord> = engines.get(&engine);
-            record.is_some_and(|record| record.listed.state == EngineState::Draining)
+            record.is_some_and(|record| record.entry.state == EngineState::Draining)
         };
-        self.key_order.hold(now + TICK * KEY_HOLD_TICKS, is_draining);
+        self.key_order.hold(now + TICK_INTERVAL * KEY_HOLD_TICKS, is_draining);
         self.key_order.remove_idle_keys(now);
     }
 
@@ -48,7 +48,8 @@
             let class = record.request.class;
             let objective = self.classes.settings(class).objective_for(record.work);
             let threads = self.classes.threads(class);
-            let off_estimate_after = self.classes.work(class).off_estimate_after(record.work, threads);
+            let off_estimate_after =
+                self.classes.work_estimate(class).off_estimate_after(record.work, threads);
             for attempt in &record.in_flight {
                 let Some(engine) = self.engines.get_mut(&attempt.engine) else { continue };
                 // A predicted lateness is load too, unless so far off that the plan, not the engine, is bad.
@@ -68,11 +69,11 @@
     }
 
     fn move_limits(&mut self, now: Timestamp) {
-        let counts = |engine: &EngineRecord| engine.is_used() && !engine.outliers.is_ejected();
+        let counts = |engine: &EngineRecord| engine.is_used() && !engine.outlier_detector.is_ejected();
         let pools = capacity_pools(&self.engines, &self.slow_start, ANY_CLASS, now, counts);
         let max_fraction = self.max_capacity_fraction();
         for engine in self.engines.values_mut() {
-            let pool = pools.by_kind.get(&engine.listed.kind).unwrap_or(&pools.all);
+            let pool = pools.by_kind.get(&engine.entry.kind).unwrap_or(&pools.all);
             let threads = largest_request(&self.classes, engine);
             let saturated = engine.limit.is_saturated(threads, pool, 1.0);
             engine.limit.tick(self.classes.ranked(), &pools.all, saturated, max_fraction);
@@ -94,10 +95,10 @@
         for (index, engine) in &mut self.engines {
             let silent = std::mem::take(&mut engine.overdue_updates).min(MAX_SILENT_PER_TICK);
             for _ in 0..silent {
-                if engine.outliers.is_ejected() {
+                if engine.outlier_detector.is_ejected() {
                     break;
                 }
-                if engine.outliers.record(true, &mut self.failure_baseline, now).is_some() {
+                if engine.outlier_detector.record(true, &mut self.failure_baseline, now).is_some() {
                     ejected.push(*index);
                 }
             }
@@ -107,7 +108,7 @@
     }
 
     fn review_endpoint_list(&mut self, now: Timestamp) {
-        match self.endpoint_list.take_change(self.capabilities.endpoint_list_lifetime, now) {
+        match self.endpoint_list.take_expiry_change(self.capabilities.endpoint_list_lifetime, now) {
             Some(true) => self.events.push(PolicyEvent::EndpointListExpired),
             Some(false) => self.events.push(PolicyEvent::EndpointListCurrent),
             None => {}
@@ -133,6 +134,6 @@
 
 /// Threads of the largest request that may go to an engine.
 fn largest_request(classes: &ClassTable, engine: &EngineRecord) -> f64 {
-    let allowed = classes.ranked().iter().filter(|class| class.settings.allows_engine(&engine.listed));
+    let allowed = classes.ranked().iter().filter(|class| class.settings.allows_engine(&engine.entry));
     allowed.map(|class| class.settings.threads).fold(1.0, f64::max)
 }
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -4,20 +4,20 @@
 //! of requests that are cancelled, rejected or failed may widen the budget.
 
 use crate::time::{Duration, Timestamp};
-use crate::types::RetryBudgetRule;
+use crate::types::RetryBudgetConfig;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 /// Retries and the requests that pay for them, within the rule's window.
 pub(crate) struct RetryBudget {
-    rule: Option<RetryBudgetRule>,
+    rule: Option<RetryBudgetConfig>,
     /// When the requests that count were admitted: they end in any order.
     admitted: BinaryHeap<Reverse<Timestamp>>,
     retries: VecDeque<Timestamp>,
 }
 
 impl RetryBudget {
-    pub(crate) fn new(rule: Option<RetryBudgetRule>) -> RetryBudget {
+    pub(crate) fn new(rule: Option<RetryBudgetConfig>) -> RetryBudget {
         RetryBudget { rule, admitted: BinaryHeap::new(), retries: VecDeque::new() }
     }
 
@@ -35,7 +35,8 @@
     pub(crate) fn allows_retry(&mut self, now: Timestamp) -> bool {
         self.remove_expired(now);
         let Some(rule) = self.rule else { return true };
-        (self.retries.len() + 1) as f64 <= rule.free + rule.per_request * self.admitted.len() as f64
+        (self.retries.len() + 1) as f64
+            <= rule.free_retries + rule.retries_per_request * self.admitted.len() as f64
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -4,7 +4,7 @@
 //! part of the budget, and what is larger than that part goes out by slots that only some gateways hold at a time.
 
 use crate::time::{Duration, Timestamp};
-use crate::types::{Engine, SlowStartPolicy, Topology};
+use crate::types::{Engine, SlowStartConfig, Topology};
 use std::collections::VecDeque;
 
 /// Part of its budget that a gateway spends: estimates of work scatter.
@@ -24,7 +24,7 @@
 
 /// How many requests of a class arrived lately, and the usual work of one in seconds.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ClassMix {
+pub(crate) struct ClassDemand {
     pub requests: f64,
     pub work: f64,
 }
@@ -37,11 +37,11 @@
 
 /// What this gateway sent to one engine while that was in slow start.
 #[derive(Default)]
-pub(crate) struct SlowStartLedger {
+pub(crate) struct SentWorkWindow {
     sent: VecDeque<SentWork>,
 }
 
-impl SlowStartLedger {
+impl SentWorkWindow {
     pub(crate) fn record(&mut self, work: f64, now: Timestamp) {
         self.sent.push_back(SentWork { time: now, work });
     }
@@ -54,10 +54,10 @@
 }
 
 /// What one gateway knows when it decides on a request to an engine in slow start.
-pub(crate) struct SlowStartGate<'a> {
-    pub policy: &'a SlowStartPolicy,
+pub(crate) struct SlowStartAdmission<'a> {
+    pub config: &'a SlowStartConfig,
     pub topology: &'a Topology,
-    pub mix: &'a [ClassMix],
+    pub class_demand: &'a [ClassDemand],
     /// The request's class within the mix.
     pub class: usize,
     /// When this gateway first heard of an engine.
@@ -65,34 +65,37 @@
     pub now: Timestamp,
 }
 
-impl SlowStartGate<'_> {
+impl SlowStartAdmission<'_> {
     /// Whether the request may go there. `assigned_fraction` is this gateway's part, where an allocator hands parts out.
     pub(crate) fn admits(
         &self,
         engine: &Engine,
-        ledger: &mut SlowStartLedger,
+        ledger: &mut SentWorkWindow,
         assigned_fraction: Option<f64>,
     ) -> bool {
-        let capacity_factor = self.policy.capacity_factor(engine.started, self.now);
-        let window = self.policy.window;
+        let warm_up_factor = self.config.warm_up_factor(engine.start_time, self.now);
+        let window = self.config.window;
         let cores = self.topology.cores(engine);
-        let budget = self.policy.multiple * capacity_factor * cores * CORE_UTILIZATION * window.secs();
-        if capacity_factor >= 1.0 || budget <= 0.0 {
+        let budget =
+            self.config.overload_multiple * warm_up_factor * cores * CORE_UTILIZATION * window.secs();
+        if warm_up_factor >= 1.0 || budget <= 0.0 {
             return true;
         }
-        let fraction = assigned_fraction.unwrap_or(1.0 / self.topology.gateways as f64);
+        let fraction = assigned_fraction.unwrap_or(1.0 / self.topology.gateway_count as f64);
         // A process before this one may have sent there what it does not know of.
-        let unknown = engine.started < Some(self.joined_time) && self.now.since(self.joined_time) < window;
+        let unknown = engine.start_time < Some(self.joined_time) && self.now.since(self.joined_time) < window;
         let own_budget = budget * fraction;
         let holds_slot = self.holds_slot(engine, budget, own_budget, fraction);
-        !unknown && ledger.admits(window, own_budget, self.mix[self.class].work, holds_slot, self.now)
+        !unknown
+            && ledger.admits(window, own_budget, self.class_demand[self.class].work, holds_slot, self.now)
     }
 
     fn holds_slot(&self, engine: &Engine, budget: f64, own_budget: f64, fraction: f64) -> bool {
-        let gateways = self.topology.gateways as f64;
-        let window = self.policy.window;
-        let holders_per_window = self.mix[self.class].requests * slot_holders(budget, own_budget, self.mix);
-        let age = engine.started.map_or(Duration::ZERO, |started| self.now.since(started));
+        let gateways = self.topology.gateway_count as f64;
+        let window = self.config.window;
+        let holders_per_window =
+            self.class_demand[self.class].requests * slot_holders(budget, own_budget, self.class_demand);
+        let age = engine.start_time.map_or(Duration::ZERO, |started| self.now.since(started));
         let slot = (age / (window * SLOT_FRACTION)).floor();
         let holders_per_slot = holders_per_window * SLOT_FRACTION * fraction * gateways;
         let holders = ((slot + 1.0) * holders_per_slot).floor() - (slot * holders_per_slot).floor();
@@ -103,8 +106,8 @@
 
 /// Gateways that hold a slot in the policy's window, for each request of the mix: what goes by slots stays
 /// within what the parts of the gateways leave of the budget, and a part of the slack.
-fn slot_holders(budget: f64, own_budget: f64, mix: &[ClassMix]) -> f64 {
-    let (by_slot, by_fraction): (Vec<ClassMix>, Vec<ClassMix>) =
+fn slot_holders(budget: f64, own_budget: f64, mix: &[ClassDemand]) -> f64 {
+    let (by_slot, by_fraction): (Vec<ClassDemand>, Vec<ClassDemand>) =
         mix.iter().partition(|class| class.work > own_budget * BUDGET_SPENT);
     let all_requests = mix.iter().map(|class| class.requests).sum::<f64>();
     let mean_work = total_work(mix) / all_requests;
@@ -120,6 +123,6 @@
     left / total_work(&by_slot).max(1e-9) / (1.0 + SLOT_FRACTION)
 }
 
-fn total_work(mix: &[ClassMix]) -> f64 {
+fn total_work(mix: &[ClassDemand]) -> f64 {
     mix.iter().map(|class| class.requests * class.work).sum()
 }
--- a/crates/policy/src/types/config.rs
+++ b/crates/policy/src/types/config.rs
@@ -5,7 +5,7 @@
 use crate::time::{Duration, Timestamp};
 
 /// Added to the warm-up time: its end is known no more exactly than that.
-const RAMP_MARGIN: Duration = Duration::from_millis(500);
+const WARM_UP_MARGIN: Duration = Duration::from_millis(500);
 
 /// Everything that is fixed for the life of a policy.
 #[derive(Clone, Debug, Default)]
@@ -19,30 +19,30 @@
     /// What may be asked of engines and clients.
     pub capabilities: Capabilities,
     /// How much an engine bears after its start.
-    pub slow_start: SlowStartPolicy,
+    pub slow_start: SlowStartConfig,
     /// How long a key rests after an outcome that leaves open whether its attempt runs.
     pub key_cooldown: Duration,
     /// Bound on retries; none where they are unbounded.
-    pub retry_budget: Option<RetryBudgetRule>,
+    pub retry_budget: Option<RetryBudgetConfig>,
 }
 
 /// Which gateways and machines there are.
 #[derive(Clone, Debug, Default)]
 pub struct Topology {
     /// How many gateways share the engines.
-    pub gateways: usize,
+    pub gateway_count: usize,
     /// This gateway's number among them, from zero.
     pub gateway_index: usize,
     /// Zone of this gateway.
     pub zone: usize,
     /// Kinds of engines by index.
-    pub kinds: Vec<EngineKind>,
+    pub engine_kinds: Vec<EngineKind>,
 }
 
 impl Topology {
     /// Cores of an engine: at least one, also for a kind that the settings do not name.
     pub fn cores(&self, engine: &Engine) -> f64 {
-        self.kinds.get(engine.kind).map_or(1.0, |kind| kind.cores.max(1.0))
+        self.engine_kinds.get(engine.kind).map_or(1.0, |kind| kind.cores.max(1.0))
     }
 }
 
@@ -90,41 +90,41 @@
     /// A list of engines that was confirmed so long ago may name ones past their grace; `None` where it always holds.
     pub endpoint_list_lifetime: Option<Duration>,
     /// Smallest time between two readings of the clock.
-    pub clock_step: Duration,
+    pub clock_resolution: Duration,
 }
 
-/// An engine in slow start falls over when sent more than `multiple` times its present capacity for `window`.
+/// An engine in slow start falls over when sent more than `overload_multiple` times its present capacity for `window`.
 #[derive(Clone, Debug, Default)]
-pub struct SlowStartPolicy {
+pub struct SlowStartConfig {
     /// Times its present capacity.
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// How long that may last.
     pub window: Duration,
     /// Fraction of its full capacity that an engine has at its start, in 0..=1.
-    pub initial_capacity_factor: f64,
+    pub initial_warm_up_factor: f64,
     /// Longest time until it has all of it.
-    pub ramp_time: Duration,
+    pub warm_up_time: Duration,
 }
 
-impl SlowStartPolicy {
+impl SlowStartConfig {
     /// Fraction of its capacity that an engine should have: nobody tells the ramp, so it is straight over the longest time.
-    pub fn capacity_factor(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
+    pub fn warm_up_factor(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
-        let progress = now.since(started) / (self.ramp_time + RAMP_MARGIN);
+        let progress = now.since(started) / (self.warm_up_time + WARM_UP_MARGIN);
         if progress >= 1.0 {
             return 1.0;
         }
-        self.initial_capacity_factor + (1.0 - self.initial_capacity_factor) * progress
+        self.initial_warm_up_factor + (1.0 - self.initial_warm_up_factor) * progress
     }
 }
 
-/// Retries in any `window`: `free` plus `per_request` times the requests admitted.
+/// Retries in any `window`: `free_retries` plus `retries_per_request` times the requests admitted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RetryBudgetRule {
+pub struct RetryBudgetConfig {
     /// Length of the window.
     pub window: Duration,
     /// Retries without any request.
-    pub free: f64,
+    pub free_retries: f64,
     /// Retries for each request.
-    pub per_request: f64,
+    pub retries_per_request: f64,
 }
--- a/crates/policy/src/types/engine.rs
+++ b/crates/policy/src/types/engine.rs
@@ -14,7 +14,7 @@
     /// Whether it takes new attempts.
     pub state: EngineState,
     /// When it last started; `None` is long ago.
-    pub started: Option<Timestamp>,
+    pub start_time: Option<Timestamp>,
 }
 
 /// Whether an engine takes new attempts.
--- a/crates/policy/src/types/mod.rs
+++ b/crates/policy/src/types/mod.rs
@@ -11,7 +11,7 @@
 
 pub use attempt::{AttemptEvidence, AttemptResult, LastObservation, LoadReport, Outcome, ProgressUpdate};
 pub use config::{
-    Capabilities, EngineKind, PolicyConfig, RetryBudgetRule, SlowStartPolicy, Tenant, Topology,
+    Capabilities, EngineKind, PolicyConfig, RetryBudgetConfig, SlowStartConfig, Tenant, Topology,
 };
 pub use decision::{AfterAttempt, AttemptParameters, EngineHealth, RoutingDecision};
 pub use engine::{Engine, EngineState};
--- a/crates/policy/src/work_estimate.rs
+++ b/crates/policy/src/work_estimate.rs
@@ -58,7 +58,7 @@
     }
 
     /// Usual work of a request in seconds, as slow start counts it.
-    pub(crate) fn mean(&self) -> f64 {
+    pub(crate) fn mean_secs(&self) -> f64 {
         self.mean_reported.unwrap_or(self.mean_hint * self.hint_correction.max(1.0)).max(0.001)
     }
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -31,10 +31,10 @@
 pub(crate) fn typical_config() -> PolicyConfig {
     PolicyConfig {
         topology: Topology {
-            gateways: 1,
+            gateway_count: 1,
             gateway_index: 0,
             zone: 0,
-            kinds: vec![EngineKind { cores: 8.0, memory_mb: 16_000.0 }; 2],
+            engine_kinds: vec![EngineKind { cores: 8.0, memory_mb: 16_000.0 }; 2],
         },
         classes: vec![
             class(1.0, 1.0, Idempotency::Idempotent),
@@ -48,14 +48,14 @@
             max_retry_after: Some(Duration::from_millis(500)),
             sets_memory_grant: true,
             progress_interval: Some(Duration::from_millis(1000)),
-            clock_step: Duration::from_millis(5),
+            clock_resolution: Duration::from_millis(5),
             ..Capabilities::default()
         },
-        slow_start: SlowStartPolicy {
-            multiple: 2.0,
+        slow_start: SlowStartConfig {
+            overload_multiple: 2.0,
             window: Duration::from_millis(2000),
-            initial_capacity_factor: 0.32,
-            ramp_time: Duration::from_millis(15_000),
+            initial_warm_up_factor: 0.32,
+            warm_up_time: Duration::from_millis(15_000),
         },
         retry_budget: None,
         key_cooldown: Duration::ZERO,
@@ -88,7 +88,7 @@
 }
 
 pub(crate) fn engine() -> Engine {
-    Engine { zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None }
+    Engine { zone: 0, kind: 0, cell: 0, state: EngineState::Ready, start_time: None }
 }
 
 pub(crate) fn request(class: usize) -> Request {
--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -44,9 +44,9 @@
         let mut all = 0.0;
         for gateway_index in 0..gateways {
             let mut config = typical_config();
-            (config.topology.gateways, config.topology.gateway_index) = (gateways, gateway_index);
+            (config.topology.gateway_count, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
-            gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
+            gateway.policy.update_engine(ms(0), 0, Engine { start_time: Some(ms(0)), ..engine() });
             let one = Request { work: Some(Duration::from_millis(work)), ..request(LOOK_UP) };
             (0..30).for_each(|_| gateway.policy.admit(ms(0), 9, one.clone()));
             // Turns go on within the rule's window, and all of them count against its budget.
@@ -80,10 +80,10 @@
     ];
     for (named, counted, part, goes) in cases {
         let mut config = typical_config();
-        config.topology.gateways = named;
+        config.topology.gateway_count = named;
         let mut gateway = config.start(0);
         counted.into_iter().for_each(|n| gateway.policy.set_gateway_count(n));
-        gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
+        gateway.policy.update_engine(ms(0), 0, Engine { start_time: Some(ms(0)), ..engine() });
         gateway.policy.set_engine_quota(0, part, None);
         let sent = (0..4).filter(|n| sent_to(gateway.admit(n * 3_000, request(LOOK_UP)).1).is_some()).count();
         assert_eq!(sent == 4, goes, "{named} named, {counted:?} counted, {part:?}: {sent}");
@@ -97,7 +97,7 @@
         [(None, 0, 0), (Some(0.0), 1000, 2000), (Some(0.011), 1000, 2000), (Some(0.11), 100, 200)]
     {
         let mut config = typical_config();
-        (config.topology.gateways, config.capabilities.health_check_cost) = (300, price);
+        (config.topology.gateway_count, config.capabilities.health_check_cost) = (300, price);
         let mut gateway = config.start(2);
         let mut probes = 0;
         for time in 0..4_000 {
--- a/crates/policy/tests/policy/limits.rs
+++ b/crates/policy/tests/policy/limits.rs
@@ -59,7 +59,7 @@
         (600, 70, LOAD, 2.0),
     ] {
         let mut config = typical_config();
-        config.topology.gateways = gateways;
+        config.topology.gateway_count = gateways;
         let mut gateway = config.start(engines);
         let fraction = engines as f64 * 12.0 / gateways as f64;
         let peak = gateway.send_all(100, class) as f64 * threads;
@@ -80,7 +80,7 @@
         [(24, 14, 200, true), (100, 60, 200, true), (100, 60, 2400, false), (150, 35, 200, true)]
     {
         let mut config = typical_config();
-        config.topology.gateways = gateways;
+        config.topology.gateway_count = gateways;
         let mut gateway = config.start(engines);
         let mut peaks = Vec::new();
         for round in 0..40 {
@@ -160,7 +160,7 @@
     // (gateways, loads that still go out while all six engines read congested)
     for (gateways, loads) in [(1, 6), (8, 1)] {
         let mut config = typical_config();
-        config.topology.gateways = gateways;
+        config.topology.gateway_count = gateways;
         let mut gateway = config.start(6);
         // Each in a data set of its own, so that they spread over the engines.
         let first = gateway.admit(0, request(LOOK_UP)).0;
@@ -180,7 +180,7 @@
     // (requests that the engine says it holds for each of this gateway's, most out after long calm)
     for (times, least, most) in [(None, 7, 12), (Some(4.0), 5, 6), (Some(1.0), 10, 12)] {
         let mut config = typical_config();
-        config.topology.gateways = 4;
+        config.topology.gateway_count = 4;
         let mut gateway = config.start(1);
         let mut out = Vec::new();
         for round in 0..400 {
--- a/crates/policy/tests/policy/outlier_detection.rs
+++ b/crates/policy/tests/policy/outlier_detection.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use larchfall_policy::event::{Evidence, PolicyEvent};
-use larchfall_policy::types::{Engine, EngineHealth, Outcome, PolicyConfig, Request, SlowStartPolicy};
+use larchfall_policy::types::{Engine, EngineHealth, Outcome, PolicyConfig, Request, SlowStartConfig};
 
 #[test]
 fn an_unhealthy_engine_is_ejected_until_its_probes_restore_it() {
@@ -140,14 +140,14 @@
 fn a_new_start_restores_an_ejected_engine() {
     for (started, used) in [(None, false), (Some(ms(50)), true)] {
         let mut gateway =
-            PolicyConfig { slow_start: SlowStartPolicy::default(), ..typical_config() }.start(1);
+            PolicyConfig { slow_start: SlowStartConfig::default(), ..typical_config() }.start(1);
         for time in 0..4 {
             let (b, _) = gateway.admit(time, request(LOOK_UP));
             gateway.end(time, b, 0, Outcome::Reset, 1);
             gateway.policy.on_client_disconnected(b);
         }
         gateway.policy.update_engine(ms(60), 1, engine());
-        gateway.policy.update_engine(ms(60), 0, Engine { started, ..engine() });
+        gateway.policy.update_engine(ms(60), 0, Engine { start_time: started, ..engine() });
         let sent_to_first =
             (0..10).filter(|_| sent_to(gateway.admit(60, request(LOOK_UP)).1) == Some(0)).count();
         assert_eq!(sent_to_first > 0, used, "{started:?}: {sent_to_first} of 10");
--- a/crates/policy/tests/policy/requests.rs
+++ b/crates/policy/tests/policy/requests.rs
@@ -4,7 +4,7 @@
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::{
     AfterAttempt, AttemptParameters, Capabilities, Outcome, PolicyConfig, ProgressUpdate, Request,
-    RetryBudgetRule, RoutingDecision, SlowStartPolicy, Tenant, Topology,
+    RetryBudgetConfig, RoutingDecision, SlowStartConfig, Tenant, Topology,
 };
 
 #[test]
@@ -78,8 +78,8 @@
     let odd: [fn(&mut PolicyConfig); 6] = [
         |r| r.topology = Topology::default(),
         |r| r.capabilities = Capabilities::default(),
-        |r| r.slow_start = SlowStartPolicy::default(),
-        |r| r.retry_budget = Some(RetryBudgetRule::default()),
+        |r| r.slow_start = SlowStartConfig::default(),
+        |r| r.retry_budget = Some(RetryBudgetConfig::default()),
         |r| r.tenants = vec![Tenant::default()],
         |r| {
             r.classes.iter_mut().for_each(|g| {
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -5,7 +5,7 @@
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::{
     AfterAttempt, AttemptEvidence, AttemptResult, DeduplicationScope, Engine, EngineState, Idempotency,
-    LastObservation, Outcome, PolicyConfig, Request, RetryBudgetRule, RoutingDecision,
+    LastObservation, Outcome, PolicyConfig, Request, RetryBudgetConfig, RoutingDecision,
 };
 
 #[test]
@@ -186,14 +186,14 @@
         let mut sent = 0;
         for gateway_index in 0..gateways {
             let mut config = typical_config();
-            (config.topology.gateways, config.topology.gateway_index) = (gateways, gateway_index);
+            (config.topology.gateway_count, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
             // It has been there for longer than the engine: one that has not knows nothing of what was sent before it.
             gateway.policy.update_engine(ms(0), 9, Engine { state: EngineState::Gone, ..engine() });
             gateway.policy.update_engine(
                 ms(20_000),
                 0,
-                Engine { started: Some(ms(20_000 - age)), ..engine() },
+                Engine { start_time: Some(ms(20_000 - age)), ..engine() },
             );
             let one =
                 Request { work: Some(Duration::from_millis(work)), deadline: ms(60_000), ..request(LOOK_UP) };
@@ -216,7 +216,7 @@
     // each
     for (work, most) in [(None, 7), (Some(1000), 7)] {
         let mut gateway = typical_config().start(0);
-        gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
+        gateway.policy.update_engine(ms(0), 0, Engine { start_time: Some(ms(0)), ..engine() });
         let one = Request { work: work.map(Duration::from_millis), ..request(LOOK_UP) };
         let sent = (0..12).filter(|_| sent_to(gateway.admit(0, one.clone()).1).is_some()).count();
         assert!((1..=most).contains(&sent), "{work:?}: {sent} sent");
@@ -275,7 +275,11 @@
         (2.0, 0.1, 20, Some(Outcome::Returned), 4),
         (2.0, 0.1, 0, Some(Outcome::Cancelled), 2),
     ] {
-        let rule = RetryBudgetRule { window: Duration::from_millis(10_000), free, per_request };
+        let rule = RetryBudgetConfig {
+            window: Duration::from_millis(10_000),
+            free_retries: free,
+            retries_per_request: per_request,
+        };
         let config = PolicyConfig { retry_budget: Some(rule), ..typical_config() };
         let mut gateway = config.start(4);
         for _ in 0..returned {
@@ -300,7 +304,11 @@
 
 #[test]
 fn rule_7_a_returned_request_counts_from_its_admission() {
-    let rule = RetryBudgetRule { window: Duration::from_millis(1_000), free: 0.0, per_request: 1.0 };
+    let rule = RetryBudgetConfig {
+        window: Duration::from_millis(1_000),
+        free_retries: 0.0,
+        retries_per_request: 1.0,
+    };
     let mut gateway = PolicyConfig { retry_budget: Some(rule), ..typical_config() }.start(4);
     // A long one ends after a short one that was taken later.
     let (long, _) = gateway.admit(0, request(LOOK_UP));
@@ -323,7 +331,7 @@
         [(true, RoutingDecision::Reject(Some(Duration::from_millis(500)))), (false, RoutingDecision::Fail)]
     {
         let mut gateway =
-            PolicyConfig { retry_budget: Some(RetryBudgetRule::default()), ..typical_config() }.start(1);
+            PolicyConfig { retry_budget: Some(RetryBudgetConfig::default()), ..typical_config() }.start(1);
         let (b, _) = gateway.admit(0, request(LOAD));
         let seen = AttemptEvidence { last: LastObservation::Declined, same_process };
         let answer =
--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -9,7 +9,7 @@
     // (gateways, reports bound to kind 1 that fill it, loads that still go, most of them to kind 1)
     for (gateways, reports, loads, to_1) in [(24, 20, 2, 0), (60, 20, 1, 0), (24, 0, 2, 1)] {
         let mut config = typical_config();
-        config.topology.gateways = gateways;
+        config.topology.gateway_count = gateways;
         config.classes[REPORT].kinds = Some(vec![1]);
         let mut gateway = config.start(8);
         (0..8).for_each(|e| gateway.policy.update_engine(ms(0), 8 + e, Engine { kind: 1, ..engine() }));
@@ -31,7 +31,7 @@
         (60, 100, None, 0, false),
     ] {
         let mut config = typical_config();
-        config.topology.gateways = gateways;
+        config.topology.gateway_count = gateways;
         let mut gateway = config.start(2);
         let mut time = 0;
         for _ in 0..40 {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -46,8 +46,8 @@
 impl Case {
     fn config(&self) -> PolicyConfig {
         let mut config = typical_config();
-        config.topology.gateways = self.gateways;
-        config.topology.kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
+        config.topology.gateway_count = self.gateways;
+        config.topology.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
         config.classes.truncate(2);
         config.classes.iter_mut().for_each(|g| g.threads = 1.0);
         config
@@ -61,8 +61,8 @@
     /// The rule's budget and slack in requests of mean work, for a window that begins then.
     fn most(&self, config: &PolicyConfig, from: Timestamp) -> f64 {
         let slow_start = &config.slow_start;
-        let budget_of = slow_start.multiple
-            * slow_start.capacity_factor(Some(ms(STARTS)), from)
+        let budget_of = slow_start.overload_multiple
+            * slow_start.warm_up_factor(Some(ms(STARTS)), from)
             * 16.0
             * slow_start.window.secs();
         let n = budget_of * 1000.0 / self.mean();
@@ -94,7 +94,7 @@
                 gateway.policy.update_engine(
                     ms(from),
                     SLOW_START,
-                    Engine { started: Some(ms(STARTS)), ..engine() },
+                    Engine { start_time: Some(ms(STARTS)), ..engine() },
                 );
                 for time in (from..until).step_by(STEP as usize) {
                     let comes = match self.traffic {
--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -5,7 +5,7 @@
 use crate::requests::RequestTable;
 use crate::wire::event::{EngineLoad, FinishedAttempt, ListedEngine, NewRequest, Progress};
 use crate::wire::reply::Reply;
-use larchfall_policy::policy::{Policy, TICK};
+use larchfall_policy::policy::{Policy, TICK_INTERVAL};
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{
     AfterAttempt, AttemptEvidence, AttemptParameters, AttemptResult, Engine, EngineState, LastObservation,
@@ -58,7 +58,7 @@
     }
 
     fn set_tick_timer(&self, now: Timestamp, reply: &mut Reply) {
-        reply.set_timer(self.instance, (now + TICK).micros(), TICK_TAG);
+        reply.set_timer(self.instance, (now + TICK_INTERVAL).micros(), TICK_TAG);
     }
 
     fn load_report(&self, values: &[f64]) -> LoadReport {
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -88,7 +88,7 @@
         let _size = fields.f32()?;
         let started_micros = fields.u64()?;
         let started = (started_micros > 0).then(|| Timestamp::from_micros(started_micros));
-        list.push(ListedEngine { address, engine: Engine { zone, kind, cell, state, started } });
+        list.push(ListedEngine { address, engine: Engine { zone, kind, cell, state, start_time: started } });
     }
     Ok(list)
 }
