--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,55 +1,70 @@
-//! Limits of running threads at one engine, one for each request class, moved by asymmetric AIMD on the congestion signal.
+//! Concurrency limits on the threads in use at one engine, one limit per request class, adjusted by
+//! asymmetric AIMD: the increase and decrease rates depend on the rank of the class.
 //!
-//! Guards against queues inside engines: beyond the limits of a congested engine requests go elsewhere or are rejected
-//! at once. The limits bind only while the last tick found the engine congested.
+//! The limits prevent queues inside engines: a request beyond the limit of a congested engine goes to another
+//! engine or is rejected at once. A limit is enforced while the last tick found the engine congested, and
+//! while the threads in use have reached the observed capacity.
 
 use crate::capacity_pool::CapacityPool;
 use crate::congestion::{CongestionSignal, MINIMUM_ANSWERS, POOLED_ANSWERS};
 use crate::request_class::{AIMD_BY_RANK, RankedClass};
 use crate::time::Duration;
 
-/// Time between two ticks. Shorter than a second, with the steps scaled to it, since queues build up in less than that.
+/// Time between two ticks. Queues build up in less than a second, so ticks are shorter than that, and the
+/// rates per second are scaled to the interval.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Threads that an engine can run per core.
 const THREADS_PER_CORE: f64 = 1.5;
 /// Weight of one tick in the running mean of the threads in use.
 const MEAN_WEIGHT_PER_TICK: f64 = 0.125;
-/// Few of many gateways peak at once: a peak counts in a pool as this part of itself.
-const PEAK_TO_MEAN: f64 = 3.0;
-/// Fastest growth of the observed capacity, in even parts of an AIMD step.
-const CAPACITY_GROWTH: f64 = 3.0;
-/// Late fraction of all engines at which that growth ends.
-const GROWTH_LATE_FRACTION: f64 = 0.06;
+/// A pool counts a peak of the threads in use as the peak divided by this ratio, since only a few of many
+/// gateways peak at the same time.
+const PEAK_TO_MEAN_RATIO: f64 = 3.0;
+/// Largest bonus on the growth of an observed capacity below one request. The unit is the AIMD increase of
+/// the highest rank multiplied by the gateway fraction.
+const SMALL_CAPACITY_GROWTH: f64 = 3.0;
+/// Fraction of late answers over all engines from which an observed capacity no longer grows faster than its
+/// base rate.
+const FAST_GROWTH_MAX_LATE_FRACTION: f64 = 0.06;
 /// Fraction of the observed capacity that requests of a tenant beyond its quota may fill.
-const BEYOND_QUOTA_CAPACITY: f64 = 0.7;
+const BEYOND_QUOTA_CAPACITY_FRACTION: f64 = 0.7;
 
+/// The concurrency limit of one request class and the use of it, both in threads.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassLimit {
-    threads: f64,
-    in_use: f64,
+    max_threads: f64,
+    threads_in_use: f64,
 }
 
-/// The limits of one engine, as far as this gateway uses it.
+/// The concurrency limits of one engine. They cover only the attempts of this gateway.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
+    /// Limits by class index.
     classes: Vec<ClassLimit>,
-    /// Threads that the engine can run at most.
+    /// Largest number of threads that the engine can run for all gateways.
     capacity: f64,
-    /// Threads of all classes together that this gateway has seen the engine bear in time.
+    /// Threads of all classes that this gateway has seen the engine serve without late answers.
     observed_capacity: f64,
-    mean_in_use: f64,
+    /// Running mean of the threads in use by this gateway.
+    mean_threads_in_use: f64,
     attempts_in_flight: usize,
-    /// Part of the engine that is this gateway's: the steps of all gateways add up, and each sees its part of the answers.
+    /// Fraction of the engine that is assigned to this gateway. It scales the AIMD steps, since the steps of
+    /// all gateways add up at the engine and each gateway sees only a fraction of the answers.
     gateway_fraction: f64,
     pub signal: CongestionSignal,
 }
 
 impl ConcurrencyLimit {
-    /// Limits for an engine with so many cores, used by so many gateways, split by the threads that each class wanted lately.
+    /// Creates limits for an engine with `cores` cores that is shared evenly by `gateways` gateways. The
+    /// limits of the classes are proportional to `thread_demand`, the recent demand of each class in threads.
     pub(crate) fn new(cores: f64, gateways: usize, thread_demand: &[f64]) -> ConcurrencyLimit {
         let capacity = (cores * THREADS_PER_CORE).max(1.0);
-        let all_wanted = thread_demand.iter().sum::<f64>().max(1e-9);
+        let total_demand = thread_demand.iter().sum::<f64>().max(1e-9);
         let even_capacity = capacity / gateways as f64;
-        let limit = |wanted: &f64| ClassLimit { threads: even_capacity * (wanted / all_wanted), in_use: 0.0 };
+        let limit = |demand: &f64| ClassLimit {
+            max_threads: even_capacity * (demand / total_demand),
+            threads_in_use: 0.0,
+        };
         let gateway_fraction = 1.0 / gateways as f64;
         ConcurrencyLimit {
             classes: thread_demand.iter().map(limit).collect(),
@@ -60,24 +75,25 @@
         }
     }
 
-    /// Another part of the engine is this gateway's: what it has learned scales with it.
+    /// Changes the fraction of the engine that is assigned to this gateway, and scales the observed capacity
+    /// and the limits by the same factor.
     pub(crate) fn set_gateway_fraction(&mut self, fraction: f64) {
         let factor = fraction / self.gateway_fraction;
         self.observed_capacity = (self.observed_capacity * factor).min(self.capacity);
         self.gateway_fraction = fraction;
         for class in &mut self.classes {
-            class.threads *= factor;
+            class.max_threads *= factor;
         }
     }
 
     pub(crate) fn start_attempt(&mut self, class: usize, threads: f64) {
-        self.classes[class].in_use += threads;
+        self.classes[class].threads_in_use += threads;
         self.attempts_in_flight += 1;
     }
 
     pub(crate) fn finish_attempt(&mut self, class: usize, threads: f64) {
         let class = &mut self.classes[class];
-        class.in_use = (class.in_use - threads).max(0.0);
+        class.threads_in_use = (class.threads_in_use - threads).max(0.0);
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
     }
 
@@ -93,48 +109,54 @@
         self.observed_capacity
     }
 
-    /// Fraction of the engine's load that other gateways are estimated to cause, in 0..=1.
+    /// Estimated fraction, in 0..=1, of the engine's load that other gateways cause.
     pub(crate) fn peer_load_fraction(&self) -> f64 {
         1.0 / (1.0 + self.observed_capacity)
     }
 
-    /// Threads left within a class's limit; negative beyond it.
+    /// Threads left within the limit of a class. The headroom is negative while more threads than the limit
+    /// are in use.
     pub(crate) fn headroom(&self, class: usize) -> f64 {
-        self.classes[class].threads - self.classes[class].in_use
+        self.classes[class].max_threads - self.classes[class].threads_in_use
     }
 
-    /// Threads in use as a pool counts them: the mean, or a high peak.
-    pub(crate) fn sustained_in_use(&self) -> f64 {
-        self.mean_in_use.max(self.in_use() / PEAK_TO_MEAN)
+    /// Threads in use as a capacity pool counts them: the running mean, or the present number divided by
+    /// [`PEAK_TO_MEAN_RATIO`] if that is larger.
+    pub(crate) fn sustained_threads_in_use(&self) -> f64 {
+        self.mean_threads_in_use.max(self.threads_in_use() / PEAK_TO_MEAN_RATIO)
     }
 
-    /// Whether an attempt with so many threads may start. The pool is that of the engine's kind.
+    /// Whether an attempt of `class` that uses `threads` threads may start. `pool` is the capacity pool of
+    /// the engine's kind.
     pub(crate) fn admits(&self, class: usize, threads: f64, within_quota: bool, pool: &CapacityPool) -> bool {
         let congested = self.signal.is_congested();
-        if !within_quota && (congested || self.is_saturated(threads, pool, BEYOND_QUOTA_CAPACITY)) {
+        if !within_quota && (congested || self.is_saturated(threads, pool, BEYOND_QUOTA_CAPACITY_FRACTION)) {
             return false;
         }
         if !(congested || self.is_saturated(threads, pool, 1.0)) || self.headroom(class) >= threads {
             return true;
         }
-        // A limit below one request admits it while the limits of all engines add up to that.
+        // With many gateways the limit of a single engine can be smaller than one request. The engine then
+        // admits one request while the limits of all engines in the pool add up to the threads of that
+        // request.
         let limit = self.classes[class];
-        limit.threads < threads && limit.in_use <= 0.0 && pool.headroom >= threads
+        limit.max_threads < threads && limit.threads_in_use <= 0.0 && pool.headroom >= threads
     }
 
-    /// Whether more is in use than `fraction` of what the engine has borne in time. An observed capacity below one request
-    /// is judged by the pool. Lateness alone would show only after the latency objective, when an engine is overfull.
+    /// Whether the threads in use have reached `fraction` of the observed capacity. If the observed capacity
+    /// is smaller than one request of `threads` threads, the use of the whole pool decides too. Waiting for
+    /// late answers would react only after the latency objective, when the engine is already overloaded.
     pub(crate) fn is_saturated(&self, threads: f64, pool: &CapacityPool, fraction: f64) -> bool {
-        self.in_use() >= self.observed_capacity * fraction
-            || self.observed_capacity < threads && pool.in_use >= pool.observed_capacity * fraction
+        self.threads_in_use() >= self.observed_capacity * fraction
+            || self.observed_capacity < threads && pool.threads_in_use >= pool.observed_capacity * fraction
     }
 
-    fn in_use(&self) -> f64 {
-        self.classes.iter().map(|class| class.in_use).sum()
+    fn threads_in_use(&self) -> f64 {
+        self.classes.iter().map(|class| class.threads_in_use).sum()
     }
 
-    /// Moves all limits by what was seen since the last tick. The observed capacity stays within `max_fraction` of the
-    /// engine's capacity.
+    /// Adjusts the observed capacity and all limits by the signals since the last tick. Growth of the
+    /// observed capacity ends at `max_fraction` of the engine's capacity.
     pub(crate) fn tick(
         &mut self,
         classes: &[RankedClass],
@@ -143,7 +165,7 @@
         max_fraction: f64,
     ) {
         let was_congested = self.signal.is_congested();
-        self.mean_in_use += (self.in_use() - self.mean_in_use) * MEAN_WEIGHT_PER_TICK;
+        self.mean_threads_in_use += (self.threads_in_use() - self.mean_threads_in_use) * MEAN_WEIGHT_PER_TICK;
         let late = self.signal.is_late(self.attempts_in_flight, all_engines);
         if late {
             self.observed_capacity *= AIMD_BY_RANK[0].decrease_factor.powf(TICK_INTERVAL.secs());
@@ -152,43 +174,48 @@
         }
         self.signal.update(late, saturated, self.attempts_in_flight);
         let becomes_congested = self.signal.is_congested() && !was_congested;
-        self.move_class_limits(classes, late, becomes_congested);
+        self.adjust_class_limits(classes, late, becomes_congested);
         self.signal.decay();
     }
 
-    /// Few gateways overshoot by the grain of a request, many learn slowly: growth is fast without late answers while the
-    /// observed capacity is below one request.
+    /// Increases the observed capacity by one step. With few gateways fast growth overshoots by whole
+    /// requests, and with many gateways each one learns slowly. Growth is therefore fast while few answers
+    /// are late and the observed capacity is below one request.
     fn grow_observed_capacity(&mut self, all_engines: &CapacityPool, max_fraction: f64) {
         let late_fraction = all_engines.late_fraction(POOLED_ANSWERS);
-        let calm = (1.0 - late_fraction / GROWTH_LATE_FRACTION).max(0.0);
-        let below_one_request = CAPACITY_GROWTH * calm / (1.0 + self.observed_capacity.powi(2));
-        let pace =
-            self.gateway_fraction * (2.0 * self.gateway_fraction * (1.0 + 2.0 * calm) + below_one_request);
-        let step = AIMD_BY_RANK[0].increase_threads_per_second * TICK_INTERVAL.secs() * pace.min(1.0);
+        // 1 without late answers, falling to 0 at the largest late fraction with fast growth.
+        let on_time_factor = (1.0 - late_fraction / FAST_GROWTH_MAX_LATE_FRACTION).max(0.0);
+        let small_capacity_bonus =
+            SMALL_CAPACITY_GROWTH * on_time_factor / (1.0 + self.observed_capacity.powi(2));
+        let rate = self.gateway_fraction
+            * (2.0 * self.gateway_fraction * (1.0 + 2.0 * on_time_factor) + small_capacity_bonus);
+        let step = AIMD_BY_RANK[0].increase_threads_per_second * TICK_INTERVAL.secs() * rate.min(1.0);
         self.observed_capacity = (self.observed_capacity + step).min(self.capacity * max_fraction);
     }
 
-    fn move_class_limits(&mut self, classes: &[RankedClass], late: bool, becomes_congested: bool) {
-        let step = TICK_INTERVAL.secs();
+    fn adjust_class_limits(&mut self, classes: &[RankedClass], late: bool, becomes_congested: bool) {
+        let tick_secs = TICK_INTERVAL.secs();
         let congested = self.signal.is_congested();
         let even_capacity = self.capacity * self.gateway_fraction;
-        let all_threads = classes.iter().map(|class| class.settings.threads).sum::<f64>();
-        // Floors of many gateways add up to overload: then each keeps a part of them.
-        let floor_factor = (even_capacity / all_threads).min(1.0);
+        let threads_of_all_classes = classes.iter().map(|class| class.settings.threads).sum::<f64>();
+        // The lower bound of a limit is one request per class. With many gateways those bounds add up to an
+        // overload of the engine, so each gateway scales its bounds down to its even part of the capacity.
+        let floor_factor = (even_capacity / threads_of_all_classes).min(1.0);
         for (limit, class) in self.classes.iter_mut().zip(classes) {
             if becomes_congested {
-                // Room that was never used says nothing of what the engine bears.
-                limit.threads = limit.threads.min(limit.in_use);
+                // Unused headroom does not show that the engine could have served more threads.
+                limit.max_threads = limit.max_threads.min(limit.threads_in_use);
             }
-            // Saturation alone shows no overload: the limit binds where it stands, and only lateness cuts it.
-            let increase = if congested { 0.0 } else { class.aimd.increase_threads_per_second * step };
-            let moved = if late {
-                limit.threads * class.aimd.decrease_factor.powf(step)
+            // Saturation without late answers is not overload: the limit stays as it is, and only late
+            // answers decrease it.
+            let increase = if congested { 0.0 } else { class.aimd.increase_threads_per_second * tick_secs };
+            let adjusted = if late {
+                limit.max_threads * class.aimd.decrease_factor.powf(tick_secs)
             } else {
-                limit.threads + increase
+                limit.max_threads + increase
             };
             let threads = class.settings.threads;
-            limit.threads = moved.min(self.capacity.max(threads)).max(threads * floor_factor);
+            limit.max_threads = adjusted.min(self.capacity.max(threads)).max(threads * floor_factor);
         }
     }
 }
--- a/crates/policy/src/engine_record.rs
+++ b/crates/policy/src/engine_record.rs
@@ -1,4 +1,5 @@
-//! What is known of one engine: its entry of the endpoint list, and the state of each decision about it.
+//! The state that this gateway keeps for one engine: the engine's entry of the endpoint list, its concurrency
+//! limits, and the data that other decisions need.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::data_sets::{CachedDataSets, DataSetLocks};
@@ -8,31 +9,36 @@
 use crate::time::{Duration, Timestamp};
 use crate::types::{Engine, EngineState, Outcome};
 
-/// An engine that comes back sooner is the same one: what was sent to it in slow start still counts.
-const FORGET_AFTER: Duration = Duration::from_millis(10_000);
+/// How long the state of an engine is kept after the endpoint list no longer names it. An engine that returns
+/// earlier keeps its state, so that the work sent to it in slow start still counts.
+const REMOVAL_DELAY: Duration = Duration::from_millis(10_000);
 
-/// State of one engine, as this gateway sees it.
+/// The state of one engine, from the point of view of this gateway.
 #[derive(Default)]
 pub(crate) struct EngineRecord {
+    /// The engine's newest entry of the endpoint list.
     pub entry: Engine,
+    /// Time of the last change of `entry`.
     entry_time: Timestamp,
     pub limit: ConcurrencyLimit,
     pub sent_in_slow_start: SentWorkWindow,
     pub outlier_detector: OutlierDetector,
-    /// When it last answered or sent a progress update.
+    /// Time of the engine's last answer or progress update.
     pub heard_time: Timestamp,
-    /// Attempts in flight whose progress updates are overdue this tick.
+    /// Number of attempts in flight whose progress updates are overdue in this tick.
     pub overdue_updates: usize,
     pub relative_load: RelativeLoad,
     pub data_set_locks: DataSetLocks,
     pub cached_data_sets: CachedDataSets,
-    /// When an attempt last ended there with an answer of the engine's, which leaves its connection idle.
+    /// Time at which an attempt last ended with an answer of the engine, after which the connection was idle.
     connection_idle_since: Option<Timestamp>,
-    /// This gateway's part of what it bears in slow start, where an allocator hands parts out.
+    /// This gateway's fraction of the engine's slow-start budget. `None` if no quota allocator assigns
+    /// fractions.
     pub slow_start_fraction: Option<f64>,
-    /// Ready, but outside the subset that this gateway uses.
+    /// Whether the engine is outside of the subset that this gateway uses.
     pub outside_subset: bool,
-    /// Ejected, and another gateway's turn to probe it.
+    /// Whether another gateway holds the probe slot of the engine, so that this gateway may not probe it
+    /// while it is ejected.
     pub awaits_probe_slot: bool,
 }
 
@@ -41,8 +47,8 @@
         EngineRecord { entry, entry_time: now, limit, heard_time: now, ..EngineRecord::default() }
     }
 
-    /// Takes over a newer entry of the list. Whatever was held against the process that ran there before says nothing of a
-    /// new one.
+    /// Replaces the engine's entry of the endpoint list. A different start time means a new process, and the
+    /// observations of the previous process are dropped.
     pub(crate) fn update_entry(&mut self, entry: Engine, now: Timestamp) {
         if self.entry.start_time != entry.start_time {
             self.outlier_detector = OutlierDetector::default();
@@ -59,31 +65,37 @@
         self.entry.state == EngineState::Ready
     }
 
+    /// Whether the engine is ready and within the subset that this gateway uses.
     pub(crate) fn is_used(&self) -> bool {
         self.is_ready() && !self.outside_subset
     }
 
-    /// Gone, not soon back, and with nothing in flight.
+    /// Whether the engine has been absent from the endpoint list for [`REMOVAL_DELAY`] and has no attempts in
+    /// flight.
     pub(crate) fn is_removable(&self, now: Timestamp) -> bool {
         self.entry.state == EngineState::Gone
-            && now.since(self.entry_time) >= FORGET_AFTER
+            && now.since(self.entry_time) >= REMOVAL_DELAY
             && self.limit.attempts_in_flight() == 0
     }
 
-    /// Threads that other gateways use there beyond what engines mostly have, while that is fresh.
+    /// Estimated number of threads that other gateways use at this engine beyond the mean of all engines. The
+    /// estimate is negative for an engine with less load than the mean, and fades with the age of the last
+    /// load report.
     pub(crate) fn peer_excess_threads(&self, now: Timestamp) -> f64 {
         let weight = self.relative_load.freshness(now) * self.limit.peer_load_fraction();
         self.relative_load.excess() * self.limit.capacity() * weight
     }
 
-    /// Whether a connection is likely to be idle there, and open.
+    /// Whether an open, idle connection to the engine is likely to exist. `lifetime` is the time after which
+    /// the connection pool closes an idle connection.
     pub(crate) fn has_idle_connection(&self, lifetime: Duration, now: Timestamp) -> bool {
-        let unused = self.limit.attempts_in_flight() == 0;
-        unused && self.connection_idle_since.is_some_and(|idle_since| now.since(idle_since) < lifetime)
+        let no_attempts = self.limit.attempts_in_flight() == 0;
+        no_attempts && self.connection_idle_since.is_some_and(|idle_since| now.since(idle_since) < lifetime)
     }
 
-    /// Whether an outcome counts for or against the engine. A time-out at an engine that answered others meanwhile is
-    /// load, which the limits answer.
+    /// Classifies an outcome for outlier detection: `Some(true)` is a failure of the engine, `Some(false)` a
+    /// success, and `None` says nothing about the engine's health. A timeout at an engine that answered other
+    /// attempts in the meantime is a sign of load, which the concurrency limits handle.
     pub(crate) fn classify_outcome(&self, outcome: Outcome, sent_time: Timestamp) -> Option<bool> {
         match outcome {
             Outcome::Returned => Some(false),
@@ -93,7 +105,8 @@
         }
     }
 
-    /// Notes when the engine was heard and whether a connection to it is idle.
+    /// Updates the time of the last contact with the engine and the state of the connection to it after an
+    /// attempt has ended.
     pub(crate) fn record_contact(&mut self, outcome: Outcome, now: Timestamp) {
         if matches!(outcome, Outcome::Returned | Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored) {
             self.heard_time = now;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,76 +1,95 @@
-//! Slow start: how much work an engine that started lately is sent.
+//! Slow start: limits the work that is sent to an engine that started recently.
 //!
-//! Guards against an engine that is overfed before its caches are warm, by all gateways together: each stays within its
-//! part of the budget, and what is larger than that part goes out by slots that only some gateways hold at a time.
+//! Prevents all gateways together from overloading an engine before its caches are warm. The engine has a
+//! budget of work per window, and each gateway stays within its fraction of that budget. A request that is
+//! larger than the gateway's fraction is sent in a slow-start slot, which only some of the gateways hold at a
+//! time.
 
 use crate::time::{Duration, Timestamp};
 use crate::types::{Engine, SlowStartConfig, Topology};
 use std::collections::VecDeque;
 
-/// Part of its budget that a gateway spends: estimates of work scatter.
-const BUDGET_SPENT: f64 = 0.85;
-/// Part of an engine's cores that counts as its capacity.
+/// Fraction of its budget that a gateway spends. The rest covers errors of the work estimates.
+const SPENDABLE_FRACTION: f64 = 0.85;
+/// Fraction of an engine's cores that counts as its capacity.
 const CORE_UTILIZATION: f64 = 0.85;
-/// Length of a slot, in parts of the policy's window.
+/// Length of a slow-start slot as a fraction of the window.
 const SLOT_FRACTION: f64 = 0.25;
-/// Part of all gateways by which slots advance; with the golden ratio the holders of the last few lie evenly apart.
+/// The first holder of a slot moves by this fraction of all gateways from one slot to the next. With the
+/// golden ratio the holders of the last few slots are spread evenly over the gateways.
 const SLOT_STEP: f64 = 0.618_033_988_75;
-/// Parts of the stated slack that slots may use beyond the budget: where all requests go by slots, and where some fit the
-/// parts of the gateways.
-const SLACK_WITHOUT_FRACTIONS: f64 = 0.75;
-const SLACK_WITH_FRACTIONS: f64 = 0.5;
-/// Requests of a budget below which the engine allows the larger slack.
-const FEW_REQUESTS: f64 = 30.0;
+/// Fraction of the engine's slack that slots may use beyond the budget, if all requests are sent in slots.
+const SLACK_FRACTION_SLOTS_ONLY: f64 = 0.75;
+/// Fraction of the engine's slack that slots may use beyond the budget, if some requests fit into the budget
+/// of one gateway.
+const SLACK_FRACTION_MIXED: f64 = 0.5;
+/// Below this budget, in requests of mean work, the engine tolerates the larger slack.
+const SMALL_BUDGET_REQUESTS: f64 = 30.0;
 
-/// How many requests of a class arrived lately, and the usual work of one in seconds.
+/// The recent demand of one request class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassDemand {
+    /// Number of recent requests, decayed.
     pub requests: f64,
-    pub work: f64,
+    /// Mean work of a request, in seconds of one thread.
+    pub work_secs: f64,
 }
 
 #[derive(Debug)]
 struct SentWork {
     time: Timestamp,
-    work: f64,
+    /// Work in seconds of one thread.
+    work_secs: f64,
 }
 
-/// What this gateway sent to one engine while that was in slow start.
+/// The work that this gateway sent to one engine during slow start.
 #[derive(Default)]
 pub(crate) struct SentWorkWindow {
+    /// Sent requests, oldest first. Requests older than the window are removed at the next admission.
     sent: VecDeque<SentWork>,
 }
 
 impl SentWorkWindow {
-    pub(crate) fn record(&mut self, work: f64, now: Timestamp) {
-        self.sent.push_back(SentWork { time: now, work });
+    pub(crate) fn record(&mut self, work_secs: f64, now: Timestamp) {
+        self.sent.push_back(SentWork { time: now, work_secs });
     }
 
-    fn admits(&mut self, window: Duration, budget: f64, work: f64, holds_slot: bool, now: Timestamp) -> bool {
+    /// Whether `work_secs` more fits into `budget`. A gateway that holds a slot may also send one request of
+    /// any size if it has sent nothing else within the window.
+    fn admits(
+        &mut self,
+        window: Duration,
+        budget: f64,
+        work_secs: f64,
+        holds_slot: bool,
+        now: Timestamp,
+    ) -> bool {
         self.sent.retain(|sent| now.since(sent.time) <= window);
-        let spent: f64 = self.sent.iter().map(|sent| sent.work).sum();
-        spent + work <= budget * BUDGET_SPENT || (spent <= 0.0 && holds_slot)
+        let spent: f64 = self.sent.iter().map(|sent| sent.work_secs).sum();
+        spent + work_secs <= budget * SPENDABLE_FRACTION || (spent <= 0.0 && holds_slot)
     }
 }
 
-/// What one gateway knows when it decides on a request to an engine in slow start.
+/// The inputs for deciding whether a request may be sent to an engine in slow start.
 pub(crate) struct SlowStartAdmission<'a> {
     pub config: &'a SlowStartConfig,
     pub topology: &'a Topology,
+    /// Recent demand by request class.
     pub class_demand: &'a [ClassDemand],
-    /// The request's class within the mix.
+    /// Index of the request's class.
     pub class: usize,
-    /// When this gateway first heard of an engine.
+    /// Time at which this gateway first learned of any engine.
     pub joined_time: Timestamp,
     pub now: Timestamp,
 }
 
 impl SlowStartAdmission<'_> {
-    /// Whether the request may go there. `assigned_fraction` is this gateway's part, where an allocator hands parts out.
+    /// Whether the request may be sent to `engine`. `assigned_fraction` is this gateway's fraction of the
+    /// engine's budget, or `None` if no quota allocator assigns fractions and the budget is divided evenly.
     pub(crate) fn admits(
         &self,
         engine: &Engine,
-        ledger: &mut SentWorkWindow,
+        sent_work: &mut SentWorkWindow,
         assigned_fraction: Option<f64>,
     ) -> bool {
         let warm_up_factor = self.config.warm_up_factor(engine.start_time, self.now);
@@ -82,20 +101,31 @@
             return true;
         }
         let fraction = assigned_fraction.unwrap_or(1.0 / self.topology.gateway_count as f64);
-        // A process before this one may have sent there what it does not know of.
-        let unknown = engine.start_time < Some(self.joined_time) && self.now.since(self.joined_time) < window;
+        // If the engine started before this gateway process joined, a previous process of this gateway may
+        // have sent work to the engine within the window.
+        let may_have_unknown_work =
+            engine.start_time < Some(self.joined_time) && self.now.since(self.joined_time) < window;
         let own_budget = budget * fraction;
         let holds_slot = self.holds_slot(engine, budget, own_budget, fraction);
-        !unknown
-            && ledger.admits(window, own_budget, self.class_demand[self.class].work, holds_slot, self.now)
+        !may_have_unknown_work
+            && sent_work.admits(
+                window,
+                own_budget,
+                self.class_demand[self.class].work_secs,
+                holds_slot,
+                self.now,
+            )
     }
 
+    /// Whether this gateway holds the engine's current slow-start slot for requests of the class. Each
+    /// gateway decides alone, from the engine's start time, the gateway's own index and the demand that the
+    /// gateway has seen.
     fn holds_slot(&self, engine: &Engine, budget: f64, own_budget: f64, fraction: f64) -> bool {
         let gateways = self.topology.gateway_count as f64;
         let window = self.config.window;
         let holders_per_window =
             self.class_demand[self.class].requests * slot_holders(budget, own_budget, self.class_demand);
-        let age = engine.start_time.map_or(Duration::ZERO, |started| self.now.since(started));
+        let age = engine.start_time.map_or(Duration::ZERO, |start_time| self.now.since(start_time));
         let slot = (age / (window * SLOT_FRACTION)).floor();
         let holders_per_slot = holders_per_window * SLOT_FRACTION * fraction * gateways;
         let holders = ((slot + 1.0) * holders_per_slot).floor() - (slot * holders_per_slot).floor();
@@ -104,25 +134,30 @@
     }
 }
 
-/// Gateways that hold a slot in the policy's window, for each request of the mix: what goes by slots stays
-/// within what the parts of the gateways leave of the budget, and a part of the slack.
-fn slot_holders(budget: f64, own_budget: f64, mix: &[ClassDemand]) -> f64 {
-    let (by_slot, by_fraction): (Vec<ClassDemand>, Vec<ClassDemand>) =
-        mix.iter().partition(|class| class.work > own_budget * BUDGET_SPENT);
-    let all_requests = mix.iter().map(|class| class.requests).sum::<f64>();
-    let mean_work = total_work(mix) / all_requests;
-    let requests = budget / mean_work;
-    let slack =
-        if requests < FEW_REQUESTS { 3.0 * requests.sqrt() + 3.0 } else { 2.0 * requests.sqrt() + 2.0 };
-    let (left_of_budget, slack_fraction) = if by_fraction.is_empty() {
-        (budget, SLACK_WITHOUT_FRACTIONS)
+/// Number of gateways that hold a slot within one window, per recent request. The work sent in slots stays
+/// within the part of the budget that the gateways' own budgets leave over, plus a fraction of the slack.
+fn slot_holders(budget: f64, own_budget: f64, class_demand: &[ClassDemand]) -> f64 {
+    let (by_slot, within_own_budget): (Vec<ClassDemand>, Vec<ClassDemand>) =
+        class_demand.iter().partition(|class| class.work_secs > own_budget * SPENDABLE_FRACTION);
+    let total_requests = class_demand.iter().map(|class| class.requests).sum::<f64>();
+    let mean_work_secs = total_work_secs(class_demand) / total_requests;
+    let budget_requests = budget / mean_work_secs;
+    // An engine tolerates this many requests of mean work beyond its budget.
+    let slack_requests = if budget_requests < SMALL_BUDGET_REQUESTS {
+        3.0 * budget_requests.sqrt() + 3.0
+    } else {
+        2.0 * budget_requests.sqrt() + 2.0
+    };
+    let (slot_budget, slack_fraction) = if within_own_budget.is_empty() {
+        (budget, SLACK_FRACTION_SLOTS_ONLY)
     } else {
-        (budget * (1.0 - BUDGET_SPENT), SLACK_WITH_FRACTIONS)
+        (budget * (1.0 - SPENDABLE_FRACTION), SLACK_FRACTION_MIXED)
     };
-    let left = left_of_budget + slack * mean_work * slack_fraction;
-    left / total_work(&by_slot).max(1e-9) / (1.0 + SLOT_FRACTION)
+    let available_secs = slot_budget + slack_requests * mean_work_secs * slack_fraction;
+    available_secs / total_work_secs(&by_slot).max(1e-9) / (1.0 + SLOT_FRACTION)
 }
 
-fn total_work(mix: &[ClassDemand]) -> f64 {
-    mix.iter().map(|class| class.requests * class.work).sum()
+/// Work of all recent requests, in seconds of one thread.
+fn total_work_secs(class_demand: &[ClassDemand]) -> f64 {
+    class_demand.iter().map(|class| class.requests * class.work_secs).sum()
 }
