--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -55,8 +55,8 @@
             threads: domain.class_threads.get(i).copied().unwrap_or(1.0),
             locks_data_set: domain.locks_data_set.get(i).copied().unwrap_or(false),
             waits_for_data_lock: domain.waits_for_data_lock.get(i).copied().unwrap_or(false),
-            zones: class.allowed_zones.clone(),
-            kinds: class.allowed_kinds.clone(),
+            allowed_zones: class.allowed_zones.clone(),
+            allowed_kinds: class.allowed_kinds.clone(),
         })
     };
     raw.classes.iter().enumerate().map(class).collect()
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -31,7 +31,7 @@
     let (scope, window) = (DeduplicationScope::Zone, ms(4_000));
     assert_eq!(class.idempotency, Idempotency::IdempotentWithKey { scope, window });
     assert!(class.in_order && class.locks_data_set && !class.waits_for_data_lock);
-    assert_eq!((&class.zones, &class.kinds), (&Some(vec![1]), &Some(vec![0, 1])));
+    assert_eq!((&class.allowed_zones, &class.allowed_kinds), (&Some(vec![1]), &Some(vec![0, 1])));
 }
 
 #[test]
@@ -47,7 +47,9 @@
     load_class(load);
     assert_eq!((look.idempotency, once.idempotency), (Idempotency::Idempotent, Idempotency::NonIdempotent));
     assert_eq!((look.threads, once.threads), (1.5, 1.0));
-    assert!(look.waits_for_data_lock && !look.locks_data_set && !look.in_order && look.zones.is_none());
+    assert!(
+        look.waits_for_data_lock && !look.locks_data_set && !look.in_order && look.allowed_zones.is_none()
+    );
     let quotas: Vec<f64> = policy.tenants.iter().map(|tenant| tenant.quota_rate).collect();
     assert_eq!(quotas, [12.5, 0.0]);
 
--- a/crates/fault-tests/examples/subset_algorithms.rs
+++ b/crates/fault-tests/examples/subset_algorithms.rs
@@ -161,8 +161,8 @@
         threads: 1.0,
         locks_data_set: false,
         waits_for_data_lock: false,
-        zones: None,
-        kinds: None,
+        allowed_zones: None,
+        allowed_kinds: None,
     };
     let settings = PlanSettings { min_engines: size, load_slack: 0.25 };
     let gateways = gateways.iter().copied().collect();
--- a/crates/fault-tests/src/simulation/health_gossip.rs
+++ b/crates/fault-tests/src/simulation/health_gossip.rs
@@ -9,7 +9,7 @@
 use larchfall_health_gossip::health_gossip::{HealthGossip, PeerOutcome};
 use larchfall_health_gossip::observation_store::{Reporter, StoreLimits};
 use larchfall_health_gossip::observations::{Observation, Observations, Report};
-use larchfall_policy::event::Evidence;
+use larchfall_policy::event::HealthEvidence;
 use larchfall_policy::policy::{Policy, TICK};
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{
@@ -154,8 +154,8 @@
         threads: 1.0,
         locks_data_set: false,
         waits_for_data_lock: false,
-        zones: None,
-        kinds: None,
+        allowed_zones: None,
+        allowed_kinds: None,
     };
     // Cores for all, so that nothing here is about load.
     let kind = EngineKind { cores: gateways.max(8) as f64, memory_mb: 0.0 };
@@ -273,8 +273,8 @@
         let evidence = AttemptEvidence { last: LastObservation::Ended, same_process: true };
         let result = AttemptResult {
             request_finished: succeeded,
-            took: SERVICE_TIME,
-            ..AttemptResult::bare(outcome, evidence)
+            duration: SERVICE_TIME,
+            ..AttemptResult::from_outcome(outcome, evidence)
         };
         let after = ending.policy.on_attempt_finished(self.now, request, attempt, &result);
         if after == AfterAttempt::RouteAgain {
@@ -303,7 +303,7 @@
         let own: Vec<_> = taking.observations.all().collect();
         let outcomes = taking.gossip.take_outcomes(&own, &self.living, |_| true, self.now);
         for PeerOutcome { process, bad } in outcomes.into_iter().filter(|_| !lies) {
-            taking.policy.record_engine_outcome(self.now, process.id as usize, bad, Evidence::Gossip);
+            taking.policy.record_engine_outcome(self.now, process.id as usize, bad, HealthEvidence::Gossip);
         }
         for engine in 0..ENGINES {
             if taking.has_ejected(engine) {
@@ -344,7 +344,7 @@
     fn believe_verdict(&mut self, gateway: usize) {
         let policy = &mut self.gateways[gateway].policy;
         for _ in 0..OUTCOMES_PER_VERDICT {
-            policy.record_engine_outcome(self.now, BAD_ENGINE, true, Evidence::Gossip);
+            policy.record_engine_outcome(self.now, BAD_ENGINE, true, HealthEvidence::Gossip);
         }
     }
 }
--- a/crates/gateway/src/cluster/leases/load_reports.rs
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -89,8 +89,10 @@
         };
         for reading in accepted {
             increment(&self.counters.load_reports);
-            let report =
-                LoadReport { in_flight: reading.in_flight.map(f64::from), busy: reading.busy.map(f64::from) };
+            let report = LoadReport {
+                in_flight: reading.in_flight.map(f64::from),
+                busy_fraction: reading.busy.map(f64::from),
+            };
             state.policy.record_shared_load_report(reading.engine, report);
         }
     }
@@ -102,6 +104,6 @@
         engine: u64::from(engine),
         age_us: 0,
         in_flight: narrow(report.in_flight),
-        busy: narrow(report.busy),
+        busy: narrow(report.busy_fraction),
     }
 }
--- a/crates/gateway/src/codec/engine_http.rs
+++ b/crates/gateway/src/codec/engine_http.rs
@@ -199,7 +199,7 @@
 
 fn progress(kind: &str, value: f64) -> Option<ProgressUpdate> {
     match kind {
-        "advance" => Some(ProgressUpdate::Done(value)),
+        "advance" => Some(ProgressUpdate::FractionDone(value)),
         "disk" => Some(ProgressUpdate::SpillsMb(value)),
         "stall" if value < 1.5 => Some(ProgressUpdate::WaitsForMemory),
         "stall" => Some(ProgressUpdate::WaitsForDataLock),
@@ -214,7 +214,7 @@
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite());
         match name.trim() {
             "inflight" | "concurrent" => report.in_flight = value,
-            "util" | "load_share" => report.busy = value,
+            "util" | "load_share" => report.busy_fraction = value,
             _ => {}
         }
     }
--- a/crates/gateway/src/engine/attempt.rs
+++ b/crates/gateway/src/engine/attempt.rs
@@ -193,7 +193,7 @@
             class: &self.state.settings.names.classes[self.context.class],
             remaining: self.deadline().since(self.state.clock.now()),
             idempotency_key: self.context.idempotency_key.as_deref(),
-            memory_mb: self.parameters.memory_mb,
+            memory_mb: self.parameters.memory_grant_mb,
             priority: self.parameters.priority,
             statement: &self.context.statement,
         };
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -84,11 +84,11 @@
     let is_over = is_returned || end.is_truncated || state.policy.disconnection(request).is_some();
     let result = AttemptResult {
         outcome: end.outcome,
-        took,
+        duration: took,
         request_finished: is_over,
         evidence: end.evidence,
-        work: None,
-        report: end.report,
+        reported_work: None,
+        load_report: end.report,
     };
     state.policy.record_outcome(request, number, &result)
 }
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -75,7 +75,7 @@
                 decisions.engines.remove(engine);
             }
         }
-        decisions.policy.health_checks()
+        decisions.policy.draw_health_checks()
     }
 
     /// What the policy has to log since the last call.
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -5,7 +5,7 @@
 use larchfall_health_gossip::EngineProcess;
 use larchfall_health_gossip::counts::ProcessCounts;
 use larchfall_health_gossip::observations::{Observation, Observations, Report};
-use larchfall_policy::event::Evidence;
+use larchfall_policy::event::HealthEvidence;
 use larchfall_policy::types::Outcome;
 
 impl PolicyHandle {
@@ -45,7 +45,12 @@
     pub fn record_peer_outcome(&self, process: EngineProcess, is_failure: bool) {
         let mut decisions = self.lock();
         if let Some(engine) = decisions.engines.index_of_process(process) {
-            decisions.policy.record_engine_outcome(self.clock.now(), engine, is_failure, Evidence::Gossip);
+            decisions.policy.record_engine_outcome(
+                self.clock.now(),
+                engine,
+                is_failure,
+                HealthEvidence::Gossip,
+            );
         }
     }
 
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -30,7 +30,7 @@
     pub fn wait_for_change(&self, request: usize) {
         let blocker = Blocker::current();
         let mut decisions = self.lock();
-        let deadline = decisions.policy.next_check(self.clock.now(), request);
+        let deadline = decisions.policy.next_route_time(self.clock.now(), request);
         let in_flight = decisions.in_flight.get_mut(request);
         let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnection.is_none()) else { return };
         in_flight.waiting = Some(blocker.clone());
@@ -52,7 +52,7 @@
     ) -> bool {
         let decisions = self.lock();
         decisions.engines.accepts(instance, is_recently_routed)
-            && decisions.policy.may_begin(self.clock.now(), request, number)
+            && decisions.policy.may_start_attempt(self.clock.now(), request, number)
     }
 
     /// An engine told how far an attempt has come.
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -28,7 +28,7 @@
     if class.idempotency != Idempotency::Idempotent || !capabilities.can_cancel {
         return None;
     }
-    let objective = class.objective_for(record.work);
+    let objective = class.latency_objective_for(record.work);
     // Once: what is as slow elsewhere was estimated wrong, and cancelling it again only wastes more.
     let judges_pace = !record.went_off_estimate;
     for attempt in record.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -4,7 +4,7 @@
 
 /// What an ejection or restoration of an engine rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
+pub enum HealthEvidence {
     /// Outcomes of this gateway's own attempts.
     Outcomes,
     /// Outcomes that other gateways reported.
@@ -13,12 +13,12 @@
     Silence,
 }
 
-impl fmt::Display for Evidence {
+impl fmt::Display for HealthEvidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Evidence::Outcomes => "outcomes",
-            Evidence::Gossip => "gossip",
-            Evidence::Silence => "silence",
+            HealthEvidence::Outcomes => "outcomes",
+            HealthEvidence::Gossip => "gossip",
+            HealthEvidence::Silence => "silence",
         })
     }
 }
@@ -31,14 +31,14 @@
         /// Index of the engine.
         engine: usize,
         /// What the last outcome came from.
-        evidence: Evidence,
+        evidence: HealthEvidence,
     },
     /// An ejected engine is used again.
     EngineRestored {
         /// Index of the engine.
         engine: usize,
         /// What the last outcome came from.
-        evidence: Evidence,
+        evidence: HealthEvidence,
     },
     /// Discovery was not heard for too long: no engine is sent anything.
     EndpointListExpired,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -107,12 +107,12 @@
     pub fn admit(&mut self, now: Timestamp, index: usize, mut request: Request) {
         self.health_checks.record_request();
         let class = request.class;
-        self.classes.record_request(class, request.work);
+        self.classes.record_request(class, request.work_hint);
         request.key = request.key.filter(|_| self.classes.settings(class).in_order);
         if let Some(key) = request.key {
             self.key_order.admit(key, index);
         }
-        let work = self.classes.work(class).estimate(request.work);
+        let work = self.classes.work(class).estimate(request.work_hint);
         let traffic_fraction = self.traffic_fraction();
         let quota = request.tenant.and_then(|tenant| self.tenants.get_mut(tenant));
         let within_quota = quota.is_none_or(|quota| quota.try_acquire(traffic_fraction, now));
@@ -149,7 +149,7 @@
 
     /// Whether an attempt that was routed a while ago may begin now: its client still waits, the list of engines holds,
     /// and its idempotency key is still known where it may have run.
-    pub fn may_begin(&self, now: Timestamp, request: usize, attempt: u8) -> bool {
+    pub fn may_start_attempt(&self, now: Timestamp, request: usize, attempt: u8) -> bool {
         let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
             return false;
         };
@@ -181,7 +181,7 @@
     }
 
     /// When to route this request again, if nothing happens before.
-    pub fn next_check(&self, now: Timestamp, request: usize) -> Timestamp {
+    pub fn next_route_time(&self, now: Timestamp, request: usize) -> Timestamp {
         match self.requests.get(&request) {
             Some(record) if record.in_flight.is_empty() => {
                 (now + KEY_CHECK_INTERVAL).min(self.last_answer_time(record))
@@ -296,14 +296,14 @@
         if self.slow_start.capacity_factor(target.listed.started, now) < 1.0 {
             target.slow_start.record(self.classes.work(class).mean(), now);
         }
-        let memory_estimate = record.request.memory_mb.filter(|_| self.capabilities.sets_memory_grant);
-        let memory_mb = memory_estimate.map(|estimate| self.classes.memory(class).grant_mb(estimate));
+        let memory_estimate = record.request.memory_hint_mb.filter(|_| self.capabilities.sets_memory_grant);
+        let memory_grant_mb = memory_estimate.map(|estimate| self.classes.memory(class).grant_mb(estimate));
         record.in_flight.push(AttemptInFlight {
             number,
             engine,
             sent_time: now,
             heard_time: now,
-            memory_mb,
+            memory_grant_mb,
             waited_for_lock: settings.waits_for_data_lock && target.locks.is_held(data_set, now),
             ..AttemptInFlight::default()
         });
@@ -316,7 +316,7 @@
         RoutingDecision::Send(AttemptParameters {
             engine,
             timeout: deadline::attempt_timeout(record.request.deadline, now, self.capabilities.clock_step),
-            memory_mb,
+            memory_grant_mb,
             priority: self.classes.wire_priority(class),
         })
     }
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -4,7 +4,7 @@
 use crate::attempt_ledger::proves_end;
 use crate::class_state::ClassTable;
 use crate::engine_record::EngineRecord;
-use crate::event::Evidence;
+use crate::event::HealthEvidence;
 use crate::load_report::MeanLoad;
 use crate::request_record::{AttemptInFlight, RequestRecord};
 use crate::time::{Duration, Timestamp};
@@ -45,9 +45,9 @@
         engine.record_contact(result.outcome, now);
         let finished = record.finished;
         if let Some(bad) = bad {
-            self.record_engine_outcome(now, attempt.engine, bad, Evidence::Outcomes);
+            self.record_engine_outcome(now, attempt.engine, bad, HealthEvidence::Outcomes);
         }
-        self.on_load_report(now, attempt.engine, result.report);
+        self.on_load_report(now, attempt.engine, result.load_report);
         self.remove_if_over(request);
         if finished { AfterAttempt::Finished } else { AfterAttempt::RouteAgain }
     }
@@ -56,7 +56,7 @@
     pub fn abandon(&mut self, now: Timestamp, request: usize) {
         self.finish(request);
         let evidence = AttemptEvidence { last: LastObservation::Lost, same_process: false };
-        let lost = AttemptResult::bare(Outcome::Cancelled, evidence);
+        let lost = AttemptResult::from_outcome(Outcome::Cancelled, evidence);
         while let Some(number) = self.first_in_flight(request) {
             self.on_attempt_finished(now, request, number, &lost);
         }
@@ -100,20 +100,20 @@
 ) {
     let class = record.request.class;
     let returned = result.outcome == Outcome::Returned;
-    if attempt.memory_mb.is_some() && (attempt.spilled || returned) {
+    if attempt.memory_grant_mb.is_some() && (attempt.spilled || returned) {
         classes.memory_mut(class).record(attempt.spilled);
     }
     match result.outcome {
         Outcome::Returned => {
-            let work = result.work.map(Duration::secs).or(record.work);
-            let late = result.took > classes.settings(class).objective_for(work);
+            let work = result.reported_work.map(Duration::secs).or(record.work);
+            let late = result.duration > classes.settings(class).latency_objective_for(work);
             let excused = attempt.waited_for_lock || attempt.connection_lost;
             engine.limit.signal.record_answer(late && !excused);
             let observed = ObservedWork {
-                hint: record.request.work,
+                hint: record.request.work_hint,
                 estimate: record.work,
-                reported: result.work,
-                thread_seconds: result.took.secs() * classes.threads(class),
+                reported: result.reported_work,
+                thread_seconds: result.duration.secs() * classes.threads(class),
             };
             record_slowdown(engine, attempt, result, &observed, mean_slowdown, now);
             classes.work_mut(class).record_answer(&observed);
@@ -139,7 +139,7 @@
     now: Timestamp,
 ) {
     let Some(work) = observed.reported else { return };
-    if attempt.waited_for_lock || result.report.in_flight.is_some() {
+    if attempt.waited_for_lock || result.load_report.in_flight.is_some() {
         return;
     }
     let slowdown = observed.thread_seconds / work.secs().max(0.001);
--- a/crates/policy/src/policy/engines.rs
+++ b/crates/policy/src/policy/engines.rs
@@ -3,7 +3,7 @@
 use super::Policy;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::engine_record::EngineRecord;
-use crate::event::{Evidence, PolicyEvent};
+use crate::event::{HealthEvidence, PolicyEvent};
 use crate::health_check::CheckCandidate;
 use crate::outlier_detection::HealthChange;
 use crate::time::Timestamp;
@@ -79,7 +79,7 @@
     }
 
     /// Engines to ask for a load report now.
-    pub fn health_checks(&mut self) -> Vec<usize> {
+    pub fn draw_health_checks(&mut self) -> Vec<usize> {
         let Some(cost) = self.capabilities.health_check_cost else { return Vec::new() };
         let used = self.engines.iter().filter(|(_, engine)| engine.is_used());
         let candidate = |(engine, record): (&usize, &EngineRecord)| CheckCandidate {
@@ -99,13 +99,19 @@
         }
         let cores = self.topology.cores(&engine.listed);
         let peer_load = report.in_flight.map(|all| (all - own).max(0.0) / cores);
-        if let Some(load) = peer_load.or(report.busy) {
+        if let Some(load) = peer_load.or(report.busy_fraction) {
             engine.load.record(load, &mut self.mean_reported_load, now);
         }
     }
 
     /// An outcome at an engine, of this gateway's own attempts or one that peers reported.
-    pub fn record_engine_outcome(&mut self, now: Timestamp, engine: usize, bad: bool, evidence: Evidence) {
+    pub fn record_engine_outcome(
+        &mut self,
+        now: Timestamp,
+        engine: usize,
+        bad: bool,
+        evidence: HealthEvidence,
+    ) {
         let Some(record) = self.engines.get_mut(&engine) else { return };
         match record.outliers.record(bad, &mut self.failure_baseline, now) {
             Some(HealthChange::Ejected) => self.events.push(PolicyEvent::EngineEjected { engine, evidence }),
--- a/crates/policy/src/policy/tick.rs
+++ b/crates/policy/src/policy/tick.rs
@@ -5,7 +5,7 @@
 use crate::class_state::ClassTable;
 use crate::engine_record::EngineRecord;
 use crate::engine_selection::capacity_pools;
-use crate::event::{Evidence, PolicyEvent};
+use crate::event::{HealthEvidence, PolicyEvent};
 use crate::time::{Duration, Timestamp};
 use crate::types::EngineState;
 
@@ -46,7 +46,7 @@
         let overdue_after = update_overdue_after(&self.capabilities);
         for record in self.requests.values() {
             let class = record.request.class;
-            let objective = self.classes.settings(class).objective_for(record.work);
+            let objective = self.classes.settings(class).latency_objective_for(record.work);
             let threads = self.classes.threads(class);
             let off_estimate_after = self.classes.work(class).off_estimate_after(record.work, threads);
             for attempt in &record.in_flight {
@@ -102,7 +102,7 @@
                 }
             }
         }
-        let event = |engine| PolicyEvent::EngineEjected { engine, evidence: Evidence::Silence };
+        let event = |engine| PolicyEvent::EngineEjected { engine, evidence: HealthEvidence::Silence };
         self.events.extend(ejected.into_iter().map(event));
     }
 
--- a/crates/policy/src/request_record.rs
+++ b/crates/policy/src/request_record.rs
@@ -15,7 +15,7 @@
     pub cancelled: bool,
     /// Whole time that its pace predicts, once a progress update told how much is done.
     pub predicted_duration: Option<Duration>,
-    pub memory_mb: Option<f64>,
+    pub memory_grant_mb: Option<f64>,
     pub spilled: bool,
     /// Its connection was cut or stalled: its time tells of the network, not of the engine.
     pub connection_lost: bool,
@@ -33,13 +33,15 @@
     pub(crate) fn record_progress(&mut self, update: ProgressUpdate, now: Timestamp) {
         self.heard_time = now;
         match update {
-            ProgressUpdate::Done(fraction) if fraction > 0.0 => {
+            ProgressUpdate::FractionDone(fraction) if fraction > 0.0 => {
                 let elapsed = now.since(self.sent_time);
                 self.predicted_duration = Some(elapsed * fraction.min(1.0).recip());
             }
             ProgressUpdate::SpillsMb(_) => self.spilled = true,
             ProgressUpdate::WaitsForDataLock => self.waited_for_lock = true,
-            ProgressUpdate::Done(_) | ProgressUpdate::WaitsForMemory | ProgressUpdate::ConnectionLost => {}
+            ProgressUpdate::FractionDone(_)
+            | ProgressUpdate::WaitsForMemory
+            | ProgressUpdate::ConnectionLost => {}
         }
     }
 }
--- a/crates/policy/src/types/attempt.rs
+++ b/crates/policy/src/types/attempt.rs
@@ -60,27 +60,27 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Duration,
+    pub duration: Duration,
     /// Set once the request has finished, by this outcome or before it.
     pub request_finished: bool,
     /// What was last observed of it.
     pub evidence: AttemptEvidence,
     /// The work that the request needed, where answers report it.
-    pub work: Option<Duration>,
+    pub reported_work: Option<Duration>,
     /// The engine's load, where answers report it.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
 }
 
 impl AttemptResult {
     /// One that tells nothing but how the attempt ended, and finishes its request.
-    pub fn bare(outcome: Outcome, evidence: AttemptEvidence) -> AttemptResult {
+    pub fn from_outcome(outcome: Outcome, evidence: AttemptEvidence) -> AttemptResult {
         AttemptResult {
             outcome,
-            took: Duration::ZERO,
+            duration: Duration::ZERO,
             request_finished: true,
             evidence,
-            work: None,
-            report: LoadReport::default(),
+            reported_work: None,
+            load_report: LoadReport::default(),
         }
     }
 }
@@ -91,14 +91,14 @@
     /// Requests that it has.
     pub in_flight: Option<f64>,
     /// Fraction of its cores that are busy, in 0..=1.
-    pub busy: Option<f64>,
+    pub busy_fraction: Option<f64>,
 }
 
 /// What an engine says of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressUpdate {
     /// Fraction done, rough, in 0..=1.
-    Done(f64),
+    FractionDone(f64),
     /// It spills so many MB to disk.
     SpillsMb(f64),
     /// It waits for memory.
--- a/crates/policy/src/types/decision.rs
+++ b/crates/policy/src/types/decision.rs
@@ -25,7 +25,7 @@
     /// When it counts as timed out.
     pub timeout: Duration,
     /// Memory to grant in MB; `None` leaves it to the engine.
-    pub memory_mb: Option<f64>,
+    pub memory_grant_mb: Option<f64>,
     /// Priority to send; engines serve the higher one first.
     pub priority: u8,
 }
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -23,22 +23,22 @@
     /// Waits while a request that locks its data set runs at the same engine.
     pub waits_for_data_lock: bool,
     /// The only zones it may be sent to; `None` leaves them open.
-    pub zones: Option<Vec<usize>>,
+    pub allowed_zones: Option<Vec<usize>>,
     /// The only kinds of engines it may be sent to; `None` leaves them open.
-    pub kinds: Option<Vec<usize>>,
+    pub allowed_kinds: Option<Vec<usize>>,
 }
 
 impl RequestClass {
     /// The latency objective of a request with so much work in seconds: what answers after that is late.
-    pub fn objective_for(&self, work: Option<f64>) -> Duration {
+    pub fn latency_objective_for(&self, work: Option<f64>) -> Duration {
         self.latency_objective
             + Duration::from_secs(self.objective_stretch * work.unwrap_or(0.0) / self.threads)
     }
 
     /// Rule 6: whether requests of the class may run at an engine.
     pub fn allows_engine(&self, engine: &Engine) -> bool {
-        self.zones.as_ref().is_none_or(|zones| zones.contains(&engine.zone))
-            && self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
+        self.allowed_zones.as_ref().is_none_or(|zones| zones.contains(&engine.zone))
+            && self.allowed_kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
     }
 }
 
@@ -92,9 +92,9 @@
     /// When its client needs the answer.
     pub deadline: Timestamp,
     /// A rough hint of the work of all its threads, as time on one.
-    pub work: Option<Duration>,
+    pub work_hint: Option<Duration>,
     /// A rough hint of the memory it needs, in MB.
-    pub memory_mb: Option<f64>,
+    pub memory_hint_mb: Option<f64>,
     /// The data set that it reads or writes.
     pub data_set: u32,
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -8,11 +8,11 @@
 pub(crate) const ENDED_BY_ENGINE: AttemptEvidence =
     AttemptEvidence { last: LastObservation::Ended, same_process: true };
 
-pub(crate) const LOOK_UP: usize = 0;
+pub(crate) const LOOKUP: usize = 0;
 pub(crate) const REPORT: usize = 1;
-pub(crate) const LOAD: usize = 2;
+pub(crate) const DATA_LOAD: usize = 2;
 
-pub(crate) fn class(priority_weight: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
+pub(crate) fn request_class(priority_weight: f64, threads: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         priority_weight,
         latency_objective: Duration::from_millis(1000),
@@ -22,8 +22,8 @@
         threads,
         locks_data_set: false,
         waits_for_data_lock: false,
-        zones: None,
-        kinds: None,
+        allowed_zones: None,
+        allowed_kinds: None,
     }
 }
 
@@ -37,9 +37,9 @@
             kinds: vec![EngineKind { cores: 8.0, memory_mb: 16_000.0 }; 2],
         },
         classes: vec![
-            class(1.0, 1.0, Idempotency::Idempotent),
-            class(12.0, 4.0, Idempotency::Idempotent),
-            class(4.0, 2.0, Idempotency::NonIdempotent),
+            request_class(1.0, 1.0, Idempotency::Idempotent),
+            request_class(12.0, 4.0, Idempotency::Idempotent),
+            request_class(4.0, 2.0, Idempotency::NonIdempotent),
         ],
         tenants: Vec::new(),
         capabilities: Capabilities {
@@ -62,32 +62,32 @@
     }
 }
 
-pub(crate) trait Start {
+pub(crate) trait StartGateway {
     /// A gateway that was told of `engines` warm ones, all ready, in zone 0, of kind 0.
-    fn start(self, engines: usize) -> Gateway;
+    fn start(self, engines: usize) -> TestGateway;
 }
 
-impl Start for PolicyConfig {
-    fn start(self, engines: usize) -> Gateway {
+impl StartGateway for PolicyConfig {
+    fn start(self, engines: usize) -> TestGateway {
         let policy = Policy::new(7 + self.topology.gateway_index as u64, self);
-        let mut gateway = Gateway { policy, next: 0 };
+        let mut gateway = TestGateway { policy, next: 0 };
         for e in 0..engines {
-            gateway.policy.update_engine(ms(0), e, engine());
+            gateway.policy.update_engine(at_ms(0), e, ready_engine());
         }
         gateway
     }
 }
 
-pub(crate) struct Gateway {
+pub(crate) struct TestGateway {
     pub policy: Policy,
     next: usize,
 }
 
-pub(crate) fn ms(n: u64) -> Timestamp {
-    Timestamp::from_micros(1_000_000_000) + Duration::from_millis(n)
+pub(crate) fn at_ms(ms: u64) -> Timestamp {
+    Timestamp::from_micros(1_000_000_000) + Duration::from_millis(ms)
 }
 
-pub(crate) fn engine() -> Engine {
+pub(crate) fn ready_engine() -> Engine {
     Engine { zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None }
 }
 
@@ -96,28 +96,28 @@
         class,
         tenant: None,
         key: None,
-        deadline: ms(20_000),
-        work: Some(Duration::from_millis(200)),
-        memory_mb: Some(100.0),
+        deadline: at_ms(20_000),
+        work_hint: Some(Duration::from_millis(200)),
+        memory_hint_mb: Some(100.0),
         data_set: 0,
     }
 }
 
-impl Gateway {
+impl TestGateway {
     /// Takes the request and asks once; its index and the answer.
     pub(crate) fn admit(&mut self, time: u64, request: Request) -> (usize, RoutingDecision) {
         let b = self.next;
         self.next += 1;
-        self.policy.admit(ms(time), b, request);
-        (b, self.policy.route(ms(time), b))
+        self.policy.admit(at_ms(time), b, request);
+        (b, self.policy.route(at_ms(time), b))
     }
 
     /// How many of `n` requests of one class, taken at once, are sent.
-    pub(crate) fn send_all(&mut self, n: usize, class: usize) -> usize {
+    pub(crate) fn count_sent(&mut self, n: usize, class: usize) -> usize {
         (0..n).filter(|_| sent_to(self.admit(2, request(class)).1).is_some()).count()
     }
 
-    pub(crate) fn end(
+    pub(crate) fn finish_attempt(
         &mut self,
         time: u64,
         b: usize,
@@ -125,11 +125,11 @@
         outcome: Outcome,
         took_ms: u64,
     ) -> AfterAttempt {
-        self.finish(time, b, number, outcome, took_ms, LoadReport::default())
+        self.finish_with(time, b, number, outcome, took_ms, LoadReport::default())
     }
 
     /// The first attempt of a request ends with a load report.
-    pub(crate) fn end_with(
+    pub(crate) fn finish_with_load_report(
         &mut self,
         time: u64,
         b: usize,
@@ -137,10 +137,10 @@
         took_ms: u64,
         report: LoadReport,
     ) {
-        self.finish(time, b, 0, outcome, took_ms, report);
+        self.finish_with(time, b, 0, outcome, took_ms, report);
     }
 
-    fn finish(
+    fn finish_with(
         &mut self,
         time: u64,
         b: usize,
@@ -151,13 +151,13 @@
     ) -> AfterAttempt {
         let answer = AttemptResult {
             outcome,
-            took: Duration::from_millis(took_ms),
+            duration: Duration::from_millis(took_ms),
             request_finished: outcome == Outcome::Returned,
             evidence: ENDED_BY_ENGINE,
-            work: None,
-            report,
+            reported_work: None,
+            load_report: report,
         };
-        self.policy.on_attempt_finished(ms(time), b, number, &answer)
+        self.policy.on_attempt_finished(at_ms(time), b, number, &answer)
     }
 }
 
--- a/crates/policy/tests/policy/cancellation.rs
+++ b/crates/policy/tests/policy/cancellation.rs
@@ -10,22 +10,22 @@
     for (class, done, off) in [
         (REPORT, Some(0.01), true),
         (REPORT, Some(0.99), false),
-        (LOAD, Some(0.01), false),
+        (DATA_LOAD, Some(0.01), false),
         (REPORT, None, true),
-        (LOAD, None, false),
+        (DATA_LOAD, None, false),
     ] {
         let mut gateway = typical_config().start(2);
         let (b, decision) =
-            gateway.admit(0, Request { work: Some(Duration::from_millis(2000)), ..request(class) });
+            gateway.admit(0, Request { work_hint: Some(Duration::from_millis(2000)), ..request(class) });
         assert!(sent_to(decision).is_some());
         if let Some(fraction) = done {
-            gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::Done(fraction));
+            gateway.policy.on_progress(at_ms(1000), b, 0, ProgressUpdate::FractionDone(fraction));
         } else {
             for tick in 1..=10 {
-                gateway.policy.tick(ms(tick * 250));
+                gateway.policy.tick(at_ms(tick * 250));
             }
         }
-        let decision = gateway.policy.route(ms(if done.is_some() { 1001 } else { 2500 }), b);
+        let decision = gateway.policy.route(at_ms(if done.is_some() { 1001 } else { 2500 }), b);
         assert_eq!(
             decision == RoutingDecision::CancelAttempt(0),
             off,
@@ -33,10 +33,10 @@
         );
         if off && done.is_some() {
             // What is as slow elsewhere was estimated wrong: once is enough.
-            gateway.end(1002, b, 0, Outcome::Cancelled, 1002);
-            assert!(sent_to(gateway.policy.route(ms(1002), b)).is_some());
-            gateway.policy.on_progress(ms(2002), b, 1, ProgressUpdate::Done(0.01));
-            assert_eq!(gateway.policy.route(ms(2003), b), RoutingDecision::Wait);
+            gateway.finish_attempt(1002, b, 0, Outcome::Cancelled, 1002);
+            assert!(sent_to(gateway.policy.route(at_ms(1002), b)).is_some());
+            gateway.policy.on_progress(at_ms(2002), b, 1, ProgressUpdate::FractionDone(0.01));
+            assert_eq!(gateway.policy.route(at_ms(2003), b), RoutingDecision::Wait);
         }
     }
 }
@@ -50,10 +50,10 @@
         let mut config = typical_config();
         config.capabilities.swaps_when_out_of_memory = swaps_when_out_of_memory;
         let mut gateway = config.start(1);
-        let (b, _) = gateway.admit(0, request(LOOK_UP));
-        gateway.policy.on_progress(ms(1000), b, 0, ProgressUpdate::WaitsForDataLock);
+        let (b, _) = gateway.admit(0, request(LOOKUP));
+        gateway.policy.on_progress(at_ms(1000), b, 0, ProgressUpdate::WaitsForDataLock);
         assert_eq!(
-            gateway.policy.route(ms(time), b) == RoutingDecision::CancelAttempt(0),
+            gateway.policy.route(at_ms(time), b) == RoutingDecision::CancelAttempt(0),
             off,
             "{swaps_when_out_of_memory}, {time} ms"
         );
@@ -67,9 +67,9 @@
         let mut config = typical_config();
         config.capabilities.can_cancel = may;
         let mut gateway = config.start(1);
-        let (b, _) = gateway.admit(0, request(LOAD));
+        let (b, _) = gateway.admit(0, request(DATA_LOAD));
         if ended {
-            gateway.end(10, b, 0, Outcome::Rejected, 10);
+            gateway.finish_attempt(10, b, 0, Outcome::Rejected, 10);
         }
         assert_eq!(gateway.policy.on_client_disconnected(b), off, "{may} {ended}");
     }
--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -8,30 +8,30 @@
 /// something of it is out.
 #[test]
 fn a_gone_engine_is_forgotten_once_nothing_is_in_flight_there() {
-    let gone = Engine { state: EngineState::Gone, ..engine() };
+    let gone = Engine { state: EngineState::Gone, ..ready_engine() };
     // State, whether a request is out, how long after it was told, and whether it is forgotten.
     let cases = [
         (gone, false, 60_000, true),
         (gone, false, 1_000, false),
         (gone, true, 60_000, false),
-        (engine(), false, 60_000, false),
+        (ready_engine(), false, 60_000, false),
     ];
     for (listed, out, after, forgotten) in cases {
         let mut gateway = typical_config().start(1);
-        let (b, _) = gateway.admit(0, request(LOOK_UP));
-        gateway.policy.update_engine(ms(1), 0, listed);
+        let (b, _) = gateway.admit(0, request(LOOKUP));
+        gateway.policy.update_engine(at_ms(1), 0, listed);
         if !out {
-            gateway.end(2, b, 0, Outcome::Returned, 2);
+            gateway.finish_attempt(2, b, 0, Outcome::Returned, 2);
         }
         assert_eq!(
-            gateway.policy.forget_engine(ms(1 + after), 0),
+            gateway.policy.forget_engine(at_ms(1 + after), 0),
             forgotten,
             "{listed:?} out {out} after {after}"
         );
-        gateway.policy.update_engine(ms(70_000), 0, engine());
-        let next = Request { deadline: ms(90_000), ..request(LOOK_UP) };
+        gateway.policy.update_engine(at_ms(70_000), 0, ready_engine());
+        let next = Request { deadline: at_ms(90_000), ..request(LOOKUP) };
         assert_eq!(sent_to(gateway.admit(70_000, next).1), Some(0), "the index serves again");
-        gateway.policy.tick(ms(70_001));
+        gateway.policy.tick(at_ms(70_001));
     }
 }
 
@@ -46,14 +46,14 @@
             let mut config = typical_config();
             (config.topology.gateways, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
-            gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
-            let one = Request { work: Some(Duration::from_millis(work)), ..request(LOOK_UP) };
-            (0..30).for_each(|_| gateway.policy.admit(ms(0), 9, one.clone()));
+            gateway.policy.update_engine(at_ms(0), 0, Engine { started: Some(at_ms(0)), ..ready_engine() });
+            let one = Request { work_hint: Some(Duration::from_millis(work)), ..request(LOOKUP) };
+            (0..30).for_each(|_| gateway.policy.admit(at_ms(0), 9, one.clone()));
             // Turns go on within the rule's window, and all of them count against its budget.
             let sent = (0..8).flat_map(|turn| (0..9).map(move |n| (turn * 250, turn as usize * 9 + n)));
             let sent = sent.filter(|(time, b)| {
-                gateway.policy.admit(ms(*time), *b, one.clone());
-                sent_to(gateway.policy.route(ms(*time), *b)).is_some()
+                gateway.policy.admit(at_ms(*time), *b, one.clone());
+                sent_to(gateway.policy.route(at_ms(*time), *b)).is_some()
             });
             all += sent.count() as f64 * work as f64 / 1000.0;
         }
@@ -83,9 +83,9 @@
         config.topology.gateways = named;
         let mut gateway = config.start(0);
         counted.into_iter().for_each(|n| gateway.policy.set_gateway_count(n));
-        gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
+        gateway.policy.update_engine(at_ms(0), 0, Engine { started: Some(at_ms(0)), ..ready_engine() });
         gateway.policy.set_engine_quota(0, part, None);
-        let sent = (0..4).filter(|n| sent_to(gateway.admit(n * 3_000, request(LOOK_UP)).1).is_some()).count();
+        let sent = (0..4).filter(|n| sent_to(gateway.admit(n * 3_000, request(LOOKUP)).1).is_some()).count();
         assert_eq!(sent == 4, goes, "{named} named, {counted:?} counted, {part:?}: {sent}");
     }
 }
@@ -101,9 +101,9 @@
         let mut gateway = config.start(2);
         let mut probes = 0;
         for time in 0..4_000 {
-            let (b, _) = gateway.admit(time, request(LOOK_UP));
+            let (b, _) = gateway.admit(time, request(LOOKUP));
             gateway.policy.on_client_disconnected(b);
-            probes += gateway.policy.health_checks().len();
+            probes += gateway.policy.draw_health_checks().len();
         }
         assert!((least..=most).contains(&probes), "price {price:?}: {probes}");
     }
--- a/crates/policy/tests/policy/outlier_detection.rs
+++ b/crates/policy/tests/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Ejection, probes and restoration of engines.
 
 use crate::common::*;
-use larchfall_policy::event::{Evidence, PolicyEvent};
+use larchfall_policy::event::{HealthEvidence, PolicyEvent};
 use larchfall_policy::types::{Engine, EngineHealth, Outcome, PolicyConfig, Request, SlowStartPolicy};
 
 #[test]
@@ -25,14 +25,14 @@
         let mut gateway = typical_config().start(1);
         for (i, outcome) in outcomes.iter().enumerate() {
             let time = 100 * i as u64;
-            let (b, decision) = gateway.admit(time, request(LOOK_UP));
+            let (b, decision) = gateway.admit(time, request(LOOKUP));
             assert_eq!(sent_to(decision), Some(0));
-            gateway.end(time + 1, b, 0, *outcome, 1);
+            gateway.finish_attempt(time + 1, b, 0, *outcome, 1);
             gateway.policy.on_client_disconnected(b);
         }
-        gateway.policy.update_engine(ms(700), 1, engine());
+        gateway.policy.update_engine(at_ms(700), 1, ready_engine());
         let sent_to_first =
-            (0..40).filter(|_| sent_to(gateway.admit(700, request(LOOK_UP)).1) == Some(0)).count();
+            (0..40).filter(|_| sent_to(gateway.admit(700, request(LOOKUP)).1) == Some(0)).count();
         // One trial may be among them.
         assert_eq!(sent_to_first > 1, used, "{outcomes:?}: {sent_to_first} of 40");
     }
@@ -47,7 +47,7 @@
         let mut gateway = typical_config().start(4);
         let (mut ended, mut bad) = (0, [0.0; 2]);
         for time in 0..2000 {
-            let (b, decision) = gateway.admit(time, request(LOOK_UP));
+            let (b, decision) = gateway.admit(time, request(LOOKUP));
             let Some(e) = sent_to(decision) else { continue };
             ended += 1;
             bad[0] += bad_everywhere;
@@ -55,7 +55,7 @@
             let over = bad.iter().position(|b| *b >= 1.0);
             let outcome = if over.is_some() { Outcome::Reset } else { Outcome::Returned };
             over.into_iter().for_each(|i| bad[i] -= 1.0);
-            gateway.end(time, b, 0, outcome, 1);
+            gateway.finish_attempt(time, b, 0, outcome, 1);
             gateway.policy.on_client_disconnected(b);
         }
         let lines = gateway.policy.take_events();
@@ -78,10 +78,10 @@
         [(&[][..], true), (&[true][..], true), (&[false][..], false), (&[false, true][..], true)]
     {
         let mut gateway = typical_config().start(3);
-        (0..2).for_each(|_| gateway.policy.record_engine_outcome(ms(0), 2, true, Evidence::Gossip));
+        (0..2).for_each(|_| gateway.policy.record_engine_outcome(at_ms(0), 2, true, HealthEvidence::Gossip));
         assert!(gateway.policy.engine_health(2).is_some_and(|health| health.ejected));
         turns.iter().for_each(|mine| gateway.policy.set_probe_slot(2, *mine));
-        let met = (0..20).filter(|_| sent_to(gateway.admit(10_000, request(LOOK_UP)).1) == Some(2)).count();
+        let met = (0..20).filter(|_| sent_to(gateway.admit(10_000, request(LOOKUP)).1) == Some(2)).count();
         assert_eq!(met > 0, tried, "{turns:?}: {met} of 20");
     }
 }
@@ -94,20 +94,21 @@
         let mut gateway = typical_config().start(3);
         // They are warm, and so is the net.
         (0..30).for_each(|i| {
-            let (b, decision) = gateway.admit(i, request(LOOK_UP));
+            let (b, decision) = gateway.admit(i, request(LOOKUP));
             assert!(sent_to(decision).is_some());
-            gateway.end(i, b, 0, Outcome::Returned, 1);
+            gateway.finish_attempt(i, b, 0, Outcome::Returned, 1);
         });
-        (0..2).for_each(|_| gateway.policy.record_engine_outcome(ms(100), 2, true, Evidence::Gossip));
-        gateway.policy.update_engine(ms(100), 2, Engine { zone: 1, ..engine() });
+        (0..2)
+            .for_each(|_| gateway.policy.record_engine_outcome(at_ms(100), 2, true, HealthEvidence::Gossip));
+        gateway.policy.update_engine(at_ms(100), 2, Engine { zone: 1, ..ready_engine() });
         let back = (1..=1000).find(|tick| {
             let time = 100 + tick * 50;
-            gateway.policy.tick(ms(time));
+            gateway.policy.tick(at_ms(time));
             let sent: Vec<_> = (0..out)
-                .map(|_| gateway.admit(time, Request { deadline: ms(90_000), ..request(LOOK_UP) }))
+                .map(|_| gateway.admit(time, Request { deadline: at_ms(90_000), ..request(LOOKUP) }))
                 .collect();
             sent.into_iter().filter(|(_, decision)| sent_to(*decision).is_some()).for_each(|(b, _)| {
-                gateway.end(time + 10, b, 0, Outcome::Returned, 10);
+                gateway.finish_attempt(time + 10, b, 0, Outcome::Returned, 10);
             });
             gateway.policy.engine_health(2) == Some(EngineHealth::default())
         });
@@ -123,33 +124,33 @@
         let mut gateway = typical_config().start(unhealthy);
         for time in 0..8 {
             for _ in 0..unhealthy {
-                let (b, decision) = gateway.admit(time, request(LOOK_UP));
+                let (b, decision) = gateway.admit(time, request(LOOKUP));
                 if sent_to(decision).is_some() {
-                    gateway.end(time, b, 0, Outcome::Reset, 1);
+                    gateway.finish_attempt(time, b, 0, Outcome::Reset, 1);
                     gateway.policy.on_client_disconnected(b);
                 }
             }
         }
-        (unhealthy..engines).for_each(|e| gateway.policy.update_engine(ms(50), e, engine()));
-        let sent = (0..20).filter_map(|_| sent_to(gateway.admit(50, request(LOOK_UP)).1));
+        (unhealthy..engines).for_each(|e| gateway.policy.update_engine(at_ms(50), e, ready_engine()));
+        let sent = (0..20).filter_map(|_| sent_to(gateway.admit(50, request(LOOKUP)).1));
         assert_eq!(sent.filter(|e| *e < unhealthy).count() > 0, used, "{unhealthy} of {engines}");
     }
 }
 
 #[test]
 fn a_new_start_restores_an_ejected_engine() {
-    for (started, used) in [(None, false), (Some(ms(50)), true)] {
+    for (started, used) in [(None, false), (Some(at_ms(50)), true)] {
         let mut gateway =
             PolicyConfig { slow_start: SlowStartPolicy::default(), ..typical_config() }.start(1);
         for time in 0..4 {
-            let (b, _) = gateway.admit(time, request(LOOK_UP));
-            gateway.end(time, b, 0, Outcome::Reset, 1);
+            let (b, _) = gateway.admit(time, request(LOOKUP));
+            gateway.finish_attempt(time, b, 0, Outcome::Reset, 1);
             gateway.policy.on_client_disconnected(b);
         }
-        gateway.policy.update_engine(ms(60), 1, engine());
-        gateway.policy.update_engine(ms(60), 0, Engine { started, ..engine() });
+        gateway.policy.update_engine(at_ms(60), 1, ready_engine());
+        gateway.policy.update_engine(at_ms(60), 0, Engine { started, ..ready_engine() });
         let sent_to_first =
-            (0..10).filter(|_| sent_to(gateway.admit(60, request(LOOK_UP)).1) == Some(0)).count();
+            (0..10).filter(|_| sent_to(gateway.admit(60, request(LOOKUP)).1) == Some(0)).count();
         assert_eq!(sent_to_first > 0, used, "{started:?}: {sent_to_first} of 10");
     }
 }
--- a/crates/policy/tests/policy/requests.rs
+++ b/crates/policy/tests/policy/requests.rs
@@ -16,15 +16,15 @@
         },
         ..typical_config()
     };
-    config.classes[LOAD].in_order = true;
+    config.classes[DATA_LOAD].in_order = true;
     let mut gateway = config.start(2);
-    let keyed = Request { key: Some(9), ..request(LOAD) };
+    let keyed = Request { key: Some(9), ..request(DATA_LOAD) };
     let (first, decision) = gateway.admit(0, keyed.clone());
     assert!(sent_to(decision).is_some());
     let (second, _) = gateway.admit(1, keyed);
-    gateway.policy.abandon(ms(10), first);
+    gateway.policy.abandon(at_ms(10), first);
     for (time, turn) in [(20, false), (2_159, false), (2_160, true)] {
-        assert_eq!(sent_to(gateway.policy.route(ms(time), second)).is_some(), turn, "{time} ms");
+        assert_eq!(sent_to(gateway.policy.route(at_ms(time), second)).is_some(), turn, "{time} ms");
     }
 }
 
@@ -32,13 +32,14 @@
 fn a_request_without_time_for_its_work_is_rejected_immediately() {
     // (class, work ms on one thread, time left ms, sent)
     for (class, work, left, sent) in [
-        (LOOK_UP, 200, 300, true),
-        (LOOK_UP, 200, 150, false),
+        (LOOKUP, 200, 300, true),
+        (LOOKUP, 200, 150, false),
         (REPORT, 4000, 1200, true),
         (REPORT, 4000, 900, false),
-        (LOAD, 200, 90, false),
+        (DATA_LOAD, 200, 90, false),
     ] {
-        let one = Request { work: Some(Duration::from_millis(work)), deadline: ms(left), ..request(class) };
+        let one =
+            Request { work_hint: Some(Duration::from_millis(work)), deadline: at_ms(left), ..request(class) };
         let (_, decision) = typical_config().start(2).admit(0, one);
         assert_eq!(sent_to(decision).is_some(), sent, "group {class}, {work} ms, {left} left: {decision:?}");
         assert!(sent || matches!(decision, RoutingDecision::Reject(Some(_))));
@@ -50,16 +51,16 @@
     for (spills, more) in [(true, true), (false, false)] {
         let mut gateway = typical_config().start(4);
         let grant = |decision| match decision {
-            RoutingDecision::Send(AttemptParameters { memory_mb: Some(mb), .. }) => mb,
+            RoutingDecision::Send(AttemptParameters { memory_grant_mb: Some(mb), .. }) => mb,
             other => panic!("{other:?}"),
         };
-        let (b, decision) = gateway.admit(0, request(LOOK_UP));
+        let (b, decision) = gateway.admit(0, request(LOOKUP));
         let before = grant(decision);
         if spills {
-            gateway.policy.on_progress(ms(10), b, 0, ProgressUpdate::SpillsMb(50.0));
+            gateway.policy.on_progress(at_ms(10), b, 0, ProgressUpdate::SpillsMb(50.0));
         }
-        gateway.end(20, b, 0, Outcome::Returned, 20);
-        assert_eq!(grant(gateway.admit(30, request(LOOK_UP)).1) > before, more);
+        gateway.finish_attempt(20, b, 0, Outcome::Returned, 20);
+        assert_eq!(grant(gateway.admit(30, request(LOOKUP)).1) > before, more);
     }
 }
 
@@ -67,7 +68,7 @@
 fn a_tenant_beyond_its_quota_leaves_room_for_the_others() {
     let tenants = vec![Tenant { quota_rate: 2.0 }, Tenant { quota_rate: 100.0 }];
     let mut gateway = PolicyConfig { tenants, ..typical_config() }.start(1);
-    let of = |tenant| Request { tenant: Some(tenant), ..request(LOOK_UP) };
+    let of = |tenant| Request { tenant: Some(tenant), ..request(LOOKUP) };
     let first = (0..40).filter(|_| sent_to(gateway.admit(0, of(0)).1).is_some()).count();
     let second = (0..40).filter(|_| sent_to(gateway.admit(0, of(1)).1).is_some()).count();
     assert!(first < 12 && second > 0, "{first} of the one, {second} of the other");
@@ -92,14 +93,16 @@
             let mut config = typical_config();
             change(&mut config);
             let mut gateway = config.start(engines);
-            let (b, decision) =
-                gateway.admit(0, Request { work: None, memory_mb: None, tenant: Some(0), ..request(REPORT) });
+            let (b, decision) = gateway.admit(
+                0,
+                Request { work_hint: None, memory_hint_mb: None, tenant: Some(0), ..request(REPORT) },
+            );
             assert_eq!(sent_to(decision).is_some(), engines == 1, "case {i}");
-            let more = (0..40).filter(|_| sent_to(gateway.admit(0, request(LOOK_UP)).1).is_some()).count();
+            let more = (0..40).filter(|_| sent_to(gateway.admit(0, request(LOOKUP)).1).is_some()).count();
             assert!(more < 40, "case {i}: nothing binds");
-            gateway.policy.tick(ms(250));
+            gateway.policy.tick(at_ms(250));
             if engines == 1 {
-                assert_eq!(gateway.end(300, b, 0, Outcome::Returned, 300), AfterAttempt::Finished);
+                assert_eq!(gateway.finish_attempt(300, b, 0, Outcome::Returned, 300), AfterAttempt::Finished);
             }
         }
     }
@@ -114,10 +117,10 @@
         let mut gateway = typical_config().start(2);
         let (b, decision) = gateway.admit(0, request(class));
         assert!(sent_to(decision).is_some());
-        gateway.policy.set_shutdown_deadline(ms(3000));
-        assert_eq!(gateway.policy.route(ms(2000), b), RoutingDecision::Wait);
-        assert_eq!(gateway.end(2990, b, 0, outcome, 2990), AfterAttempt::RouteAgain);
-        let decision = gateway.policy.route(ms(2990), b);
+        gateway.policy.set_shutdown_deadline(at_ms(3000));
+        assert_eq!(gateway.policy.route(at_ms(2000), b), RoutingDecision::Wait);
+        assert_eq!(gateway.finish_attempt(2990, b, 0, outcome, 2990), AfterAttempt::RouteAgain);
+        let decision = gateway.policy.route(at_ms(2990), b);
         assert_eq!(matches!(decision, RoutingDecision::Reject(_)), harmless, "{outcome:?}: {decision:?}");
         assert!(harmless || decision == RoutingDecision::Fail, "{outcome:?}: {decision:?}");
     }
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -16,10 +16,10 @@
     {
         let mut gateway = typical_config().start(2);
         let (_, decision) =
-            gateway.admit(time, Request { deadline: ms(limit), work: None, ..request(LOOK_UP) });
+            gateway.admit(time, Request { deadline: at_ms(limit), work_hint: None, ..request(LOOKUP) });
         match decision {
             RoutingDecision::Send(d) => {
-                assert!(sends && ms(time) + d.timeout + Duration::from_millis(5) < ms(limit));
+                assert!(sends && at_ms(time) + d.timeout + Duration::from_millis(5) < at_ms(limit));
             }
             other => assert!(
                 !sends && matches!(other, RoutingDecision::Reject(Some(_))),
@@ -34,13 +34,16 @@
     // (asked at ms, time limit at ms, asked again at ms): its look, or the last safe moment
     for (time, limit, again) in [(0, 1000, 20), (0, 30, 15), (970, 1000, 985)] {
         let mut config = typical_config();
-        config.classes[LOAD].in_order = true;
+        config.classes[DATA_LOAD].in_order = true;
         let mut gateway = config.start(1);
-        gateway.admit(0, Request { key: Some(1), work: None, ..request(LOAD) });
-        let waiting = Request { key: Some(1), deadline: ms(limit), work: None, ..request(LOAD) };
+        gateway.admit(0, Request { key: Some(1), work_hint: None, ..request(DATA_LOAD) });
+        let waiting = Request { key: Some(1), deadline: at_ms(limit), work_hint: None, ..request(DATA_LOAD) };
         let (b, decision) = gateway.admit(time, waiting);
-        assert_eq!((decision, gateway.policy.next_check(ms(time), b)), (RoutingDecision::Wait, ms(again)));
-        assert!(matches!(gateway.policy.route(ms(limit - 15), b), RoutingDecision::Reject(_)));
+        assert_eq!(
+            (decision, gateway.policy.next_route_time(at_ms(time), b)),
+            (RoutingDecision::Wait, at_ms(again))
+        );
+        assert!(matches!(gateway.policy.route(at_ms(limit - 15), b), RoutingDecision::Reject(_)));
     }
 }
 
@@ -65,14 +68,14 @@
     ];
     for (idempotency, outcome, time, again, rejects) in cases {
         let mut config = typical_config();
-        config.classes[LOAD].idempotency = idempotency;
+        config.classes[DATA_LOAD].idempotency = idempotency;
         let mut gateway = config.start(1);
-        let (b, decision) = gateway.admit(0, request(LOAD));
+        let (b, decision) = gateway.admit(0, request(DATA_LOAD));
         assert_eq!(sent_to(decision), Some(0));
-        gateway.policy.update_engine(ms(1), 0, Engine { state: EngineState::Gone, ..engine() });
-        gateway.policy.update_engine(ms(1), 1, Engine { zone: 1, cell: 1, ..engine() });
-        assert_eq!(gateway.end(time, b, 0, outcome, time), AfterAttempt::RouteAgain);
-        let decision = gateway.policy.route(ms(time), b);
+        gateway.policy.update_engine(at_ms(1), 0, Engine { state: EngineState::Gone, ..ready_engine() });
+        gateway.policy.update_engine(at_ms(1), 1, Engine { zone: 1, cell: 1, ..ready_engine() });
+        assert_eq!(gateway.finish_attempt(time, b, 0, outcome, time), AfterAttempt::RouteAgain);
+        let decision = gateway.policy.route(at_ms(time), b);
         assert_eq!(
             sent_to(decision).is_some(),
             again,
@@ -106,12 +109,14 @@
         let mut config = typical_config();
         config.capabilities.single_attempt = single_attempt;
         let mut gateway = config.start(3);
-        let (b, decision) = gateway.admit(0, request(LOOK_UP));
+        let (b, decision) = gateway.admit(0, request(LOOKUP));
         assert!(sent_to(decision).is_some());
-        let answer =
-            AttemptResult { request_finished: false, ..AttemptResult::bare(Outcome::Cancelled, seen) };
-        assert_eq!(gateway.policy.on_attempt_finished(ms(100), b, 0, &answer), AfterAttempt::RouteAgain);
-        let decision = gateway.policy.route(ms(100), b);
+        let answer = AttemptResult {
+            request_finished: false,
+            ..AttemptResult::from_outcome(Outcome::Cancelled, seen)
+        };
+        assert_eq!(gateway.policy.on_attempt_finished(at_ms(100), b, 0, &answer), AfterAttempt::RouteAgain);
+        let decision = gateway.policy.route(at_ms(100), b);
         assert_eq!(sent_to(decision).is_some(), again, "{single_attempt} {seen:?}: {decision:?}");
         assert!(again || matches!(decision, RoutingDecision::Reject(_)), "{decision:?}");
     }
@@ -119,25 +124,25 @@
 
 #[test]
 fn rules_3_and_6_only_ready_engines_that_the_class_allows_get_anything() {
-    let gone = Engine { state: EngineState::Gone, ..engine() };
-    let draining = Engine { state: EngineState::Draining, ..engine() };
-    let (kind_1, zone_1) = (Engine { kind: 1, ..engine() }, Engine { zone: 1, ..engine() });
+    let gone = Engine { state: EngineState::Gone, ..ready_engine() };
+    let draining = Engine { state: EngineState::Draining, ..ready_engine() };
+    let (kind_1, zone_1) = (Engine { kind: 1, ..ready_engine() }, Engine { zone: 1, ..ready_engine() });
     let cases = [
         // engines, kinds and zones allowed, where it goes
-        (vec![gone, engine()], None, None, Some(1)),
+        (vec![gone, ready_engine()], None, None, Some(1)),
         (vec![draining, gone], None, None, None),
         (vec![], None, None, None),
-        (vec![engine(), kind_1], Some(vec![1]), None, Some(1)),
-        (vec![engine(), Engine { state: EngineState::Draining, ..kind_1 }], Some(vec![1]), None, None),
-        (vec![engine(), zone_1], None, Some(vec![1]), Some(1)),
-        (vec![engine(), zone_1], Some(vec![1]), Some(vec![1]), None),
+        (vec![ready_engine(), kind_1], Some(vec![1]), None, Some(1)),
+        (vec![ready_engine(), Engine { state: EngineState::Draining, ..kind_1 }], Some(vec![1]), None, None),
+        (vec![ready_engine(), zone_1], None, Some(vec![1]), Some(1)),
+        (vec![ready_engine(), zone_1], Some(vec![1]), Some(vec![1]), None),
     ];
     for (i, (engines, kinds, zones, to)) in cases.into_iter().enumerate() {
         let mut config = typical_config();
-        (config.classes[REPORT].kinds, config.classes[REPORT].zones) = (kinds, zones);
+        (config.classes[REPORT].allowed_kinds, config.classes[REPORT].allowed_zones) = (kinds, zones);
         let mut gateway = config.start(0);
         for (e, engine) in engines.into_iter().enumerate() {
-            gateway.policy.update_engine(ms(0), e, engine);
+            gateway.policy.update_engine(at_ms(0), e, engine);
         }
         assert_eq!(sent_to(gateway.admit(0, request(REPORT)).1), to, "case {i}");
     }
@@ -159,14 +164,14 @@
         let mut config = typical_config();
         config.capabilities.endpoint_list_lifetime = holds;
         let mut gateway = config.start(2);
-        heard.iter().for_each(|time| gateway.policy.confirm_endpoint_list(ms(*time)));
-        let one = Request { deadline: ms(90_000), ..request(LOOK_UP) };
+        heard.iter().for_each(|time| gateway.policy.confirm_endpoint_list(at_ms(*time)));
+        let one = Request { deadline: at_ms(90_000), ..request(LOOKUP) };
         let (_, decision) = gateway.admit(time, one.clone());
         assert_eq!(sent_to(decision).is_some(), sends, "{holds:?} {heard:?} {time}: {decision:?}");
         assert!(sends || matches!(decision, RoutingDecision::Reject(Some(_))), "{decision:?}");
-        gateway.policy.tick(ms(time));
+        gateway.policy.tick(at_ms(time));
         assert_eq!(gateway.policy.take_events(), events);
-        gateway.policy.confirm_endpoint_list(ms(time));
+        gateway.policy.confirm_endpoint_list(at_ms(time));
         assert!(sent_to(gateway.admit(time, one).1).is_some(), "heard again");
     }
 }
@@ -189,20 +194,23 @@
             (config.topology.gateways, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
             // It has been there for longer than the engine: one that has not knows nothing of what was sent before it.
-            gateway.policy.update_engine(ms(0), 9, Engine { state: EngineState::Gone, ..engine() });
+            gateway.policy.update_engine(at_ms(0), 9, Engine { state: EngineState::Gone, ..ready_engine() });
             gateway.policy.update_engine(
-                ms(20_000),
+                at_ms(20_000),
                 0,
-                Engine { started: Some(ms(20_000 - age)), ..engine() },
+                Engine { started: Some(at_ms(20_000 - age)), ..ready_engine() },
             );
-            let one =
-                Request { work: Some(Duration::from_millis(work)), deadline: ms(60_000), ..request(LOOK_UP) };
+            let one = Request {
+                work_hint: Some(Duration::from_millis(work)),
+                deadline: at_ms(60_000),
+                ..request(LOOKUP)
+            };
             for i in 0..100 {
                 // Each returns in time, so that only the cold rule holds anything back.
                 let (b, decision) = gateway.admit(20_000 + i, one.clone());
                 if let Some(_e) = sent_to(decision) {
                     sent += 1;
-                    gateway.end(20_000 + i, b, 0, Outcome::Returned, work);
+                    gateway.finish_attempt(20_000 + i, b, 0, Outcome::Returned, work);
                 }
             }
         }
@@ -216,8 +224,8 @@
     // each
     for (work, most) in [(None, 7), (Some(1000), 7)] {
         let mut gateway = typical_config().start(0);
-        gateway.policy.update_engine(ms(0), 0, Engine { started: Some(ms(0)), ..engine() });
-        let one = Request { work: work.map(Duration::from_millis), ..request(LOOK_UP) };
+        gateway.policy.update_engine(at_ms(0), 0, Engine { started: Some(at_ms(0)), ..ready_engine() });
+        let one = Request { work_hint: work.map(Duration::from_millis), ..request(LOOKUP) };
         let sent = (0..12).filter(|_| sent_to(gateway.admit(0, one.clone()).1).is_some()).count();
         assert!((1..=most).contains(&sent), "{work:?}: {sent} sent");
     }
@@ -235,28 +243,28 @@
         (Outcome::Errored, true, false),
     ] {
         let mut config = PolicyConfig { key_cooldown: Duration::from_millis(300), ..typical_config() };
-        config.classes[LOAD].in_order = true;
+        config.classes[DATA_LOAD].in_order = true;
         let mut gateway = config.start(3);
-        let keyed = |k| Request { key: Some(k), ..request(LOAD) };
+        let keyed = |k| Request { key: Some(k), ..request(DATA_LOAD) };
         let (first, decision) = gateway.admit(0, keyed(9));
         assert!(sent_to(decision).is_some());
         let (second, decision) = gateway.admit(1, keyed(9));
         assert_eq!(decision, RoutingDecision::Wait);
         assert!(sent_to(gateway.admit(1, keyed(8)).1).is_some(), "another key is free");
-        let unordered = Request { key: Some(9), ..request(LOOK_UP) };
+        let unordered = Request { key: Some(9), ..request(LOOKUP) };
         assert!(sent_to(gateway.admit(1, unordered).1).is_some(), "its group asks for no order");
         if left {
             gateway.policy.on_client_disconnected(first);
             assert_eq!(
-                gateway.policy.route(ms(60), second),
+                gateway.policy.route(at_ms(60), second),
                 RoutingDecision::Wait,
                 "an attempt of the first is still out"
             );
         }
-        gateway.end(100, first, 0, outcome, 100);
-        assert_eq!(sent_to(gateway.policy.route(ms(110), second)).is_none(), rests, "{outcome:?}");
+        gateway.finish_attempt(100, first, 0, outcome, 100);
+        assert_eq!(sent_to(gateway.policy.route(at_ms(110), second)).is_none(), rests, "{outcome:?}");
         assert!(
-            !rests || sent_to(gateway.policy.route(ms(401), second)).is_some(),
+            !rests || sent_to(gateway.policy.route(at_ms(401), second)).is_some(),
             "{outcome:?} after the rest"
         );
     }
@@ -279,20 +287,20 @@
         let config = PolicyConfig { retry_budget: Some(rule), ..typical_config() };
         let mut gateway = config.start(4);
         for _ in 0..returned {
-            let b = gateway.admit(0, request(LOOK_UP)).0;
-            gateway.end(5, b, 0, Outcome::Returned, 5);
+            let b = gateway.admit(0, request(LOOKUP)).0;
+            gateway.finish_attempt(5, b, 0, Outcome::Returned, 5);
         }
         // Taken back, be it before or after an engine has answered: none of it may widen the retry budget.
         for outcome in (0..200).filter_map(|_| flood) {
-            let b = gateway.admit(6, request(LOOK_UP)).0;
+            let b = gateway.admit(6, request(LOOKUP)).0;
             gateway.policy.on_client_disconnected(b);
-            gateway.end(7, b, 0, outcome, 1);
+            gateway.finish_attempt(7, b, 0, outcome, 1);
         }
         let mut further = 0;
         for _ in 0..10 {
-            let b = gateway.admit(9, request(LOOK_UP)).0;
-            gateway.end(10, b, 0, Outcome::Rejected, 1);
-            further += usize::from(sent_to(gateway.policy.route(ms(10), b)).is_some());
+            let b = gateway.admit(9, request(LOOKUP)).0;
+            gateway.finish_attempt(10, b, 0, Outcome::Rejected, 1);
+            further += usize::from(sent_to(gateway.policy.route(at_ms(10), b)).is_some());
         }
         assert_eq!(further, got, "{free} + {per_request} a request of {returned}, {flood:?}");
     }
@@ -303,14 +311,14 @@
     let rule = RetryBudgetRule { window: Duration::from_millis(1_000), free: 0.0, per_request: 1.0 };
     let mut gateway = PolicyConfig { retry_budget: Some(rule), ..typical_config() }.start(4);
     // A long one ends after a short one that was taken later.
-    let (long, _) = gateway.admit(0, request(LOOK_UP));
-    let (short, _) = gateway.admit(500, request(LOOK_UP));
-    gateway.end(600, short, 0, Outcome::Returned, 100);
-    gateway.end(900, long, 0, Outcome::Returned, 900);
+    let (long, _) = gateway.admit(0, request(LOOKUP));
+    let (short, _) = gateway.admit(500, request(LOOKUP));
+    gateway.finish_attempt(600, short, 0, Outcome::Returned, 100);
+    gateway.finish_attempt(900, long, 0, Outcome::Returned, 900);
     let mut further = |time, allowed| {
-        let (b, _) = gateway.admit(time, request(LOOK_UP));
-        gateway.end(time, b, 0, Outcome::Rejected, 1);
-        assert_eq!(sent_to(gateway.policy.route(ms(time), b)).is_some(), allowed, "{time} ms");
+        let (b, _) = gateway.admit(time, request(LOOKUP));
+        gateway.finish_attempt(time, b, 0, Outcome::Rejected, 1);
+        assert_eq!(sent_to(gateway.policy.route(at_ms(time), b)).is_some(), allowed, "{time} ms");
     };
     further(999, true);
     further(1_100, false);
@@ -324,11 +332,11 @@
     {
         let mut gateway =
             PolicyConfig { retry_budget: Some(RetryBudgetRule::default()), ..typical_config() }.start(1);
-        let (b, _) = gateway.admit(0, request(LOAD));
+        let (b, _) = gateway.admit(0, request(DATA_LOAD));
         let seen = AttemptEvidence { last: LastObservation::Declined, same_process };
         let answer =
-            AttemptResult { request_finished: false, ..AttemptResult::bare(Outcome::Rejected, seen) };
-        gateway.policy.on_attempt_finished(ms(1), b, 0, &answer);
-        assert_eq!(gateway.policy.route(ms(1), b), decision, "{same_process}");
+            AttemptResult { request_finished: false, ..AttemptResult::from_outcome(Outcome::Rejected, seen) };
+        gateway.policy.on_attempt_finished(at_ms(1), b, 0, &answer);
+        assert_eq!(gateway.policy.route(at_ms(1), b), decision, "{same_process}");
     }
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -12,7 +12,7 @@
 use std::{iter, thread};
 
 const SLOW_START: usize = 0;
-const LIGHT: usize = LOOK_UP;
+const LIGHT: usize = LOOKUP;
 const HEAVY: usize = REPORT;
 /// The engine starts then, long after the gateways.
 const STARTS: u64 = 20_000;
@@ -62,7 +62,7 @@
     fn most(&self, config: &PolicyConfig, from: Timestamp) -> f64 {
         let slow_start = &config.slow_start;
         let budget_of = slow_start.multiple
-            * slow_start.capacity_factor(Some(ms(STARTS)), from)
+            * slow_start.capacity_factor(Some(at_ms(STARTS)), from)
             * 16.0
             * slow_start.window.secs();
         let n = budget_of * 1000.0 / self.mean();
@@ -89,12 +89,16 @@
                 config.topology.gateway_index = gateway_index;
                 let mut gateway = config.start(0);
                 // What it hears first is when it starts.
-                gateway.policy.update_engine(ms(born), 9, Engine { state: EngineState::Gone, ..engine() });
+                gateway.policy.update_engine(
+                    at_ms(born),
+                    9,
+                    Engine { state: EngineState::Gone, ..ready_engine() },
+                );
                 self.learn(&mut gateway, born);
                 gateway.policy.update_engine(
-                    ms(from),
+                    at_ms(from),
                     SLOW_START,
-                    Engine { started: Some(ms(STARTS)), ..engine() },
+                    Engine { started: Some(at_ms(STARTS)), ..ready_engine() },
                 );
                 for time in (from..until).step_by(STEP as usize) {
                     let comes = match self.traffic {
@@ -117,11 +121,15 @@
 
     fn request(&self, time: u64, heavy: bool) -> Request {
         let (class, work) = if heavy { (HEAVY, self.work.1) } else { (LIGHT, self.work.0) };
-        Request { work: Some(Duration::from_millis(work)), deadline: ms(time + 60_000), ..request(class) }
+        Request {
+            work_hint: Some(Duration::from_millis(work)),
+            deadline: at_ms(time + 60_000),
+            ..request(class)
+        }
     }
 
     /// The gateway knows the usual work of each class, and how often each is asked for.
-    fn learn(&self, gateway: &mut Gateway, time: u64) {
+    fn learn(&self, gateway: &mut TestGateway, time: u64) {
         for n in 0..100 {
             let (b, decision) = gateway.admit(time, self.request(time, n < self.work.2));
             assert_eq!(sent_to(decision), None);
@@ -130,12 +138,12 @@
     }
 
     /// The work in ms that goes out; it comes back at once, so that only the rule holds anything back.
-    fn one(&self, gateway: &mut Gateway, time: u64, heavy: bool) -> Option<f64> {
+    fn one(&self, gateway: &mut TestGateway, time: u64, heavy: bool) -> Option<f64> {
         let request = self.request(time, heavy);
-        let work = request.work.unwrap();
+        let work = request.work_hint.unwrap();
         let (b, decision) = gateway.admit(time, request);
         sent_to(decision)?;
-        gateway.end(time, b, 0, Outcome::Returned, 1);
+        gateway.finish_attempt(time, b, 0, Outcome::Returned, 1);
         Some(work.secs() * 1000.0)
     }
 
@@ -150,7 +158,7 @@
                 sum -= sent[from].1;
                 from += 1;
             }
-            worst = worst.max(sum / self.most(&config, ms(sent[from].0)));
+            worst = worst.max(sum / self.most(&config, at_ms(sent[from].0)));
         }
         worst
     }
--- a/crates/quotas/tests/division.rs
+++ b/crates/quotas/tests/division.rs
@@ -71,8 +71,8 @@
         threads,
         locks_data_set: false,
         waits_for_data_lock: false,
-        zones: None,
-        kinds,
+        allowed_zones: None,
+        allowed_kinds: kinds,
     };
     let classes = [class(2.0, None), class(4.0, Some(vec![1]))];
     let engine = |kind| Engine { kind, ..Engine::default() };
--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -66,7 +66,7 @@
             let mut named = self.load_fields.iter().zip(values);
             named.find(|(field, _)| *field == name).map(|(_, value)| *value)
         };
-        LoadReport { in_flight: value("concurrent"), busy: value("load_share") }
+        LoadReport { in_flight: value("concurrent"), busy_fraction: value("load_share") }
     }
 
     /// Entries of the endpoint list have changed.
@@ -118,12 +118,12 @@
         let reports_work = self.outcomes_report_work && finished.outcome == Outcome::Returned;
         let result = AttemptResult {
             outcome: finished.outcome,
-            took: finished.took,
+            duration: finished.took,
             request_finished: finished.request_finished,
             // The simulator sends an outcome once nothing runs on, except where the key cooldown covers it.
             evidence: AttemptEvidence { last: LastObservation::Ended, same_process: true },
-            work: finished.work.filter(|_| reports_work),
-            report: self.load_report(&finished.load),
+            reported_work: finished.work.filter(|_| reports_work),
+            load_report: self.load_report(&finished.load),
         };
         match self.policy.on_attempt_finished(now, index, finished.attempt, &result) {
             AfterAttempt::RouteAgain => self.route(now, index, reply),
@@ -171,7 +171,7 @@
 
     fn tick(&mut self, now: Timestamp, reply: &mut Reply) {
         self.policy.tick(now);
-        for index in self.policy.health_checks() {
+        for index in self.policy.draw_health_checks() {
             reply.check_health(self.instance, self.engines.address(index));
         }
         self.set_tick_timer(now, reply);
@@ -201,13 +201,13 @@
                 RoutingDecision::CancelAttempt(attempt) => reply.cancel_attempt(instance, id, attempt),
             }
         }
-        self.requests.set_check(index, self.policy.next_check(now, index));
+        self.requests.set_check(index, self.policy.next_route_time(now, index));
     }
 
     fn start_attempt(&mut self, index: usize, parameters: &AttemptParameters, reply: &mut Reply) {
         let id = self.requests.id(index);
         self.requests.attempt_started(index);
-        let memory_mb = parameters.memory_mb.unwrap_or(0.0) as f32;
+        let memory_mb = parameters.memory_grant_mb.unwrap_or(0.0) as f32;
         reply.set_resources(self.instance, id, memory_mb, parameters.priority);
         // The wire's time-out is signed, and none at all where it is zero.
         let timeout = parameters.timeout.micros().clamp(1, u64::from(i32::MAX as u32)) as u32;
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -137,8 +137,8 @@
         tenant: Some(tenant),
         key: (key != 0).then_some(key),
         deadline,
-        work: (has_work_estimate && work_micros > 0).then(|| Duration::from_micros(work_micros)),
-        memory_mb: (memory_mb > 0.0).then_some(memory_mb),
+        work_hint: (has_work_estimate && work_micros > 0).then(|| Duration::from_micros(work_micros)),
+        memory_hint_mb: (memory_mb > 0.0).then_some(memory_mb),
         data_set,
     };
     Ok(NewRequest { id, request })
@@ -217,7 +217,7 @@
     let what = fields.u8()?;
     let level = fields.f32()?;
     let update = match what {
-        1 => ProgressUpdate::Done(level),
+        1 => ProgressUpdate::FractionDone(level),
         2 => ProgressUpdate::SpillsMb(level),
         3 if level < 1.5 => ProgressUpdate::WaitsForMemory,
         3 => ProgressUpdate::WaitsForDataLock,
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -22,8 +22,8 @@
         threads: 1.0,
         locks_data_set: false,
         waits_for_data_lock: false,
-        zones,
-        kinds,
+        allowed_zones: zones,
+        allowed_kinds: kinds,
     }
 }
 
