--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -120,7 +120,7 @@
 
 /// Counts an invalid request.
 fn refuse(state: &State, invalid: InvalidRequest) -> RequestError {
-    state.counters.update(|counters| counters.unusable += 1);
+    state.counters.update_gateway(|counters| counters.invalid_requests += 1);
     invalid.into()
 }
 
@@ -133,7 +133,9 @@
         }
         RoutingDecision::Send(_) | RoutingDecision::Wait | RoutingDecision::CancelAttempt(_) => {
             let in_flight = state.policy.in_flight();
-            state.counters.update(|counters| counters.max_in_flight = counters.max_in_flight.max(in_flight));
+            state
+                .counters
+                .update_gateway(|counters| counters.max_in_flight = counters.max_in_flight.max(in_flight));
             let state = state.clone();
             may::go!(move || request::run(&state, &context, request, decision));
         }
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::cluster::supervisor::process;
 use crate::platform::Platform;
-use crate::signals::CaughtSignals;
+use crate::signals::RegisteredSignals;
 use crate::startup::{self, StartupError};
 use arguments::{ArgumentsError, Command, FilePaths};
 use files::FilesError;
@@ -96,7 +96,7 @@
 
 fn serve(paths: FilePaths, platform: Platform) -> Result<(), CommandError> {
     // Before the files are read: a signal that comes meanwhile must not be lost.
-    let signals = CaughtSignals::register().map_err(CommandError::Signals)?;
+    let signals = RegisteredSignals::register().map_err(CommandError::Signals)?;
     let files = paths.load()?;
     Ok(startup::run(files, platform, signals)?)
 }
--- a/crates/gateway/src/client/message_pack/connection.rs
+++ b/crates/gateway/src/client/message_pack/connection.rs
@@ -30,7 +30,7 @@
 pub struct Connection {
     stream: TcpStream,
     from: SocketAddr,
-    number: usize,
+    id: usize,
     writer: Arc<ResponseWriter>,
     /// Since when it may have waited in the listener's queue, where it may have.
     queued_since: Option<Timestamp>,
@@ -46,16 +46,16 @@
 ) -> Connection {
     let _ = stream.set_nodelay(true);
     let registered = state.client_connections.register(stream.waker(), state.clock.now());
-    let RegisteredConnection { number, writer } = registered;
-    Connection { stream, from, number, writer, queued_since }
+    let RegisteredConnection { id, writer } = registered;
+    Connection { stream, from, id, writer, queued_since }
 }
 
 /// Serves one connection to its end.
 pub(super) fn serve(state: &Arc<State>, connection: Connection) {
-    let Connection { stream, from, number, writer, queued_since } = connection;
-    state.counters.update(|counters| {
-        counters.connections += 1;
-        counters.max_clients = counters.max_clients.max(state.client_connections.len());
+    let Connection { stream, from, id, writer, queued_since } = connection;
+    state.counters.update_gateway(|counters| {
+        counters.client_connections += 1;
+        counters.max_client_connections = counters.max_client_connections.max(state.client_connections.len());
     });
     let reason = Conversation::new(state, &stream, &writer, queued_since).run();
     for request in writer.cancel_all() {
@@ -67,7 +67,7 @@
     }
     // The descriptor is free before another connection may take its place.
     drop(stream);
-    state.client_connections.unregister(number);
+    state.client_connections.unregister(id);
     info!(state.log, "client connection ended";
         "from" => from.to_string(), "reason" => reason.code(), "detail" => reason.detail());
 }
@@ -184,7 +184,7 @@
     /// that the client may still read.
     fn close_reason(&self, now: Timestamp) -> Option<CloseReason> {
         let idle = now.since(self.writer.last_activity());
-        if self.writer.has_only_unread_responses() && idle >= self.state.settings.unread_response_timeout {
+        if self.writer.has_only_unsent_responses() && idle >= self.state.settings.unsent_response_timeout {
             return Some(CloseReason::ResponsesUnread);
         }
         if !self.writer.is_idle() {
--- a/crates/gateway/src/client/message_pack/listener.rs
+++ b/crates/gateway/src/client/message_pack/listener.rs
@@ -33,7 +33,7 @@
     loop {
         let now = state.clock.now();
         if state.client_connections.len() + spare >= max_clients {
-            state.client_connections.close_idle(spare, now - FRESH);
+            state.client_connections.evict_idle(spare, now - FRESH);
         }
         if state.client_connections.len() >= max_clients || state.stall_detector.is_event_poll_overdue(now) {
             state.sleep(PAUSE);
--- a/crates/gateway/src/client/message_pack/requests.rs
+++ b/crates/gateway/src/client/message_pack/requests.rs
@@ -6,7 +6,7 @@
 use crate::codec::client_request::ClientRequest;
 use crate::codec::message_pack::{Message, Response};
 use crate::request_context::{FinalAnswer, ResultReader};
-use crate::state::response_writer::{IdCheck, ResponseWriter};
+use crate::state::response_writer::{MessageIdCheck, ResponseWriter};
 use crate::state::{State, lock};
 use larchfall_policy::time::Timestamp;
 use std::sync::{Arc, Mutex};
@@ -23,7 +23,7 @@
         match message {
             Message::Ping { message_id } => {
                 open(writer, message_id)?;
-                state.counters.update(|counters| counters.pings += 1);
+                state.counters.update_gateway(|counters| counters.pings += 1);
                 writer.send(message_id, &Response::Pong);
             }
             Message::Abort { message_ids } => {
@@ -33,7 +33,7 @@
             }
             Message::Unusable { message_id, reason } => {
                 open(writer, message_id)?;
-                state.counters.update(|counters| counters.unusable += 1);
+                state.counters.update_gateway(|counters| counters.invalid_requests += 1);
                 writer.send(message_id, &Response::Errored(&reason.to_string()));
             }
             Message::Request { message_id, request } => {
@@ -52,10 +52,10 @@
 
 /// Whether a request may be opened under this message id; one that was used before ends the connection.
 fn open(writer: &ResponseWriter, message_id: u32) -> Result<bool, CloseReason> {
-    match writer.record_id(message_id) {
-        IdCheck::Accepted => Ok(true),
-        IdCheck::TooManyOpen => Ok(false),
-        IdCheck::Reused => Err(CloseReason::DuplicateMessageId),
+    match writer.register_message_id(message_id) {
+        MessageIdCheck::Accepted => Ok(true),
+        MessageIdCheck::TooManyOpen => Ok(false),
+        MessageIdCheck::Reused => Err(CloseReason::DuplicateMessageId),
     }
 }
 
@@ -67,7 +67,7 @@
     sent: Timestamp,
 ) {
     let admitted = admission::admit(state, request, sent, |index| {
-        writer.open(message_id, index);
+        writer.open_request(message_id, index);
         Arc::new(BufferedResult { writer: writer.clone(), message_id, rows: Mutex::default() })
     });
     match admitted {
@@ -82,7 +82,7 @@
 /// Rejects a request that was never admitted and tells its client when to try again: a client that sends hundreds at
 /// once may otherwise do so again at once.
 fn reject_over_limits(state: &State, writer: &ResponseWriter, message_id: u32) {
-    state.counters.update(|counters| counters.over_limits += 1);
+    state.counters.update_gateway(|counters| counters.over_limits += 1);
     writer.send(message_id, &Response::Rejected(state.settings.max_retry_after));
 }
 
@@ -94,7 +94,7 @@
 }
 
 impl ResultReader for BufferedResult {
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         true
     }
 
--- a/crates/gateway/src/client/paged_rest/connection.rs
+++ b/crates/gateway/src/client/paged_rest/connection.rs
@@ -5,7 +5,7 @@
 use super::service::{CountedConnection, RestService};
 use crate::client::CloseReason;
 use crate::state::State;
-use crate::state::clock::timeout;
+use crate::state::clock::to_std_timeout;
 use larchfall_paged_rest::call::{self, Call, CallError, Method, Progress};
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
@@ -114,7 +114,7 @@
             let idle = self.input.is_empty();
             return Err(if idle { CloseReason::Idle } else { CloseReason::IncompleteMessage });
         }
-        let _ = self.stream.set_read_timeout(Some(remaining.min(timeout(SHUTDOWN_POLL))));
+        let _ = self.stream.set_read_timeout(Some(remaining.min(to_std_timeout(SHUTDOWN_POLL))));
         let starts_call = self.input.is_empty();
         let mut chunk = [0; CHUNK_BYTES];
         match self.stream.read(&mut chunk) {
@@ -133,7 +133,7 @@
     }
 
     fn write(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
-        let _ = self.stream.set_write_timeout(Some(timeout(WRITE_TIMEOUT)));
+        let _ = self.stream.set_write_timeout(Some(to_std_timeout(WRITE_TIMEOUT)));
         self.stream.write_all(bytes).map_err(|e| match e.kind() {
             ErrorKind::TimedOut | ErrorKind::WouldBlock => CloseReason::ResponsesUnread,
             _ => CloseReason::ClientReset,
--- a/crates/gateway/src/client/paged_rest/pages.rs
+++ b/crates/gateway/src/client/paged_rest/pages.rs
@@ -72,7 +72,7 @@
 /// Counts a result whose last page was handed out.
 pub(super) fn count_delivered(state: &State, final_answer: Option<FinalAnswer>) {
     if let Some(FinalAnswer::Delivered(_)) = final_answer {
-        state.counters.update(|counters| counters.results_read += 1);
+        state.counters.update_gateway(|counters| counters.results_delivered += 1);
     }
 }
 
@@ -85,7 +85,7 @@
 
 /// Counts a result that its client abandoned, and ends the request that makes it, if that still runs.
 pub fn abandon_request(state: &State, request: Option<usize>) {
-    state.counters.update(|counters| counters.results_abandoned += 1);
+    state.counters.update_gateway(|counters| counters.results_abandoned += 1);
     if let Some(request) = request {
         state.policy.record_disconnection(request);
     }
--- a/crates/gateway/src/client/paged_rest/result_reader.rs
+++ b/crates/gateway/src/client/paged_rest/result_reader.rs
@@ -36,8 +36,8 @@
 }
 
 impl ResultReader for PagedResult {
-    fn has_room(&self) -> bool {
-        self.service.pages.has_room(self.id)
+    fn has_capacity(&self) -> bool {
+        self.service.pages.has_capacity(self.id)
     }
 
     fn push_rows(&self, rows: Vec<u8>) {
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -38,7 +38,7 @@
         return Err(Response { headers, ..responses::unusable(503, "this front ends") });
     }
     let unusable = |why: &str| {
-        state.counters.update(|counters| counters.unusable += 1);
+        state.counters.update_gateway(|counters| counters.invalid_requests += 1);
         responses::unusable(400, why)
     };
     if call.body.is_empty() {
@@ -52,7 +52,7 @@
     let request = request_fields::client_request(&fields, id_number, &id, &call.body)
         .map_err(|error| unusable(&error.to_string()))?;
     let Some(result) = service.pages.open(received) else {
-        state.counters.update(|counters| counters.over_limits += 1);
+        state.counters.update_gateway(|counters| counters.over_limits += 1);
         return Err(responses::rejected(state.settings.max_retry_after));
     };
     let admitted = admission::admit(state, &request, received, |index| {
--- a/crates/gateway/src/cluster/event_loop.rs
+++ b/crates/gateway/src/cluster/event_loop.rs
@@ -2,7 +2,7 @@
 
 use super::Cluster;
 use super::counters::increment;
-use crate::state::clock::timeout;
+use crate::state::clock::to_std_timeout;
 use crate::state::{State, lock};
 use larchfall_membership::datagram::MAX_DATAGRAM_BYTES;
 use larchfall_policy::time::{Duration, Timestamp};
@@ -52,7 +52,7 @@
                 continue;
             }
             let due_in = self.time_to_next_timer(state, membership_due);
-            if self.socket.set_read_timeout(Some(timeout(due_in))).is_err() {
+            if self.socket.set_read_timeout(Some(to_std_timeout(due_in))).is_err() {
                 return;
             }
             match self.socket.recv_from(&mut bytes) {
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -94,7 +94,7 @@
     }
 
     fn count_observations(&self, state: &State, cluster: &Cluster, now: Timestamp) {
-        let listed: HashSet<EngineProcess> = state.policy.processes().into_iter().collect();
+        let listed: HashSet<EngineProcess> = state.policy.listed_processes().into_iter().collect();
         let alive = cluster.alive_zones();
         let is_listed = |process: EngineProcess| listed.contains(&process);
         let own = state.policy.own_observations();
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -182,11 +182,11 @@
         let alive_since: BTreeMap<String, Timestamp> =
             members.live().map(|(name, member)| (name.clone(), since(member))).collect();
         drop(members);
-        let endpoints = state.policy.endpoints();
+        let endpoints = state.policy.endpoint_summary();
         let inputs = FitnessInputs {
-            listed_engines: endpoints.present,
+            listed_engines: endpoints.present_count,
             ready_engines: endpoints.ready.len(),
-            discovery_silence: state_now.since(state.discovery.last_heard()),
+            discovery_silence: state_now.since(state.discovery.last_contact()),
             health_score: own_health,
         };
         let thresholds = *lock(&self.fitness_thresholds);
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -91,7 +91,7 @@
     /// How much this gateway wants of each capacity that is allocated.
     fn wanted(&self, state: &State, demand: &Demand) -> Vec<CapacityDemand> {
         let mut wanted = Vec::new();
-        for ready in state.policy.ready_for_quotas(&self.inputs.slow_start) {
+        for ready in state.policy.quota_engines(&self.inputs.slow_start) {
             let weight = demand.of_engine(&ready.engine, &self.inputs.classes);
             if self.kinds.slow_start && ready.in_slow_start {
                 wanted.push(CapacityDemand { capacity: Capacity::SlowStart(ready.id), weight });
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -3,7 +3,7 @@
 use crate::codec::Decoded;
 use crate::codec::discovery::{self, Frame, WatchEvent};
 use crate::state::State;
-use crate::state::clock::timeout;
+use crate::state::clock::to_std_timeout;
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
 use nanorand::{Rng, WyRand};
@@ -54,7 +54,7 @@
 
 /// Follows the service at this address from now on, in place of the one that was followed before.
 pub fn start(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
-    let client = state.discovery.next_client();
+    let client = state.discovery.next_client_id();
     let state = state.clone();
     may::go!(move || follow(&state, address, seed, client));
 }
@@ -64,7 +64,7 @@
     for engine in state.policy.apply_discovery_event(event) {
         state.engine_connections.close_idle(engine);
     }
-    state.counters.update(|counters| counters.discovery_events += 1);
+    state.counters.update_gateway(|counters| counters.discovery_events += 1);
 }
 
 fn follow(state: &State, address: SocketAddrV4, seed: u64, client: u64) {
@@ -93,10 +93,10 @@
     /// Receives until the connection ends.
     fn run(&mut self, address: SocketAddrV4) -> Disconnect {
         let address = SocketAddr::V4(address);
-        let Ok(mut stream) = TcpStream::connect_timeout(&address, timeout(CONNECT_TIMEOUT)) else {
+        let Ok(mut stream) = TcpStream::connect_timeout(&address, to_std_timeout(CONNECT_TIMEOUT)) else {
             return Disconnect::NotConnected;
         };
-        let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
+        let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE)));
         if stream.write_all(&discovery::encode_watch(self.state.policy.discovery_revision())).is_err() {
             return Disconnect::NotWritten;
         }
@@ -114,7 +114,7 @@
                 Ok(0) => return Disconnect::Closed,
                 Ok(_) if is_last_read => {
                     is_last_read = false;
-                    let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
+                    let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE)));
                 }
                 Ok(_) => {}
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) if is_last_read => {
@@ -122,7 +122,7 @@
                 }
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
                     is_last_read = true;
-                    let _ = stream.set_read_timeout(Some(timeout(LAST_READ)));
+                    let _ = stream.set_read_timeout(Some(to_std_timeout(LAST_READ)));
                 }
                 Err(_) => return Disconnect::Reset,
             }
@@ -148,8 +148,8 @@
             match discovery::decode(&self.input) {
                 Ok(Some(Decoded { value: frame, length })) => {
                     self.frames += 1;
-                    state.discovery.record_heard(state.clock.now());
-                    state.policy.confirm_endpoints(sent);
+                    state.discovery.record_contact(state.clock.now());
+                    state.policy.confirm_endpoint_list(sent);
                     if let Frame::Event(event) = frame {
                         apply(state, &event);
                     }
--- a/crates/gateway/src/engine/cancellation.rs
+++ b/crates/gateway/src/engine/cancellation.rs
@@ -39,7 +39,7 @@
         let waits_for_key = outcome == Outcome::Cancelled && self.context.in_order;
         let mut deadline = began + if waits_for_key { ENGINE_FORGETS_AFTER } else { timeout };
         // A client that still waits is due its answer, whatever its key waits for.
-        if self.state.policy.disconnection(self.request).is_none() {
+        if self.state.policy.disconnect_action(self.request).is_none() {
             deadline = deadline.min(self.deadline().max(began + timeout));
         }
         loop {
--- a/crates/gateway/src/engine/connection.rs
+++ b/crates/gateway/src/engine/connection.rs
@@ -174,7 +174,7 @@
     }
     let usage = state.engine_connections.usage();
     let open = usage.permits_held + usage.idle;
-    state.counters.update(|counters| {
+    state.counters.update_gateway(|counters| {
         counters.max_engine_connections = counters.max_engine_connections.max(open);
     });
     let connect_deadline = deadline.min(state.clock.now() + state.settings.connect_timeout);
--- a/crates/gateway/src/engine/load_report.rs
+++ b/crates/gateway/src/engine/load_report.rs
@@ -10,7 +10,7 @@
 pub fn fetch(state: &State, engine: usize) -> Option<LoadReport> {
     let instance = state.policy.engine_instance(engine)?;
     let _permit = state.engine_connections.acquire(0, None)?;
-    state.counters.update(|counters| counters.load_probes += 1);
+    state.counters.update_gateway(|counters| counters.load_report_requests += 1);
     let deadline = state.clock.now() + state.settings.connect_timeout;
     let mut connection = connect(state, instance, deadline).ok()?;
     let reply = connection.call(&engine_http::read_load(instance.address), &state.clock, deadline).ok()?;
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -4,7 +4,7 @@
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::{CallError, ConnectError, Connection};
 use crate::codec::engine_http::{self, Reply};
-use crate::state::policy_handle::Disconnection;
+use crate::state::policy_handle::DisconnectAction;
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{LastObservation, Outcome, ProgressUpdate, RoutingDecision};
 
@@ -120,7 +120,7 @@
 
     /// What to do between two calls.
     pub(super) fn check(&self) -> Check {
-        if self.state.policy.disconnection(self.request) == Some(Disconnection::CancelAttempts) {
+        if self.state.policy.disconnect_action(self.request) == Some(DisconnectAction::CancelAttempts) {
             return Check::Cancel;
         }
         if self.is_past_deadline() {
--- a/crates/gateway/src/engine/result_pages.rs
+++ b/crates/gateway/src/engine/result_pages.rs
@@ -50,7 +50,7 @@
     /// Waits until the reader has room, and keeps the statement alive meanwhile; returns an outcome if the attempt is
     /// over before.
     fn wait_for_reader(&self, connection: &mut Option<Connection>) -> Option<Outcome> {
-        while !self.context.reader.has_room() {
+        while !self.context.reader.has_capacity() {
             self.state.sleep(RETRY_PAUSE);
             match self.check() {
                 Check::Continue => {}
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -20,7 +20,7 @@
 
 /// The files that a gateway was started with.
 #[derive(Clone)]
-pub struct Files {
+pub struct ConfigFiles {
     /// The configuration.
     pub config: String,
     /// The operator's own settings.
@@ -55,7 +55,7 @@
     /// Membership and leases, where they are on.
     pub cluster: Option<Arc<Cluster>>,
     /// What is read again.
-    pub files: Files,
+    pub files: ConfigFiles,
     /// Seed of the discovery client's pauses.
     pub seed: u64,
 }
@@ -103,7 +103,7 @@
 }
 
 /// Neither the disk nor a long list may hold up the one worker.
-fn read_on_own_thread(files: &Files) -> Result<ReadFiles, Box<ReloadError>> {
+fn read_on_own_thread(files: &ConfigFiles) -> Result<ReadFiles, Box<ReloadError>> {
     let (done, result) = mpsc::channel();
     let files = files.clone();
     std::thread::Builder::new()
@@ -114,7 +114,7 @@
     result.recv().unwrap_or_else(|_| Err(Box::new(ReloadError::Panicked)))
 }
 
-fn read(files: &Files) -> Result<ReadFiles, ReloadError> {
+fn read(files: &ConfigFiles) -> Result<ReadFiles, ReloadError> {
     let config = Box::new(config::read(&files.config)?);
     let operator_config = match &files.operator_config {
         Some(path) => larchfall_operator_config::read(path, &config.settings.names)?,
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -43,7 +43,7 @@
             }
             RoutingDecision::Wait | RoutingDecision::CancelAttempt(_) => {
                 state.policy.wait_for_change(request);
-                if state.policy.disconnection(request).is_some() {
+                if state.policy.disconnect_action(request).is_some() {
                     return;
                 }
             }
@@ -81,7 +81,7 @@
     } else if end.is_truncated {
         answer(state, context, FinalAnswer::Errored("the result broke off"));
     }
-    let is_over = is_returned || end.is_truncated || state.policy.disconnection(request).is_some();
+    let is_over = is_returned || end.is_truncated || state.policy.disconnect_action(request).is_some();
     let result = AttemptResult {
         outcome: end.outcome,
         took,
--- a/crates/gateway/src/request_context.rs
+++ b/crates/gateway/src/request_context.rs
@@ -46,7 +46,7 @@
 /// Reads a result. Rows come in order, and nothing comes after the final answer.
 pub trait ResultReader: Send + Sync {
     /// Whether more rows may be fetched now.
-    fn has_room(&self) -> bool;
+    fn has_capacity(&self) -> bool;
     /// Takes complete rows as text: a tab between columns, a line feed after each row.
     fn push_rows(&self, rows: Vec<u8>);
     /// The engine lost the rest of the result: whether all rows may come again from the first one on. Rows that were
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -57,7 +57,7 @@
         state.sleep(POLL_INTERVAL);
         let now = state.clock.now();
         // Half-read results go on until then.
-        let results_are_read = service.is_none_or(|service| service.pages.unread() == 0);
+        let results_are_read = service.is_none_or(|service| service.pages.undelivered() == 0);
         // After a stall the sockets may not have been read since SIGTERM: what clients wrote meanwhile is unread.
         let sockets_are_read = state.stall_detector.has_polled_since(requested + CLIENTS_COME);
         if (!owes_answers(state) && results_are_read && sockets_are_read) || now >= killed {
@@ -80,5 +80,5 @@
 }
 
 fn owes_answers(state: &State) -> bool {
-    state.policy.in_flight() > 0 || !state.client_connections.are_idle()
+    state.policy.in_flight() > 0 || !state.client_connections.all_idle()
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -8,16 +8,16 @@
 
 /// Signals caught as bytes that wait to be read. Registered before anything else: a signal that comes before the
 /// gateway is ready must not end it by the system's default.
-pub struct CaughtSignals {
+pub struct RegisteredSignals {
     terminate: UnixStream,
     log_counters: UnixStream,
     reload: UnixStream,
 }
 
-impl CaughtSignals {
+impl RegisteredSignals {
     /// Catches the signals from now on.
-    pub fn register() -> io::Result<CaughtSignals> {
-        Ok(CaughtSignals {
+    pub fn register() -> io::Result<RegisteredSignals> {
+        Ok(RegisteredSignals {
             terminate: register(SIGTERM)?,
             log_counters: register(SIGUSR1)?,
             reload: register(SIGHUP)?,
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -15,8 +15,8 @@
 use crate::config::Config;
 use crate::logging::{self, Logging};
 use crate::platform::Platform;
-use crate::reload::{Files, Reloader};
-use crate::signals::{CaughtSignals, SignalStream, Signals};
+use crate::reload::{ConfigFiles, Reloader};
+use crate::signals::{RegisteredSignals, SignalStream, Signals};
 use crate::state::State;
 use crate::state::clock::Clock;
 use crate::subsetting::{self, Subsetting};
@@ -40,12 +40,12 @@
 pub fn run(
     loaded: LoadedFiles,
     platform: Platform,
-    caught_signals: CaughtSignals,
+    registered_signals: RegisteredSignals,
 ) -> Result<(), StartupError> {
     may::config().set_workers(1).set_stack_size(STACK_BYTES / size_of::<usize>()).set_worker_pin(false);
     may::config().set_pool_capacity(POOLED_COROUTINES);
     let LoadedFiles { config_path, config, operator_config } = loaded;
-    let files = Files {
+    let files = ConfigFiles {
         config: config_path,
         operator_config: operator_config.as_ref().map(|file| file.path.clone()),
     };
@@ -72,12 +72,12 @@
         clock: Clock::start((platform.unix_clock)()),
     }));
     // The configuration's endpoint list counts as if the discovery service had just sent it.
-    state.policy.confirm_endpoints(state.clock.now());
+    state.policy.confirm_endpoint_list(state.clock.now());
     for event in &known {
         discovery::apply(&state, event);
     }
     let event_poll_probe = timer::EventPollProbe::open().map_err(StartupError::SocketPair)?;
-    let signals = caught_signals.into_streams().map_err(StartupError::Signals)?;
+    let signals = registered_signals.into_streams().map_err(StartupError::Signals)?;
     log_addresses(&state, &listener, listen, paged_rest.as_ref());
     let cluster = join_cluster(&state, operator_config, quota_inputs, seed, platform)?;
     let gateway = Gateway {
@@ -141,7 +141,7 @@
     subsetting: Option<Subsetting>,
     event_poll_probe: timer::EventPollProbe,
     signals: Signals,
-    files: Files,
+    files: ConfigFiles,
     discovery: SocketAddrV4,
     seed: u64,
 }
--- a/crates/gateway/src/startup/paged_rest.rs
+++ b/crates/gateway/src/startup/paged_rest.rs
@@ -36,7 +36,7 @@
     paged_rest: Option<&PagedRest>,
 ) -> Result<Limits, StartupError> {
     let connections = paged_rest.map_or(0, |rest| rest.settings.max_connections);
-    let limits = limits.reserve_clients(connections).ok_or(StartupError::NoConnectionsLeft)?;
+    let limits = limits.reserve_client_connections(connections).ok_or(StartupError::NoConnectionsLeft)?;
     let engine_connections = limits.engine_connections;
     if paged_rest.is_some_and(|rest| rest.settings.limits.max_in_flight > engine_connections / 2) {
         return Err(StartupError::TooManyQueries { engine_connections });
--- a/crates/gateway/src/startup/state.rs
+++ b/crates/gateway/src/startup/state.rs
@@ -53,7 +53,7 @@
         limits,
         policy: PolicyHandle::new(policy, clock, limits.requests, timers.clone()),
         timers,
-        client_connections: ClientConnections::new(limits.unread_bytes),
+        client_connections: ClientConnections::new(limits.unsent_bytes),
         engine_connections: Arc::new(ConnectionPool::new(
             limits.engine_connections,
             platform.engine_idle_timeout,
--- a/crates/gateway/src/state/client_connections.rs
+++ b/crates/gateway/src/state/client_connections.rs
@@ -16,30 +16,30 @@
 /// A connection that was registered.
 pub struct RegisteredConnection {
     /// Its number.
-    pub number: usize,
+    pub id: usize,
     /// Its responses.
     pub writer: Arc<ResponseWriter>,
 }
 
 impl ClientConnections {
-    /// No connections; responses of all together may hold `max_unread_bytes`.
-    pub fn new(max_unread_bytes: usize) -> ClientConnections {
+    /// No connections; responses of all together may hold `max_unsent_bytes`.
+    pub fn new(max_unsent_bytes: usize) -> ClientConnections {
         ClientConnections {
             writers: Mutex::new(Slab::new()),
-            unread: Arc::new(UnreadBytes::new(max_unread_bytes)),
+            unread: Arc::new(UnreadBytes::new(max_unsent_bytes)),
         }
     }
 
     /// Adds a connection whose coroutine is woken by this waker.
     pub fn register(&self, waker: WaitIoWaker, now: Timestamp) -> RegisteredConnection {
         let writer = Arc::new(ResponseWriter::new(waker, self.unread.clone(), now));
-        let number = lock(&self.writers).insert(writer.clone());
-        RegisteredConnection { number, writer }
+        let id = lock(&self.writers).insert(writer.clone());
+        RegisteredConnection { id, writer }
     }
 
     /// Removes a connection that has ended.
-    pub fn unregister(&self, number: usize) {
-        lock(&self.writers).try_remove(number);
+    pub fn unregister(&self, id: usize) {
+        lock(&self.writers).try_remove(id);
     }
 
     /// How many connections are open.
@@ -53,7 +53,7 @@
     }
 
     /// Whether on all connections nothing is open and nothing is on its way out.
-    pub fn are_idle(&self) -> bool {
+    pub fn all_idle(&self) -> bool {
         lock(&self.writers).iter().all(|(_, writer)| writer.is_idle())
     }
 
@@ -73,7 +73,7 @@
 
     /// Asks up to `max` connections to close, of those on which no response is owed. One with activity since `recent`
     /// may be about to send a request and stays.
-    pub fn close_idle(&self, max: usize, recent: Timestamp) {
+    pub fn evict_idle(&self, max: usize, recent: Timestamp) {
         let mut evictable: Vec<_> = lock(&self.writers)
             .iter()
             .filter_map(|(_, writer)| Some((writer.eviction_order(recent)?, writer.clone())))
--- a/crates/gateway/src/state/clock.rs
+++ b/crates/gateway/src/state/clock.rs
@@ -25,12 +25,12 @@
 
     /// The time left until the deadline, as a timeout; zero once the deadline has passed.
     pub fn remaining(&self, deadline: Timestamp) -> StdDuration {
-        timeout(deadline.since(self.now()))
+        to_std_timeout(deadline.since(self.now()))
     }
 }
 
 /// A duration as a timeout of a socket or a thread: whole milliseconds, rounded up. The coroutine crate counts in
 /// whole milliseconds and takes zero for a wait without end.
-pub fn timeout(duration: Duration) -> StdDuration {
+pub fn to_std_timeout(duration: Duration) -> StdDuration {
     StdDuration::from_millis(duration.micros().div_ceil(1000))
 }
--- a/crates/gateway/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -28,25 +28,25 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GatewayCounters {
     /// Client connections accepted.
-    pub connections: u64,
+    pub client_connections: u64,
     /// Messages that no request could be made of.
-    pub unusable: u64,
+    pub invalid_requests: u64,
     /// Requests rejected by the gateway's own limits: too many open on a connection, or in flight.
     pub over_limits: u64,
     /// Pings of clients.
     pub pings: u64,
     /// Load reports asked for.
-    pub load_probes: u64,
+    pub load_report_requests: u64,
     /// Events of the discovery service.
     pub discovery_events: u64,
     /// Paged results whose last page was handed out.
-    pub results_read: u64,
+    pub results_delivered: u64,
     /// Paged results that their clients abandoned.
     pub results_abandoned: u64,
     /// Most requests in flight at a time.
     pub max_in_flight: usize,
     /// Most client connections at a time.
-    pub max_clients: usize,
+    pub max_client_connections: usize,
     /// Most connections to engines at a time.
     pub max_engine_connections: usize,
     /// The longest delay of the timer thread: the time for which others kept the core.
@@ -94,7 +94,7 @@
     }
 
     /// Updates the counters that belong to no class.
-    pub fn update(&self, update: impl FnOnce(&mut GatewayCounters)) {
+    pub fn update_gateway(&self, update: impl FnOnce(&mut GatewayCounters)) {
         update(&mut lock(&self.gateway));
     }
 
@@ -153,16 +153,16 @@
             "gateway counters, connections: {}, unusable: {}, over_limits: {}, pings: {}, load_probes: {}, \
              discovery_events: {}, results_read: {}, results_abandoned: {}, most_in_flight: {}, most_clients: {}, \
              most_engine_connections: {}, most_lag_ms: {}",
-            self.connections,
-            self.unusable,
+            self.client_connections,
+            self.invalid_requests,
             self.over_limits,
             self.pings,
-            self.load_probes,
+            self.load_report_requests,
             self.discovery_events,
-            self.results_read,
+            self.results_delivered,
             self.results_abandoned,
             self.max_in_flight,
-            self.max_clients,
+            self.max_client_connections,
             self.max_engine_connections,
             self.max_timer_lag_ms
         )
--- a/crates/gateway/src/state/discovery_status.rs
+++ b/crates/gateway/src/state/discovery_status.rs
@@ -7,17 +7,17 @@
 pub struct DiscoveryStatus {
     current_client: AtomicU64,
     /// In microseconds of the gateway's clock.
-    last_heard: AtomicU64,
+    last_contact: AtomicU64,
 }
 
 impl DiscoveryStatus {
     /// No client yet; the configuration's endpoint list counts as heard now.
     pub fn new(now: Timestamp) -> DiscoveryStatus {
-        DiscoveryStatus { current_client: AtomicU64::new(0), last_heard: AtomicU64::new(now.micros()) }
+        DiscoveryStatus { current_client: AtomicU64::new(0), last_contact: AtomicU64::new(now.micros()) }
     }
 
     /// The number of a new client; the ones before it end.
-    pub fn next_client(&self) -> u64 {
+    pub fn next_client_id(&self) -> u64 {
         self.current_client.fetch_add(1, Ordering::Relaxed) + 1
     }
 
@@ -27,12 +27,12 @@
     }
 
     /// The discovery service said something, be it that there is nothing new.
-    pub fn record_heard(&self, now: Timestamp) {
-        self.last_heard.store(now.micros(), Ordering::Relaxed);
+    pub fn record_contact(&self, now: Timestamp) {
+        self.last_contact.store(now.micros(), Ordering::Relaxed);
     }
 
     /// When the discovery service last said anything.
-    pub fn last_heard(&self) -> Timestamp {
-        Timestamp::from_micros(self.last_heard.load(Ordering::Relaxed))
+    pub fn last_contact(&self) -> Timestamp {
+        Timestamp::from_micros(self.last_contact.load(Ordering::Relaxed))
     }
 }
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -32,7 +32,7 @@
     /// Requests in flight, of all clients together.
     pub requests: usize,
     /// Bytes of responses that clients have not read.
-    pub unread_bytes: usize,
+    pub unsent_bytes: usize,
 }
 
 impl Limits {
@@ -44,14 +44,14 @@
             client_connections: CLIENT_DESCRIPTORS.of(descriptors),
             engine_connections: ENGINE_DESCRIPTORS.of(descriptors),
             requests: memory / REQUEST_MEMORY_DIVISOR / BYTES_PER_REQUEST,
-            unread_bytes: memory / RESPONSE_MEMORY_DIVISOR,
+            unsent_bytes: memory / RESPONSE_MEMORY_DIVISOR,
         };
         let is_usable = limits.client_connections > 0 && limits.engine_connections > 0 && limits.requests > 0;
         is_usable.then_some(limits)
     }
 
     /// The limits with so many client connections reserved for another protocol; `None` when none are left.
-    pub fn reserve_clients(self, reserved: usize) -> Option<Limits> {
+    pub fn reserve_client_connections(self, reserved: usize) -> Option<Limits> {
         let left = self.client_connections.checked_sub(reserved).filter(|left| *left > 0)?;
         Some(Limits { client_connections: left, ..self })
     }
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -76,7 +76,7 @@
 
     /// Whether this gateway stalled for long and has not yet read what the discovery service sent meanwhile.
     pub fn is_behind_discovery(&self) -> bool {
-        let heard = self.discovery.last_heard();
+        let heard = self.discovery.last_contact();
         self.stall_detector.discovery_catch_up(self.clock.now(), heard) > Duration::ZERO
     }
 
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -23,9 +23,9 @@
 use larchfall_quotas::demand::Arrivals;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-pub use capacity::ReadyForQuota;
+pub use capacity::QuotaEngine;
 pub use engines::{EndpointSummary, EngineStatus};
-pub use in_flight::{AdmissionError, Disconnection};
+pub use in_flight::{AdmissionError, DisconnectAction};
 pub use larchfall_policy::policy::TICK;
 
 /// The policy, and what belongs to its decisions.
--- a/crates/gateway/src/state/policy_handle/capacity.rs
+++ b/crates/gateway/src/state/policy_handle/capacity.rs
@@ -29,7 +29,7 @@
 
 /// A ready engine that this gateway uses, as far as quotas are worked out from it.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadyForQuota {
+pub struct QuotaEngine {
     /// Its id in the list.
     pub id: u32,
     /// What the list says of it.
@@ -104,11 +104,11 @@
     }
 
     /// Ready engines that this gateway uses, and whether each is in slow start by this policy.
-    pub fn ready_for_quotas(&self, slow_start: &SlowStartPolicy) -> Vec<ReadyForQuota> {
+    pub fn quota_engines(&self, slow_start: &SlowStartPolicy) -> Vec<QuotaEngine> {
         let decisions = self.lock();
         let now = self.clock.now();
         let used = decisions.engines.ready().into_iter().filter(|ready| decisions.capacity.uses(ready.id));
-        used.map(|ready| ReadyForQuota {
+        used.map(|ready| QuotaEngine {
             id: ready.id,
             engine: ready.engine,
             in_slow_start: slow_start.capacity_factor(ready.engine.started, now) < 1.0,
--- a/crates/gateway/src/state/policy_handle/engines.rs
+++ b/crates/gateway/src/state/policy_handle/engines.rs
@@ -24,14 +24,14 @@
 #[derive(Clone, Debug)]
 pub struct EndpointSummary {
     /// How many engines are listed and not gone.
-    pub present: usize,
+    pub present_count: usize,
     /// Those that are ready.
     pub ready: Vec<ReadyEngine>,
 }
 
 impl PolicyHandle {
     /// The discovery service said something, be it that there is nothing new: the endpoint list holds as of then.
-    pub fn confirm_endpoints(&self, as_of: Timestamp) {
+    pub fn confirm_endpoint_list(&self, as_of: Timestamp) {
         self.lock().policy.confirm_endpoint_list(as_of);
     }
 
@@ -56,9 +56,12 @@
     }
 
     /// How many engines are listed, and those that are ready.
-    pub fn endpoints(&self) -> EndpointSummary {
+    pub fn endpoint_summary(&self) -> EndpointSummary {
         let decisions = self.lock();
-        EndpointSummary { present: decisions.engines.present().count(), ready: decisions.engines.ready() }
+        EndpointSummary {
+            present_count: decisions.engines.present().count(),
+            ready: decisions.engines.ready(),
+        }
     }
 
     /// All engines that are listed as ready, in the subset or not.
@@ -67,7 +70,7 @@
     }
 
     /// All processes of engines that are listed and not gone.
-    pub fn processes(&self) -> Vec<EngineProcess> {
+    pub fn listed_processes(&self) -> Vec<EngineProcess> {
         self.lock().engines.present().map(|engine| engine.process).collect()
     }
 
--- a/crates/gateway/src/state/policy_handle/in_flight.rs
+++ b/crates/gateway/src/state/policy_handle/in_flight.rs
@@ -20,7 +20,7 @@
 
 /// What the coroutine of a request is to do after its client disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Disconnection {
+pub enum DisconnectAction {
     /// Cancel the attempts that are in flight.
     CancelAttempts,
     /// Let the attempts that are in flight run to their end.
@@ -31,7 +31,7 @@
 pub(super) struct InFlightRequest {
     id: u64,
     /// Set once the client has disconnected.
-    pub(super) disconnection: Option<Disconnection>,
+    pub(super) disconnect_action: Option<DisconnectAction>,
     /// The request's coroutine while it waits for a change.
     pub(super) waiting: Option<Arc<Blocker>>,
 }
@@ -56,7 +56,7 @@
         if !self.ids.insert(id) {
             return Err(AdmissionError::DuplicateId);
         }
-        Ok(self.requests.insert(InFlightRequest { id, disconnection: None, waiting: None }))
+        Ok(self.requests.insert(InFlightRequest { id, disconnect_action: None, waiting: None }))
     }
 
     /// Frees the index of a request that is over.
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -1,6 +1,6 @@
 //! One request's life: admitted, routed, waiting, attempted, over.
 
-use super::in_flight::{AdmissionError, Disconnection};
+use super::in_flight::{AdmissionError, DisconnectAction};
 use super::{Decisions, PolicyHandle};
 use crate::state::engine_table::EngineInstance;
 use larchfall_policy::types::{AfterAttempt, AttemptResult, ProgressUpdate, Request, RoutingDecision};
@@ -32,7 +32,9 @@
         let mut decisions = self.lock();
         let deadline = decisions.policy.next_check(self.clock.now(), request);
         let in_flight = decisions.in_flight.get_mut(request);
-        let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnection.is_none()) else { return };
+        let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnect_action.is_none()) else {
+            return;
+        };
         in_flight.waiting = Some(blocker.clone());
         drop(decisions);
         self.timers.park_until(&blocker, deadline);
@@ -75,12 +77,14 @@
         let mut guard = self.lock();
         let Decisions { policy, in_flight, .. } = &mut *guard;
         let in_flight = in_flight.get_mut(request);
-        let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnection.is_none()) else { return };
+        let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnect_action.is_none()) else {
+            return;
+        };
         let to_cancel = policy.on_client_disconnected(request);
-        in_flight.disconnection = Some(if to_cancel.is_empty() {
-            Disconnection::LetAttemptsFinish
+        in_flight.disconnect_action = Some(if to_cancel.is_empty() {
+            DisconnectAction::LetAttemptsFinish
         } else {
-            Disconnection::CancelAttempts
+            DisconnectAction::CancelAttempts
         });
         if let Some(waiting) = in_flight.waiting.take() {
             waiting.unpark();
@@ -88,8 +92,8 @@
     }
 
     /// What to do after the client of a request has disconnected; `None` while it has not.
-    pub fn disconnection(&self, request: usize) -> Option<Disconnection> {
-        self.lock().in_flight.get(request)?.disconnection
+    pub fn disconnect_action(&self, request: usize) -> Option<DisconnectAction> {
+        self.lock().in_flight.get(request)?.disconnect_action
     }
 
     /// A request is over, with none of its attempts in flight: its index is free.
--- a/crates/gateway/src/state/response_writer.rs
+++ b/crates/gateway/src/state/response_writer.rs
@@ -67,7 +67,7 @@
 
 /// Whether a message's id may be used.
 #[derive(Debug, PartialEq)]
-pub enum IdCheck {
+pub enum MessageIdCheck {
     /// A request may be opened under it.
     Accepted,
     /// Too many requests are open on this connection.
@@ -95,22 +95,22 @@
     }
 
     /// Records the id of a message that came.
-    pub fn record_id(&self, id: u32) -> IdCheck {
+    pub fn register_message_id(&self, id: u32) -> MessageIdCheck {
         let mut connection = lock(&self.connection);
         if id <= connection.last_message_id {
-            return IdCheck::Reused;
+            return MessageIdCheck::Reused;
         }
         connection.last_message_id = id;
         connection.has_sent_message = true;
         if connection.open_requests.len() >= MAX_OPEN_REQUESTS {
-            IdCheck::TooManyOpen
+            MessageIdCheck::TooManyOpen
         } else {
-            IdCheck::Accepted
+            MessageIdCheck::Accepted
         }
     }
 
     /// A message's request was admitted: a response is owed to it.
-    pub fn open(&self, id: u32, request: usize) {
+    pub fn open_request(&self, id: u32, request: usize) {
         lock(&self.connection).open_requests.insert(id, request);
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Whether all requests have their response, and some of that is not yet read.
-    pub fn has_only_unread_responses(&self) -> bool {
+    pub fn has_only_unsent_responses(&self) -> bool {
         let connection = lock(&self.connection);
         connection.open_requests.is_empty() && !connection.unread.is_empty()
     }
--- a/crates/gateway/src/state/result_pages.rs
+++ b/crates/gateway/src/state/result_pages.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether another page may be added now.
-    pub fn has_room(&self, id: ResultId) -> bool {
+    pub fn has_capacity(&self, id: ResultId) -> bool {
         self.update(|results| results.has_capacity(id)).unwrap_or(false)
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// How many results there are whose client has not had the final answer.
-    pub fn unread(&self) -> usize {
+    pub fn undelivered(&self) -> usize {
         self.update(|results| results.undelivered())
     }
 }
--- a/crates/gateway/src/state/settings.rs
+++ b/crates/gateway/src/state/settings.rs
@@ -29,7 +29,7 @@
     /// An engine that drains by now is sent what was routed to it no longer ago than this.
     pub drain_send_window: Duration,
     /// Responses that wait unread for this long have no reader.
-    pub unread_response_timeout: Duration,
+    pub unsent_response_timeout: Duration,
 }
 
 /// What the transport needs to know of a request class.
@@ -64,7 +64,7 @@
             max_retry_after: settings.policy.capabilities.max_retry_after,
             connect_timeout: settings.connect_timeout,
             drain_send_window: MAX_DRAIN_SEND_WINDOW.min(settings.drain_grace * DRAIN_SEND_FRACTION),
-            unread_response_timeout: UNREAD_RESPONSE_TIMEOUT.max(longest + LATE_RESPONSE_GRACE),
+            unsent_response_timeout: UNREAD_RESPONSE_TIMEOUT.max(longest + LATE_RESPONSE_GRACE),
         }
     }
 
--- a/crates/gateway/src/state/stall_detector.rs
+++ b/crates/gateway/src/state/stall_detector.rs
@@ -80,7 +80,7 @@
     }
 
     /// The timer thread came by; true when there was a long stall since the last time.
-    pub fn on_timer(&self, now: Timestamp) -> bool {
+    pub fn record_timer_run(&self, now: Timestamp) -> bool {
         let mut marks = lock(&self.marks);
         marks.record_running(now);
         std::mem::take(&mut marks.has_unreported_stall)
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -5,7 +5,7 @@
 use crate::client::paged_rest::{self, RestService};
 use crate::engine::load_report;
 use crate::state::State;
-use crate::state::clock::timeout;
+use crate::state::clock::to_std_timeout;
 use crate::state::policy_handle::TICK;
 use crate::state::stall_detector::TIMER_PERIOD;
 use larchfall_policy::time::{Duration, Timestamp};
@@ -22,7 +22,7 @@
     loop {
         let next_deadline = state.timers.wake_due(&blocker);
         let now = state.clock.now();
-        if state.stall_detector.on_timer(now) {
+        if state.stall_detector.record_timer_run(now) {
             warn!(state.log, "process stall detected");
         }
         if now >= next_tick {
@@ -38,7 +38,7 @@
             let lag_ms = state.clock.now().since(until).micros() / 1000;
             state
                 .counters
-                .update(|counters| counters.max_timer_lag_ms = counters.max_timer_lag_ms.max(lag_ms));
+                .update_gateway(|counters| counters.max_timer_lag_ms = counters.max_timer_lag_ms.max(lag_ms));
         }
     }
 }
@@ -79,7 +79,7 @@
     /// Opens the pair.
     pub fn open() -> io::Result<EventPollProbe> {
         let (waiting_end, silent_end) = UnixStream::pair()?;
-        waiting_end.set_read_timeout(Some(timeout(TIMER_PERIOD)))?;
+        waiting_end.set_read_timeout(Some(to_std_timeout(TIMER_PERIOD)))?;
         Ok(EventPollProbe { waiting_end, _silent_end: silent_end })
     }
 }
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -7,7 +7,7 @@
 use larchfall_gateway::state::counters::Counters;
 use larchfall_gateway::state::engine_table::{EndpointChanges, EngineTable};
 use larchfall_gateway::state::limits::Limits;
-use larchfall_gateway::state::response_writer::{IdCheck, MAX_OPEN_REQUESTS};
+use larchfall_gateway::state::response_writer::{MAX_OPEN_REQUESTS, MessageIdCheck};
 use larchfall_gateway::state::stall_detector::StallDetector;
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{EngineState, Outcome};
@@ -36,14 +36,14 @@
         assert_eq!(detector.earliest_send_time(ms(slept_since), ms(read_time)), ms(expected), "{what}");
     }
     let detector = StallDetector::start(ms(100));
-    [600, 700, 720].iter().for_each(|now| _ = detector.on_timer(ms(*now)));
+    [600, 700, 720].iter().for_each(|now| _ = detector.record_timer_run(ms(*now)));
     assert_eq!(detector.earliest_send_time(ms(50), ms(730)), ms(100), "one stall after the other");
     let detector = StallDetector::start(ms(0));
-    assert!(detector.on_timer(ms(2000)), "a long one");
+    assert!(detector.record_timer_run(ms(2000)), "a long one");
     assert_eq!(detector.earliest_send_time(ms(10), ms(2020)), ms(10), "woken by the stall's end");
     assert_eq!(detector.earliest_send_time(ms(2030), ms(2040)), ms(2040), "went to sleep after it");
     for now in (2040..2400).step_by(20) {
-        detector.on_timer(ms(now));
+        detector.record_timer_run(ms(now));
     }
     assert_eq!(detector.earliest_send_time(ms(10), ms(2400)), ms(2400), "long after it");
 }
@@ -75,8 +75,8 @@
     ];
     for Case { what, stalled_until, now, discovery_heard, expected } in cases {
         let detector = StallDetector::start(ms(100));
-        detector.on_timer(ms(stalled_until));
-        (stalled_until..now).step_by(20).for_each(|now| _ = detector.on_timer(ms(now)));
+        detector.record_timer_run(ms(stalled_until));
+        (stalled_until..now).step_by(20).for_each(|now| _ = detector.record_timer_run(ms(now)));
         let catch_up = detector.discovery_catch_up(ms(now), ms(discovery_heard));
         assert_eq!(catch_up, Duration::from_millis(expected), "{what}");
     }
@@ -88,7 +88,7 @@
         let limits = Limits::new(memory, sockets).unwrap();
         assert!(limits.client_connections + limits.engine_connections + 16 <= sockets, "{limits:?}");
         assert!(limits.client_connections * 3 >= (sockets - 24), "clients hold a third at most: {limits:?}");
-        assert!(limits.unread_bytes <= memory << 18, "{limits:?}");
+        assert!(limits.unsent_bytes <= memory << 18, "{limits:?}");
     }
     for (memory, sockets) in [(192, 0), (192, 24), (0, 1024)] {
         assert_eq!(Limits::new(memory, sockets), None, "{memory} MB, {sockets} sockets");
@@ -161,14 +161,14 @@
         let registered = connections.register(stream.waker(), ms(0));
         let writer = registered.writer;
         assert_eq!(
-            (writer.record_id(3), writer.record_id(3), writer.record_id(2)),
-            (IdCheck::Accepted, IdCheck::Reused, IdCheck::Reused)
+            (writer.register_message_id(3), writer.register_message_id(3), writer.register_message_id(2)),
+            (MessageIdCheck::Accepted, MessageIdCheck::Reused, MessageIdCheck::Reused)
         );
-        writer.open(3, 30);
+        writer.open_request(3, 30);
         assert!(writer.respond(3, &Response::Returned(b"rows")));
         assert!(!writer.respond(3, &Response::Errored("again")), "one answer and no more");
-        assert_eq!(writer.record_id(4), IdCheck::Accepted);
-        writer.open(4, 40);
+        assert_eq!(writer.register_message_id(4), MessageIdCheck::Accepted);
+        writer.open_request(4, 40);
         assert_eq!((writer.cancel(4), writer.cancel(4)), (Some(40), None));
         assert!(!writer.respond(4, &Response::Pong), "nobody waits for it");
         let mut written = Vec::new();
@@ -180,12 +180,12 @@
             })
         };
         assert_eq!(take(2, &mut written), Ok(2));
-        assert!(!writer.is_idle() && !connections.are_idle());
+        assert!(!writer.is_idle() && !connections.all_idle());
         take(100, &mut written).unwrap();
         let mut complete = Vec::new();
         message_pack::encode(&mut complete, 3, &Response::Returned(b"rows"));
         assert_eq!(written, complete);
-        assert!(writer.is_idle() && connections.are_idle());
+        assert!(writer.is_idle() && connections.all_idle());
         // What nobody reads is bounded: past that, answers shrink to an error.
         writer.send(5, &Response::Returned(&[0; 200]));
         let mut written = Vec::new();
@@ -193,12 +193,12 @@
         take(1000, &mut written).unwrap();
         assert!(written.len() < 300, "{} bytes", written.len());
         for id in 0..MAX_OPEN_REQUESTS as u32 {
-            assert_eq!(writer.record_id(100 + id), IdCheck::Accepted);
-            writer.open(100 + id, id as usize);
+            assert_eq!(writer.register_message_id(100 + id), MessageIdCheck::Accepted);
+            writer.open_request(100 + id, id as usize);
         }
-        assert_eq!(writer.record_id(200), IdCheck::TooManyOpen);
+        assert_eq!(writer.register_message_id(200), MessageIdCheck::TooManyOpen);
         assert_eq!(writer.cancel_all().len(), MAX_OPEN_REQUESTS);
-        connections.unregister(registered.number);
+        connections.unregister(registered.id);
         assert!(connections.is_empty());
     });
 }
--- a/crates/gateway/tests/gateway/timers.rs
+++ b/crates/gateway/tests/gateway/timers.rs
@@ -2,7 +2,7 @@
 
 use crate::common;
 use crate::in_process::{ms, timers};
-use larchfall_gateway::state::clock::timeout;
+use larchfall_gateway::state::clock::to_std_timeout;
 use larchfall_gateway::state::deadline_queue::DeadlineQueue;
 use larchfall_policy::time::Duration;
 use may::sync::Blocker;
@@ -14,7 +14,7 @@
 #[test]
 fn timeouts_are_never_rounded_down_to_zero() {
     for (us, expected) in [(0, 0), (1, 1), (999, 1), (1000, 1), (1001, 2), (250_000, 250)] {
-        assert_eq!(timeout(Duration::from_micros(us)), StdDuration::from_millis(expected), "{us} us");
+        assert_eq!(to_std_timeout(Duration::from_micros(us)), StdDuration::from_millis(expected), "{us} us");
     }
 }
 
