--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -69,19 +69,19 @@
     if class_settings.requires_idempotency_key && client_request.idempotency_key.is_none() {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
-    if class_settings.in_order && client_request.order_key.is_none() {
+    if class_settings.in_order && client_request.ordering_key.is_none() {
         return Err(InvalidRequest::MissingOrderKey);
     }
-    let key_spacing = if client_request.order_key.is_some() { KEY_SPACING } else { Duration::ZERO };
+    let key_spacing = if client_request.ordering_key.is_some() { KEY_SPACING } else { Duration::ZERO };
     let longest_wait = class_settings.max_deadline;
     let client_wait = client_request.timeout.unwrap_or(longest_wait).min(longest_wait);
     let deadline = (sent + client_wait - ROUND_TRIP_TIME - key_spacing).max(sent);
     Ok(Request {
         class,
         tenant,
-        key: client_request.order_key,
+        key: client_request.ordering_key,
         deadline: state.shutdown.deadline().map_or(deadline, |shutdown| deadline.min(shutdown)),
-        work: client_request.work,
+        work: client_request.work_estimate,
         memory_mb: client_request.memory_mb,
         data_set: data_set(client_request.statement).unwrap_or(0),
     })
--- a/crates/gateway/src/client/message_pack/requests.rs
+++ b/crates/gateway/src/client/message_pack/requests.rs
@@ -31,7 +31,7 @@
                     state.policy.record_disconnection(request);
                 }
             }
-            Message::Unusable { message_id, reason } => {
+            Message::InvalidRequest { message_id, reason } => {
                 open(writer, message_id)?;
                 state.counters.update(|counters| counters.unusable += 1);
                 writer.send(message_id, &Response::Errored(&reason.to_string()));
--- a/crates/gateway/src/client/paged_rest/request_fields.rs
+++ b/crates/gateway/src/client/paged_rest/request_fields.rs
@@ -32,10 +32,10 @@
     if idempotency_key.is_some_and(|key| !client_request::is_valid_idempotency_key(key)) {
         return Err(FieldError::Invalid { field: "reference" });
     }
-    let order_key = parse(fields.order_key.as_deref(), "key", client_request::parse_order_key)?;
+    let ordering_key = parse(fields.order_key.as_deref(), "key", client_request::parse_ordering_key)?;
     let class = fields.class.as_deref().ok_or(FieldError::Missing { field: "group" })?;
     let timeout = parse(fields.timeout.as_deref(), "time-limit", client_request::parse_timeout)?;
-    let work = parse(fields.work.as_deref(), "work", client_request::parse_work)?;
+    let work_estimate = parse(fields.work.as_deref(), "work", client_request::parse_work_estimate)?;
     let memory_mb = parse(fields.memory.as_deref(), "memory", client_request::parse_memory)?;
     Ok(ClientRequest {
         class,
@@ -44,8 +44,8 @@
         tenant: fields.tenant.as_deref().unwrap_or(""),
         timeout,
         idempotency_key,
-        order_key,
-        work: work.flatten(),
+        ordering_key,
+        work_estimate: work_estimate.flatten(),
         memory_mb: memory_mb.flatten(),
         statement,
     })
--- a/crates/gateway/src/client/paged_rest/service.rs
+++ b/crates/gateway/src/client/paged_rest/service.rs
@@ -51,12 +51,12 @@
     }
 
     /// How many connections are open.
-    pub fn clients(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
     pub(super) fn is_full(&self) -> bool {
-        self.clients() >= self.max_connections
+        self.open_connections() >= self.max_connections
     }
 
     /// Counts a connection for as long as the value returned lives.
--- a/crates/gateway/src/codec/client_request.rs
+++ b/crates/gateway/src/codec/client_request.rs
@@ -27,9 +27,9 @@
     /// Engines drop a repeat that has the same key.
     pub idempotency_key: Option<&'a str>,
     /// Requests of the same key run one after the other.
-    pub order_key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// Estimated time on one core.
-    pub work: Option<Duration>,
+    pub work_estimate: Option<Duration>,
     /// Estimated memory.
     pub memory_mb: Option<f64>,
     /// What an engine is to run.
@@ -52,7 +52,7 @@
 }
 
 /// Reads an order key: up to 16 hex digits.
-pub fn parse_order_key(text: &str) -> Option<u64> {
+pub fn parse_ordering_key(text: &str) -> Option<u64> {
     hex_number(text)
 }
 
@@ -68,7 +68,7 @@
 }
 
 /// Reads an estimate in milliseconds on one core. Zero stands for an unknown one and gives `Some(None)`.
-pub fn parse_work(text: &str) -> Option<Option<Duration>> {
+pub fn parse_work_estimate(text: &str) -> Option<Option<Duration>> {
     number_up_to(text, MAX_MILLISECONDS).map(|ms| Some(Duration::from_secs(ms / 1e3)).filter(|_| ms > 0.0))
 }
 
--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -38,7 +38,7 @@
     /// The list's version after this change.
     pub revision: u64,
     /// All entries there are; otherwise only those that changed.
-    pub full_list: bool,
+    pub is_full_list: bool,
     /// What the change says of endpoints.
     pub entries: Vec<EndpointEntry>,
 }
@@ -91,7 +91,7 @@
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
     let decoded = |value| Ok(Some(Decoded { value, length: 4 + length }));
-    let full_list = match frame[8] {
+    let is_full_list = match frame[8] {
         0 => return decoded(Frame::Heartbeat),
         1 => true,
         2 => false,
@@ -103,7 +103,7 @@
         return Err(DiscoveryError::RecordsLength { bytes: records.len() });
     }
     let entries = records.chunks_exact(RECORD_BYTES).map(entry).collect::<Result<_, _>>()?;
-    decoded(Frame::Event(WatchEvent { revision, full_list, entries }))
+    decoded(Frame::Event(WatchEvent { revision, is_full_list, entries }))
 }
 
 fn read_array<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
@@ -134,7 +134,7 @@
 }
 
 /// What a gateway writes on a new connection: the last revision that it has seen.
-pub fn encode_watch(last_revision: u64) -> [u8; 8] {
+pub fn encode_watch_request(last_revision: u64) -> [u8; 8] {
     last_revision.to_be_bytes()
 }
 
@@ -160,7 +160,7 @@
 #[derive(Deserialize)]
 struct KnownList {
     #[serde(default, rename = "reset")]
-    full_list: bool,
+    is_full_list: bool,
     #[serde(default, rename = "instances")]
     endpoints: Vec<KnownEntry>,
 }
@@ -194,7 +194,7 @@
     let entries = entries
         .collect::<Result<_, _>>()
         .map_err(|endpoint| DiscoveryError::KnownEndpoint { revision, endpoint })?;
-    Ok(WatchEvent { revision, full_list: event.list.full_list, entries })
+    Ok(WatchEvent { revision, is_full_list: event.list.is_full_list, entries })
 }
 
 fn known_endpoint(endpoint: &KnownEntry, names: &Names) -> Result<EndpointEntry, EndpointError> {
--- a/crates/gateway/src/codec/engine_http.rs
+++ b/crates/gateway/src/codec/engine_http.rs
@@ -30,7 +30,7 @@
 }
 
 /// The call that starts a statement.
-pub fn start_statement(host: impl Display, call: &StatementCall) -> Vec<u8> {
+pub fn encode_start_call(host: impl Display, call: &StatementCall) -> Vec<u8> {
     let StatementCall { id, class, priority, statement, .. } = call;
     let remaining_ms = (call.remaining.micros() / 1000).max(1);
     let mut head = format!(
@@ -50,17 +50,17 @@
 }
 
 /// The call for a page of a result. Page 0 is the query's progress until it has one.
-pub fn fetch_page(host: impl Display, id: &str, page: u32) -> Vec<u8> {
+pub fn encode_page_call(host: impl Display, id: &str, page: u32) -> Vec<u8> {
     format!("GET /obj/{id}/{page} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
 /// The call that cancels a query.
-pub fn cancel_statement(host: impl Display, id: &str) -> Vec<u8> {
+pub fn encode_cancel_call(host: impl Display, id: &str) -> Vec<u8> {
     format!("DELETE /obj/{id} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
 /// The call for an engine's load report.
-pub fn read_load(host: impl Display) -> Vec<u8> {
+pub fn encode_load_call(host: impl Display) -> Vec<u8> {
     format!("GET /stats HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
@@ -80,7 +80,7 @@
     /// The engine's load.
     pub load: LoadReport,
     /// The engine ends the connection after this.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// Rows, where it is a page.
     pub body: Vec<u8>,
 }
@@ -146,7 +146,7 @@
         } else if is("Transfer-Encoding") {
             return Err(ReplyError::NoLength);
         } else if is("Connection") {
-            reply.closes |= value.eq_ignore_ascii_case("close");
+            reply.closes_connection |= value.eq_ignore_ascii_case("close");
         } else if is("X-Declined") {
             reply.declined = value == "1";
         } else if is("Page-Count") {
@@ -174,8 +174,11 @@
         Ok(httparse::Status::Partial) => return Err(ReplyError::HeadTooLong),
         Err(_) => return Err(ReplyError::NotHttp),
     };
-    let mut reply =
-        Reply { status: head.code.unwrap_or(0), closes: head.version == Some(0), ..Reply::default() };
+    let mut reply = Reply {
+        status: head.code.unwrap_or(0),
+        closes_connection: head.version == Some(0),
+        ..Reply::default()
+    };
     let lines = HeadLines::read(head.headers, &mut reply)?;
     let body_length = match lines.body_length {
         _ if reply.status == 204 || reply.status / 100 == 1 => 0,
--- a/crates/gateway/src/codec/message_pack/decode.rs
+++ b/crates/gateway/src/codec/message_pack/decode.rs
@@ -43,7 +43,7 @@
         message_ids: Vec<u32>,
     },
     /// A request that has a number and can't be used.
-    Unusable {
+    InvalidRequest {
         /// Its number on the connection.
         message_id: u32,
         /// What its client is told.
@@ -104,18 +104,18 @@
         (Some(0), [_, id, method, ValueRef::Array(parameters)]) => {
             let message_id = message_id(id)?;
             let Some(method) = text(method) else {
-                return Ok(Message::Unusable { message_id, reason: RequestError::MethodNotText });
+                return Ok(Message::InvalidRequest { message_id, reason: RequestError::MethodNotText });
             };
             if method == "ping" {
                 return Ok(Message::Ping { message_id });
             }
             Ok(match request(method, parameters) {
                 Ok(request) => Message::Request { message_id, request },
-                Err(reason) => Message::Unusable { message_id, reason },
+                Err(reason) => Message::InvalidRequest { message_id, reason },
             })
         }
         (Some(0), [_, id, ..]) => {
-            Ok(Message::Unusable { message_id: message_id(id)?, reason: RequestError::WrongPartCount })
+            Ok(Message::InvalidRequest { message_id: message_id(id)?, reason: RequestError::WrongPartCount })
         }
         (Some(2), [_, method, ValueRef::Array(ids)]) if text(method) == Some("abort") => {
             Ok(Message::Abort { message_ids: ids.iter().map(message_id).collect::<Result<_, _>>()? })
@@ -174,8 +174,8 @@
     let idempotency_key = fields.optional(field::IDEMPOTENCY_KEY, |text| {
         client_request::is_valid_idempotency_key(text).then_some(text)
     })?;
-    let order_key = fields.optional(field::ORDER_KEY, client_request::parse_order_key)?;
-    let work = fields.optional(field::WORK_MS, client_request::parse_work)?;
+    let ordering_key = fields.optional(field::ORDER_KEY, client_request::parse_ordering_key)?;
+    let work_estimate = fields.optional(field::WORK_MS, client_request::parse_work_estimate)?;
     let memory_mb = fields.optional(field::MEMORY_MB, client_request::parse_memory)?;
     Ok(ClientRequest {
         class,
@@ -184,8 +184,8 @@
         tenant: fields.optional(field::TENANT, Some)?.unwrap_or(""),
         timeout: Some(timeout),
         idempotency_key,
-        order_key,
-        work: work.flatten(),
+        ordering_key,
+        work_estimate: work_estimate.flatten(),
         memory_mb: memory_mb.flatten(),
         statement,
     })
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// A change of the list counts as known so long after it happened, whether or not its event has come.
-pub const REPORTED_WITHIN: Duration = Duration::from_millis(7000);
+pub const MAX_EVENT_DELAY: Duration = Duration::from_millis(7000);
 /// An empty frame comes each second: after this much silence the service is taken for gone.
 const SILENCE: Duration = Duration::from_millis(2500);
 /// One last read after that much silence: to a gateway that was stalled all that was sent meanwhile is still unread.
@@ -53,14 +53,14 @@
 }
 
 /// Follows the service at this address from now on, in place of the one that was followed before.
-pub fn start(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
+pub fn start_client(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
     let client = state.discovery.next_client();
     let state = state.clone();
     may::go!(move || follow(&state, address, seed, client));
 }
 
 /// Applies a watch event, and drops connections to engines that are gone.
-pub fn apply(state: &State, event: &WatchEvent) {
+pub fn apply_event(state: &State, event: &WatchEvent) {
     for engine in state.policy.apply_discovery_event(event) {
         state.engine_connections.close_idle(engine);
     }
@@ -97,7 +97,8 @@
             return Disconnect::NotConnected;
         };
         let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
-        if stream.write_all(&discovery::encode_watch(self.state.policy.discovery_revision())).is_err() {
+        if stream.write_all(&discovery::encode_watch_request(self.state.policy.discovery_revision())).is_err()
+        {
             return Disconnect::NotWritten;
         }
         let mut is_last_read = false;
@@ -151,7 +152,7 @@
                     state.discovery.record_heard(state.clock.now());
                     state.policy.confirm_endpoints(sent);
                     if let Frame::Event(event) = frame {
-                        apply(state, &event);
+                        apply_event(state, &event);
                     }
                     self.input.drain(..length);
                 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -2,4 +2,4 @@
 
 mod client;
 
-pub use client::{REPORTED_WITHIN, apply, start};
+pub use client::{MAX_EVENT_DELAY, apply_event, start_client};
--- a/crates/gateway/src/engine/attempt.rs
+++ b/crates/gateway/src/engine/attempt.rs
@@ -32,13 +32,13 @@
     /// Its outcome.
     pub outcome: Outcome,
     /// The engine's load, where it told.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
     /// What was last observed of it.
     pub evidence: AttemptEvidence,
     /// Its rows broke off after some were handed to the client: the request can only end in an error.
     pub is_truncated: bool,
-    /// Its time ran out and its key waits for its end: `evidence` holds nothing until `Attempt::settle` was called.
-    pub is_unsettled: bool,
+    /// Its time ran out and its key waits for its end: `evidence` holds nothing until `Attempt::cancel_timed_out` was called.
+    pub is_cancel_pending: bool,
 }
 
 impl AttemptEnd {
@@ -51,10 +51,10 @@
     fn new(outcome: Outcome, evidence: AttemptEvidence) -> AttemptEnd {
         AttemptEnd {
             outcome,
-            report: LoadReport::default(),
+            load_report: LoadReport::default(),
             evidence,
             is_truncated: false,
-            is_unsettled: false,
+            is_cancel_pending: false,
         }
     }
 }
@@ -79,8 +79,8 @@
     pub started: Timestamp,
     /// Held from before the first connection is taken until the attempt is over, or handed on with its cancellation.
     pub(super) permit: Cell<Option<ConnectionPermit>>,
-    /// The connection on which `settle` tells the engine to stop.
-    pub(super) unsettled_connection: Cell<Option<Connection>>,
+    /// The connection on which `cancel_timed_out` tells the engine to stop.
+    pub(super) cancel_connection: Cell<Option<Connection>>,
     /// When the engine may last have been polled: the end of the last call.
     pub(super) last_call: Cell<Timestamp>,
     /// Whether the process at the other end of the present connection is known to have this attempt.
@@ -107,7 +107,7 @@
             instance,
             started,
             permit: Cell::new(None),
-            unsettled_connection: Cell::new(None),
+            cancel_connection: Cell::new(None),
             last_call: Cell::new(started),
             same_process: Cell::new(true),
         })
@@ -197,7 +197,7 @@
             priority: self.parameters.priority,
             statement: &self.context.statement,
         };
-        engine_http::start_statement(self.instance.address, &call)
+        engine_http::encode_start_call(self.instance.address, &call)
     }
 
     /// An end with what was last observed of the attempt. What does not prove that nothing runs is logged.
@@ -240,6 +240,9 @@
 
 /// Keeps a connection after a reply, unless the engine closes it or more came on it than was asked for: the next reply
 /// read from it would be another call's.
-pub(super) fn keep_if_clean(connection: Option<Connection>, closes: bool) -> Option<Connection> {
-    connection.filter(|connection| !closes && connection.is_clean())
+pub(super) fn keep_if_reusable(
+    connection: Option<Connection>,
+    closes_connection: bool,
+) -> Option<Connection> {
+    connection.filter(|connection| !closes_connection && connection.is_reusable())
 }
--- a/crates/gateway/src/engine/cancellation.rs
+++ b/crates/gateway/src/engine/cancellation.rs
@@ -1,6 +1,6 @@
 //! Tells an engine to stop an attempt.
 
-use super::attempt::{Attempt, AttemptEnd, POLL_TIMEOUT, RETRY_PAUSE, keep_if_clean};
+use super::attempt::{Attempt, AttemptEnd, POLL_TIMEOUT, RETRY_PAUSE, keep_if_reusable};
 use super::connection::{ConnectError, Connection, connect};
 use crate::codec::engine_http;
 use crate::state::State;
@@ -21,8 +21,8 @@
 impl Attempt<'_> {
     /// After an unsettled end, when the client has its answer but the key still waits: tells the engine to stop, on the
     /// connection that there is, once the call held there comes back (an engine that drains takes no new one).
-    pub fn settle(&self) -> AttemptEvidence {
-        let connection = self.unsettled_connection.take();
+    pub fn cancel_timed_out(&self) -> AttemptEvidence {
+        let connection = self.cancel_connection.take();
         self.cancel(connection, POLL_TIMEOUT + CANCEL_TIMEOUT, Outcome::TimedOut).evidence
     }
 
@@ -34,7 +34,7 @@
         timeout: Duration,
         outcome: Outcome,
     ) -> AttemptEnd {
-        let cancel = engine_http::cancel_statement(self.instance.address, &self.context.id);
+        let cancel = engine_http::encode_cancel_call(self.instance.address, &self.context.id);
         let began = self.state.clock.now();
         let waits_for_key = outcome == Outcome::Cancelled && self.context.in_order;
         let mut deadline = began + if waits_for_key { ENGINE_FORGETS_AFTER } else { timeout };
@@ -56,7 +56,7 @@
                 if let Ok(reply) = open.call(&cancel, &self.state.clock, call_deadline)
                     && reply.status == 204
                 {
-                    self.put_back(keep_if_clean(Some(open), reply.closes));
+                    self.put_back(keep_if_reusable(Some(open), reply.closes_connection));
                     return self.end(LastObservation::Stopped, outcome);
                 }
             }
@@ -69,7 +69,7 @@
 
     /// Tells the engine to stop on a coroutine of its own, which has the permit of this attempt from now on.
     pub(super) fn cancel_in_background(&self, connection: Option<Connection>) {
-        let cancel = engine_http::cancel_statement(self.instance.address, &self.context.id);
+        let cancel = engine_http::encode_cancel_call(self.instance.address, &self.context.id);
         let state = self.state.clone();
         let instance = self.instance;
         let permit = self.permit.take();
@@ -87,7 +87,7 @@
     let deadline = state.clock.now() + timeout;
     let Some(mut connection) = connection.or_else(|| connect(state, instance, deadline).ok()) else { return };
     if let Ok(reply) = connection.call(cancel, &state.clock, deadline)
-        && !reply.closes
+        && !reply.closes_connection
     {
         state.engine_connections.put_back(connection, state.clock.now());
     }
--- a/crates/gateway/src/engine/connection.rs
+++ b/crates/gateway/src/engine/connection.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether nothing is owed and nothing came that was not asked for: an end or stray bytes make a connection useless.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut byte = [0];
         self.input.is_empty()
             && !self.awaits_reply
@@ -168,7 +168,7 @@
     while let Some(reused) = state.engine_connections.take_idle(instance, state.clock.now()) {
         // A wait that is shorter than most answers; a new connection costs its engine work, and may not come up.
         state.sleep(reused.usable_from.since(state.clock.now()));
-        if reused.connection.is_clean() {
+        if reused.connection.is_reusable() {
             return Ok(reused.connection);
         }
     }
--- a/crates/gateway/src/engine/load_report.rs
+++ b/crates/gateway/src/engine/load_report.rs
@@ -13,8 +13,9 @@
     state.counters.update(|counters| counters.load_probes += 1);
     let deadline = state.clock.now() + state.settings.connect_timeout;
     let mut connection = connect(state, instance, deadline).ok()?;
-    let reply = connection.call(&engine_http::read_load(instance.address), &state.clock, deadline).ok()?;
-    if !reply.closes {
+    let reply =
+        connection.call(&engine_http::encode_load_call(instance.address), &state.clock, deadline).ok()?;
+    if !reply.closes_connection {
         state.engine_connections.put_back(connection, state.clock.now());
     }
     state.policy.record_load_report(instance, reply.load);
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -1,6 +1,6 @@
 //! Polls an engine for the end of an attempt whose call went out.
 
-use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_clean};
+use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_reusable};
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::{CallError, ConnectError, Connection};
 use crate::codec::engine_http::{self, Reply};
@@ -56,7 +56,7 @@
                     continue;
                 }
             };
-            let poll = engine_http::fetch_page(self.instance.address, &self.context.id, 0);
+            let poll = engine_http::encode_page_call(self.instance.address, &self.context.id, 0);
             call_time = self.state.clock.now();
             reply = self.call(&mut open, &poll, POLL_TIMEOUT);
             connection = Some(open);
@@ -74,7 +74,7 @@
         if let Some(update) = reply.progress {
             self.state.policy.record_progress(self.request, self.number, update);
         }
-        let connection = keep_if_clean(connection, reply.closes);
+        let connection = keep_if_reusable(connection, reply.closes_connection);
         // Guards against an engine that has nothing to tell and does not hold the call back.
         if reply.progress.is_none() && self.state.clock.now().since(call_time) < RETRY_PAUSE {
             self.state.sleep(RETRY_PAUSE);
@@ -84,7 +84,7 @@
 
     /// The engine says that the statement failed, or that it declined it.
     fn on_failure_reply(&self, connection: Option<Connection>, reply: &Reply, cut_offs: usize) -> AttemptEnd {
-        self.put_back(keep_if_clean(connection, reply.closes));
+        self.put_back(keep_if_reusable(connection, reply.closes_connection));
         let mut end = if reply.is_declined() {
             self.end(LastObservation::Declined, Outcome::Rejected)
         } else if cut_offs == 0 {
@@ -94,7 +94,7 @@
             // the process that has it.
             self.end(LastObservation::Unknown, Outcome::Errored)
         };
-        end.report = reply.load;
+        end.load_report = reply.load;
         end
     }
 
@@ -110,8 +110,8 @@
     /// The attempt's time is up.
     fn time_out(&self, connection: Option<Connection>) -> AttemptEnd {
         if self.context.in_order {
-            self.unsettled_connection.set(connection);
-            return AttemptEnd { is_unsettled: true, ..AttemptEnd::not_sent(Outcome::TimedOut) };
+            self.cancel_connection.set(connection);
+            return AttemptEnd { is_cancel_pending: true, ..AttemptEnd::not_sent(Outcome::TimedOut) };
         }
         // No other request waits for its end, and the answer is due.
         self.cancel_in_background(connection);
--- a/crates/gateway/src/engine/result_pages.rs
+++ b/crates/gateway/src/engine/result_pages.rs
@@ -1,6 +1,6 @@
 //! Reads the pages of a result, from the first to the last, as its reader has room.
 
-use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_clean};
+use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_reusable};
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::Connection;
 use crate::codec::engine_http::{self, Reply};
@@ -21,30 +21,30 @@
     pub(super) fn collect_pages(&self, connection: Option<Connection>, first: Reply) -> AttemptEnd {
         // Whoever has the result has the request.
         self.same_process.set(true);
-        let report = first.load;
+        let load_report = first.load;
         let pages = first.page_count.unwrap_or(1);
         if pages > MAX_PAGES {
             warn!(self.state.log, "result ignored"; "pages" => pages);
-            return self.abandon_result(connection, Outcome::Errored, report);
+            return self.abandon_result(connection, Outcome::Errored, load_report);
         }
-        let mut connection = keep_if_clean(connection, first.closes);
+        let mut connection = keep_if_reusable(connection, first.closes_connection);
         self.context.reader.push_rows(first.body);
         for number in 1..pages {
             if let Some(outcome) = self.wait_for_reader(&mut connection) {
-                return self.abandon_result(connection, outcome, report);
+                return self.abandon_result(connection, outcome, load_report);
             }
             let Some(page) = self.fetch_page(&mut connection, number) else {
                 let is_late = self.is_past_deadline();
                 let outcome = if is_late { Outcome::TimedOut } else { Outcome::Errored };
                 warn!(self.state.log, "result page lost"; "id" => &self.context.id, "page" => number, "late" => is_late);
-                return self.abandon_result(connection, outcome, report);
+                return self.abandon_result(connection, outcome, load_report);
             };
             self.context.reader.push_rows(page);
         }
         self.put_back(connection);
         // The complete result is the engine's word, on whichever connection its last page came.
         self.same_process.set(true);
-        AttemptEnd { report, ..self.end(LastObservation::Ended, Outcome::Returned) }
+        AttemptEnd { load_report, ..self.end(LastObservation::Ended, Outcome::Returned) }
     }
 
     /// Waits until the reader has room, and keeps the statement alive meanwhile; returns an outcome if the attempt is
@@ -70,9 +70,9 @@
             *connection = self.connect(self.deadline()).ok();
         }
         if let Some(mut open) = connection.take() {
-            let poll = engine_http::fetch_page(self.instance.address, &self.context.id, 0);
+            let poll = engine_http::encode_page_call(self.instance.address, &self.context.id, 0);
             let reply = self.call(&mut open, &poll, POLL_TIMEOUT);
-            *connection = reply.ok().and_then(|reply| keep_if_clean(Some(open), reply.closes));
+            *connection = reply.ok().and_then(|reply| keep_if_reusable(Some(open), reply.closes_connection));
         }
         self.last_call.set(self.state.clock.now());
     }
@@ -83,7 +83,7 @@
         &self,
         connection: Option<Connection>,
         outcome: Outcome,
-        report: LoadReport,
+        load_report: LoadReport,
     ) -> AttemptEnd {
         let is_truncated = !self.context.reader.restart();
         let end = if self.context.in_order || self.state.settings.single_attempt {
@@ -92,11 +92,11 @@
             self.cancel_in_background(connection);
             self.end(LastObservation::Silent, outcome)
         };
-        AttemptEnd { report, is_truncated, ..end }
+        AttemptEnd { load_report, is_truncated, ..end }
     }
 
     fn fetch_page(&self, connection: &mut Option<Connection>, number: u32) -> Option<Vec<u8>> {
-        let call = engine_http::fetch_page(self.instance.address, &self.context.id, number);
+        let call = engine_http::encode_page_call(self.instance.address, &self.context.id, number);
         for _ in 0..MAX_PAGE_TRIES {
             if connection.is_none() {
                 *connection = self.connect(self.deadline()).ok();
@@ -104,7 +104,7 @@
             let Some(open) = connection else { continue };
             match self.call(open, &call, PAGE_TIMEOUT) {
                 Ok(reply) if reply.status == 200 && reply.page_number == Some(number) => {
-                    *connection = keep_if_clean(connection.take(), reply.closes);
+                    *connection = keep_if_reusable(connection.take(), reply.closes_connection);
                     return Some(reply.body);
                 }
                 // The engine no longer has it.
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -94,11 +94,11 @@
             cluster.reload(&self.state, membership.settings, leases);
         }
         for event in &config.known {
-            discovery::apply(&self.state, event);
+            discovery::apply_event(&self.state, event);
         }
         info!(self.state.log, "configuration reloaded"; "discovery" => config.discovery.to_string());
         // A client of its own, at once: the old discovery service may stay silent and hold its connection open.
-        discovery::start(&self.state, config.discovery, self.seed);
+        discovery::start_client(&self.state, config.discovery, self.seed);
     }
 }
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -66,10 +66,10 @@
     let attempt = Attempt::new(state, context, request, number, parameters);
     let mut end = attempt.as_ref().map_or_else(|| AttemptEnd::not_sent(Outcome::NotSent), Attempt::run);
     let took = attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.started));
-    if let Some(attempt) = attempt.as_ref().filter(|_| end.is_unsettled) {
+    if let Some(attempt) = attempt.as_ref().filter(|_| end.is_cancel_pending) {
         // The answer is due now; the end of what is in flight may come later.
         answer_decision(state, context, state.policy.finish_unanswered(request));
-        end.evidence = attempt.settle();
+        end.evidence = attempt.cancel_timed_out();
     }
     state.counters.record_outcome(context.class, end.outcome);
     if let Some(attempt) = &attempt {
@@ -88,7 +88,7 @@
         request_finished: is_over,
         evidence: end.evidence,
         work: None,
-        report: end.report,
+        report: end.load_report,
     };
     state.policy.record_outcome(request, number, &result)
 }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -71,7 +71,8 @@
     state.shutdown.complete();
     state.client_connections.wake_overdue(state.clock.now(), state.clock.now());
     let until = state.clock.now() + LAST_LOG_LINES;
-    let open_connections = || state.client_connections.len() + service.map_or(0, |service| service.clients());
+    let open_connections =
+        || state.client_connections.len() + service.map_or(0, |service| service.open_connections());
     // A request that was read between the last poll and here was admitted, and gets its answer as all others did.
     let goes_on = |now| (owes_answers(state) && now < killed) || (open_connections() > 0 && now < until);
     while goes_on(state.clock.now()) {
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -74,7 +74,7 @@
     // The configuration's endpoint list counts as if the discovery service had just sent it.
     state.policy.confirm_endpoints(state.clock.now());
     for event in &known {
-        discovery::apply(&state, event);
+        discovery::apply_event(&state, event);
     }
     let event_poll_probe = timer::EventPollProbe::open().map_err(StartupError::SocketPair)?;
     let signals = caught_signals.into_streams().map_err(StartupError::Signals)?;
@@ -172,7 +172,7 @@
         if let Some(subsetting) = self.subsetting {
             subsetting::start(&state, cluster.clone(), subsetting);
         }
-        discovery::start(&state, self.discovery, self.seed);
+        discovery::start_client(&state, self.discovery, self.seed);
         let reloader = Reloader {
             state: state.clone(),
             service: service.clone(),
--- a/crates/gateway/src/startup/state.rs
+++ b/crates/gateway/src/startup/state.rs
@@ -38,7 +38,7 @@
     let capabilities = Capabilities {
         unobserved_attempt_lifetime: Some(UNOBSERVED_ATTEMPT_LIFETIME),
         idle_connection_lifetime: ConnectionPool::idle_lifetime(platform.engine_idle_timeout),
-        endpoint_list_lifetime: Some(discovery::REPORTED_WITHIN + platform.drain_grace),
+        endpoint_list_lifetime: Some(discovery::MAX_EVENT_DELAY + platform.drain_grace),
         single_attempt: platform.single_attempt,
         ..platform.policy.capabilities
     };
--- a/crates/gateway/src/state/connection_pool.rs
+++ b/crates/gateway/src/state/connection_pool.rs
@@ -123,7 +123,7 @@
         while let Some(IdleConnection { connection, idle_since }) = connections.take(instance.engine, now) {
             // One that was in use while its engine was replaced came back after all others were closed.
             let is_current = connection.instance() == instance;
-            if now.since(idle_since) < self.idle_lifetime && is_current && connection.is_clean() {
+            if now.since(idle_since) < self.idle_lifetime && is_current && connection.is_reusable() {
                 return Some(ReusedConnection { connection, usable_from: idle_since + REUSE_DELAY });
             }
         }
--- a/crates/gateway/src/state/engine_table.rs
+++ b/crates/gateway/src/state/engine_table.rs
@@ -181,7 +181,7 @@
         for entry in &event.entries {
             self.apply_entry(entry, &mut changes);
         }
-        if event.full_list {
+        if event.is_full_list {
             self.drop_unlisted(&mut changes);
         }
         changes
--- a/crates/gateway/tests/gateway/codecs/discovery.rs
+++ b/crates/gateway/tests/gateway/codecs/discovery.rs
@@ -2,7 +2,7 @@
 
 use larchfall_config::Names;
 use larchfall_gateway::codec::discovery::{
-    EndpointEntry, Frame, Known, WatchEvent, decode, encode_watch, known_events,
+    EndpointEntry, Frame, Known, WatchEvent, decode, encode_watch_request, known_events,
 };
 use larchfall_policy::types::EngineState;
 use larchfall_stub::discovery::{Endpoint, frame};
@@ -22,7 +22,7 @@
     }
     let decoded = decode(&input).unwrap().expect("a complete frame");
     let Frame::Event(event) = decoded.value else { panic!("no event") };
-    assert_eq!((decoded.length, event.revision, event.full_list), (input.len(), 41, true));
+    assert_eq!((decoded.length, event.revision, event.is_full_list), (input.len(), 41, true));
     let states: Vec<_> = event.entries.iter().map(|e| e.state).collect();
     assert_eq!(states, [EngineState::Ready, EngineState::Draining, EngineState::Gone]);
     let json = r#"{"rev":41,"notices":[{"rev":41,"pool":{"generation":7,"reset":true,"instances":[
@@ -30,8 +30,8 @@
          "lifecycle":"up","weight":1,"startedAtMs":0}]}}]}"#;
     let known = known_events(&serde_json::from_str(json).unwrap(), &names()).unwrap();
     assert_eq!(known[0].entries[0], event.entries[0]);
-    assert_eq!((known[0].revision, known[0].full_list), (41, true));
-    assert_eq!(encode_watch(41), [0, 0, 0, 0, 0, 0, 0, 41]);
+    assert_eq!((known[0].revision, known[0].is_full_list), (41, true));
+    assert_eq!(encode_watch_request(41), [0, 0, 0, 0, 0, 0, 0, 41]);
 }
 
 #[test]
@@ -81,7 +81,7 @@
         cell: 3,
         started_ms: 5,
     };
-    let event = WatchEvent { revision: 41, full_list: true, entries: vec![entry] };
+    let event = WatchEvent { revision: 41, is_full_list: true, entries: vec![entry] };
     assert_eq!(read_known(KNOWN), Ok(vec![event]));
     let cases: Vec<&str> = KNOWN_REFUSALS.trim().split("\n\n").collect();
     assert_eq!(cases.len(), KNOWN_REFUSAL_COUNT);
--- a/crates/gateway/tests/gateway/codecs/engine_http.rs
+++ b/crates/gateway/tests/gateway/codecs/engine_http.rs
@@ -1,14 +1,14 @@
 //! HTTP/1.1 with engines.
 
 use larchfall_gateway::codec::engine_http::{
-    Reply, StatementCall, cancel_statement, decode, fetch_page, start_statement,
+    Reply, StatementCall, decode, encode_cancel_call, encode_page_call, encode_start_call,
 };
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::{LoadReport, ProgressUpdate};
 
 #[test]
 fn calls_to_engines_carry_their_values_unchanged() {
-    let call = start_statement(
+    let call = encode_start_call(
         "10.0.0.1:7001",
         &StatementCall {
             id: "9b1f03aa5c7e2d41",
@@ -34,8 +34,8 @@
     ] {
         assert!(text.contains(line), "{line:?} is not in {text:?}");
     }
-    assert!(fetch_page("h", "ab", 3).starts_with(b"GET /obj/ab/3 HTTP/1.1\r\n"));
-    assert!(cancel_statement("h", "ab").starts_with(b"DELETE /obj/ab HTTP/1.1\r\n"));
+    assert!(encode_page_call("h", "ab", 3).starts_with(b"GET /obj/ab/3 HTTP/1.1\r\n"));
+    assert!(encode_cancel_call("h", "ab").starts_with(b"DELETE /obj/ab HTTP/1.1\r\n"));
 }
 
 type ReplyCase<'a> = (&'a [u8], Result<Option<Reply>, &'a str>);
@@ -56,7 +56,7 @@
         ),
         (
             b"HTTP/1.1 503 Full\r\nx-declined: 1\r\nConnection: close\r\ncontent-length: 0\r\n\r\n",
-            Ok(Some(Reply { declined: true, closes: true, ..reply(503) })),
+            Ok(Some(Reply { declined: true, closes_connection: true, ..reply(503) })),
         ),
         (
             b"HTTP/1.1 202 OK\r\nX-Result: advance\r\nFigure: 0.25\r\nContent-Length: 0\r\n\r\n",
--- a/crates/gateway/tests/gateway/codecs/message_pack.rs
+++ b/crates/gateway/tests/gateway/codecs/message_pack.rs
@@ -42,8 +42,8 @@
         tenant: "acme",
         timeout: Some(Duration::from_millis(1500)),
         idempotency_key: Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
-        order_key: Some(0x7f3a_9c21_e0b4_d655),
-        work: Some(Duration::from_micros(820_500)),
+        ordering_key: Some(0x7f3a_9c21_e0b4_d655),
+        work_estimate: Some(Duration::from_micros(820_500)),
         memory_mb: Some(96.0),
         statement: b"select 1",
     };
@@ -65,7 +65,9 @@
     match (decode(input), expected) {
         (Ok(Some(got)), Decoded::Message(wanted)) => assert_eq!(got.value, wanted, "{what}"),
         (Ok(Some(got)), Decoded::Unusable(wanted)) => {
-            let Message::Unusable { message_id: 9, reason } = got.value else { panic!("{what}: {got:?}") };
+            let Message::InvalidRequest { message_id: 9, reason } = got.value else {
+                panic!("{what}: {got:?}")
+            };
             assert_eq!(reason.to_string(), wanted, "{what}");
         }
         (Ok(None), Decoded::Incomplete) => {}
--- a/crates/gateway/tests/gateway/engine_connections.rs
+++ b/crates/gateway/tests/gateway/engine_connections.rs
@@ -52,7 +52,7 @@
         assert!(pool.take_idle(here, ms(9_000)).is_none(), "near the engine's idle timeout");
         let connection = open(0, closing_address);
         drop(closing.accept().unwrap());
-        common::wait_for("the end to arrive", || (!connection.is_clean()).then_some(()));
+        common::wait_for("the end to arrive", || (!connection.is_reusable()).then_some(()));
         pool.put_back(connection, ms(0));
         assert!(pool.take_idle(instance(0, closing_address), ms(1)).is_none(), "closed by the engine");
         pool.put_back(open(0, engine.address), ms(0));
@@ -164,7 +164,7 @@
         let engine = Engine::start("127.0.0.1:0", |_| EngineBehavior::Decline).unwrap();
         let mut connection = open(0, engine.address);
         for _ in 0..2 {
-            let reply = connection.call(&engine_http::read_load("h"), &clock, within(20_000)).unwrap();
+            let reply = connection.call(&engine_http::encode_load_call("h"), &clock, within(20_000)).unwrap();
             assert_eq!(reply.status, 200);
         }
     });
@@ -200,7 +200,7 @@
             let deadline = clock.now() + Duration::from_millis(600_000);
             let brought = connection.call(b"x", &clock, deadline).map(|reply| reply.status);
             assert_eq!(brought, brings, "{engine_writes}");
-            assert!(brought.is_err() || connection.is_clean() == is_of_use, "{engine_writes}");
+            assert!(brought.is_err() || connection.is_reusable() == is_of_use, "{engine_writes}");
         });
     }
 }
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -109,9 +109,9 @@
         added: &'a [usize],
         replaced: &'a [usize],
     }
-    let event = |revision, full_list, entries: &[EndpointEntry]| WatchEvent {
+    let event = |revision, is_full_list, entries: &[EndpointEntry]| WatchEvent {
         revision,
-        full_list,
+        is_full_list,
         entries: entries.to_vec(),
     };
     let steps = [
