--- a/crates/fault-tests/src/scenario/cluster_view.rs
+++ b/crates/fault-tests/src/scenario/cluster_view.rs
@@ -4,7 +4,7 @@
 use crate::gateway_config::gateway_name;
 use crate::scenario::config::{Feature, ScenarioConfig};
 use crate::scenario::records::{Record, RecordKind};
-use larchfall_gateway::cluster::status_query::{Topic, ask};
+use larchfall_gateway::cluster::status_query::{Topic, fetch_rows};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::mpsc::channel;
@@ -117,7 +117,7 @@
     let (sender, answers) = channel();
     for (gateway, address) in gateways.iter().copied().enumerate() {
         let sender = sender.clone();
-        thread::spawn(move || sender.send((gateway, ask(address, "toy", topic).ok())));
+        thread::spawn(move || sender.send((gateway, fetch_rows(address, "toy", topic).ok())));
     }
     let deadline = Instant::now() + ANSWER_TIMEOUT;
     let mut answered = vec![None; gateways.len()];
--- a/crates/gateway/src/cli/status.rs
+++ b/crates/gateway/src/cli/status.rs
@@ -9,7 +9,7 @@
     let files = paths.load()?;
     let membership = files.operator_config.and_then(|file| file.config.membership);
     let membership = membership.ok_or(CommandError::NoClusterAddress)?;
-    let rows = status_query::ask(membership.listen, &membership.settings.cluster, topic)
+    let rows = status_query::fetch_rows(membership.listen, &membership.settings.cluster, topic)
         .map_err(CommandError::Status)?;
     println!("{}", format_table(header(topic), rows));
     Ok(())
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -36,22 +36,27 @@
 }
 
 /// This gateway's part in sharing observations of engines.
-pub struct GossipService {
+pub struct HealthGossipService {
     settings: HealthGossipConfig,
     inner: Mutex<Inner>,
     counters: Counters,
 }
 
-impl GossipService {
+impl HealthGossipService {
     /// Has the policy note from now on what it observes.
-    pub fn new(state: &State, settings: HealthGossipConfig, seed: u64, now: Timestamp) -> GossipService {
+    pub fn new(
+        state: &State,
+        settings: HealthGossipConfig,
+        seed: u64,
+        now: Timestamp,
+    ) -> HealthGossipService {
         state.policy.enable_observations(LIMITS.processes);
         let inner = Inner {
             gossip: HealthGossip::new(LIMITS, settings.aggregation, settings.probe_slot),
             due: now,
             random: WyRand::new_seed(seed),
         };
-        GossipService { settings, inner: Mutex::new(inner), counters: Counters::default() }
+        HealthGossipService { settings, inner: Mutex::new(inner), counters: Counters::default() }
     }
 
     pub(super) fn due_in(&self, now: Timestamp) -> Duration {
@@ -95,7 +100,7 @@
 
     fn count_observations(&self, state: &State, cluster: &Cluster, now: Timestamp) {
         let listed: HashSet<EngineProcess> = state.policy.processes().into_iter().collect();
-        let alive = cluster.alive_zones();
+        let alive = cluster.live_member_zones();
         let is_listed = |process: EngineProcess| listed.contains(&process);
         let own = state.policy.own_observations();
         let outcomes = lock(&self.inner).gossip.take_outcomes(&own, &alive, is_listed, now);
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -8,7 +8,7 @@
 mod supervised_programs;
 mod voter_record;
 
-pub use voter_record::RecordWriter;
+pub use voter_record::VoterRecordWriter;
 
 use super::Cluster;
 use super::supervisor::Supervisor;
@@ -71,7 +71,7 @@
     /// The operator's settings.
     pub settings: LeaseConfig,
     /// This process.
-    pub me: MemberId,
+    pub member_id: MemberId,
     /// Seed of the package's random choices.
     pub seed: u64,
     /// Clocks and the disk.
@@ -85,13 +85,13 @@
     /// The service.
     pub service: Arc<LeaseService>,
     /// To be started once the socket is open.
-    pub record_writer: Option<RecordWriter>,
+    pub record_writer: Option<VoterRecordWriter>,
 }
 
 impl LeaseService {
     /// Reads the voter record, before anything is requested or granted.
     pub fn open(state: &State, setup: LeaseSetup) -> io::Result<OpenedLeases> {
-        let LeaseSetup { settings: config, me, seed, platform, quota_inputs } = setup;
+        let LeaseSetup { settings: config, member_id: me, seed, platform, quota_inputs } = setup;
         let now = (platform.steady_clock)();
         // One that is no voter now may become one, when the file is read again.
         let mut disk = config.record_folder.as_ref().map(|folder| (platform.open_disk)(folder));
@@ -104,7 +104,7 @@
         let cluster_name = settings.cluster.clone();
         let unix_time = (platform.unix_clock)().micros();
         let leases = LeaseManager::new(me.clone(), settings, record.as_ref(), unix_time, seed, now);
-        let (records, record_writer) = disk.map(RecordWriter::new).unzip();
+        let (records, record_writer) = disk.map(VoterRecordWriter::new).unzip();
         let service = LeaseService {
             leases: Mutex::new(leases),
             me,
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -27,7 +27,7 @@
 /// What of the platform's settings quotas are worked out from.
 pub struct QuotaInputs {
     /// How many gateways there are at most.
-    pub gateways: usize,
+    pub max_gateways: usize,
     slow_start: SlowStartPolicy,
     classes: Vec<RequestClass>,
     tenants: Vec<Tenant>,
@@ -43,7 +43,7 @@
     pub fn new(platform: &Settings) -> QuotaInputs {
         let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
         QuotaInputs {
-            gateways: platform.policy.topology.gateways,
+            max_gateways: platform.policy.topology.gateways,
             slow_start: platform.policy.slow_start.clone(),
             classes: platform.policy.classes.clone(),
             tenants: platform.names.tenants.iter().map(tenant).collect(),
@@ -69,7 +69,7 @@
     ) -> QuotaExchange {
         let QuotaConfig { allocators, lifetime, kinds } = config;
         let strict = QuotaTerms {
-            max_gateways: inputs.gateways,
+            max_gateways: inputs.max_gateways,
             length: lifetime,
             drift_margin_per_mille: margin,
             usage_window: inputs.slow_start.window,
--- a/crates/gateway/src/cluster/leases/voter_record.rs
+++ b/crates/gateway/src/cluster/leases/voter_record.rs
@@ -11,21 +11,21 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 
 /// What writes records, before its thread runs.
-pub struct RecordWriter {
+pub struct VoterRecordWriter {
     disk: Box<dyn Disk>,
     records: Receiver<VoterRecord>,
 }
 
-impl RecordWriter {
+impl VoterRecordWriter {
     /// With the sender of the records that it writes: one at a time.
-    pub(super) fn new(disk: Box<dyn Disk>) -> (SyncSender<VoterRecord>, RecordWriter) {
+    pub(super) fn new(disk: Box<dyn Disk>) -> (SyncSender<VoterRecord>, VoterRecordWriter) {
         let (sender, records) = sync_channel(1);
-        (sender, RecordWriter { disk, records })
+        (sender, VoterRecordWriter { disk, records })
     }
 
     /// Starts the thread, which ends with the lease service.
     pub fn start(self, state: &Arc<State>, cluster: &Arc<Cluster>) -> io::Result<()> {
-        let RecordWriter { mut disk, records } = self;
+        let VoterRecordWriter { mut disk, records } = self;
         let state = state.clone();
         let cluster = cluster.clone();
         std::thread::Builder::new().spawn(move || {
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::state::{State, lock};
 use counters::{DatagramCounters, increment};
-use health_gossip::GossipService;
+use health_gossip::HealthGossipService;
 use larchfall_membership::fleet_size::FleetSize;
 use larchfall_membership::membership::{Membership, MembershipSettings};
 use larchfall_operator_config::LeaseConfig;
@@ -41,7 +41,7 @@
     /// Roles of which each is held by one gateway at a time, where the operator's file has them.
     leases: Option<Arc<LeaseService>>,
     /// What gateways observed of engines, where the operator's file has it.
-    health_gossip: Option<GossipService>,
+    health_gossip: Option<HealthGossipService>,
 }
 
 /// The number of gateways to count.
@@ -54,29 +54,29 @@
 /// What a member is made of.
 pub struct ClusterSetup {
     /// Address to bind.
-    pub address: SocketAddrV4,
+    pub listen_address: SocketAddrV4,
     /// Membership, in which this gateway knows itself only.
-    pub members: Membership,
+    pub membership: Membership,
     /// Name of the cluster, as datagrams carry it.
     pub cluster_name: String,
     /// This gateway's own name.
     pub member_name: String,
     /// Bounds of the number of gateways, where it follows those that are alive.
-    pub gateway_count: Option<FleetSize>,
+    pub fleet_size: Option<FleetSize>,
     /// Leased roles, where they are on.
     pub leases: Option<Arc<LeaseService>>,
     /// Observations of engines shared with others, where that is on.
-    pub health_gossip: Option<GossipService>,
+    pub health_gossip: Option<HealthGossipService>,
 }
 
 impl Cluster {
     /// Opens the socket; nothing is sent or received yet.
     pub fn open(setup: ClusterSetup) -> io::Result<Arc<Cluster>> {
         Ok(Arc::new(Cluster {
-            socket: UdpSocket::bind(setup.address)?,
-            members: Mutex::new(setup.members),
+            socket: UdpSocket::bind(setup.listen_address)?,
+            members: Mutex::new(setup.membership),
             gateway_count: setup
-                .gateway_count
+                .fleet_size
                 .map(|fleet_size| Mutex::new(GatewayCount { fleet_size, reported: 0 })),
             cluster_name: setup.cluster_name,
             member_name: setup.member_name,
@@ -88,7 +88,7 @@
     }
 
     /// Where other members are told that this gateway listens.
-    pub fn address(&self) -> SocketAddrV4 {
+    pub fn advertised_address(&self) -> SocketAddrV4 {
         lock(&self.members).myself().info.address
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Zones by the names of the members that are alive, this gateway among them.
-    pub fn alive_zones(&self) -> BTreeMap<String, String> {
+    pub fn live_member_zones(&self) -> BTreeMap<String, String> {
         lock(&self.members).live().map(|(name, member)| (name.clone(), member.info.zone.clone())).collect()
     }
 
--- a/crates/gateway/src/cluster/status_pages.rs
+++ b/crates/gateway/src/cluster/status_pages.rs
@@ -14,7 +14,7 @@
 impl Cluster {
     /// Answers a query that comes from this machine.
     pub(super) fn answer_status_query(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
-        let is_local = from.ip().is_loopback() || *from.ip() == *self.address().ip();
+        let is_local = from.ip().is_loopback() || *from.ip() == *self.advertised_address().ip();
         let query = status_query::decode_query(bytes, &self.cluster_name).filter(|_| is_local);
         let Some(query) = query else {
             return increment(&self.counters.unknown_senders);
@@ -52,7 +52,7 @@
     fn engine_rows(&self, state: &State) -> Vec<Vec<String>> {
         let now = state.clock.now();
         // Once for all engines: there may be many gateways.
-        let alive = self.alive_zones();
+        let alive = self.live_member_zones();
         let mut rows: Vec<Vec<String>> = Vec::new();
         for engine in state.policy.engine_statuses() {
             let mut row = engine_cells(&engine);
--- a/crates/gateway/src/cluster/status_query.rs
+++ b/crates/gateway/src/cluster/status_query.rs
@@ -79,7 +79,7 @@
 }
 
 /// All rows that the gateway at this address has.
-pub fn ask(address: SocketAddrV4, cluster: &str, topic: Topic) -> io::Result<Vec<Vec<String>>> {
+pub fn fetch_rows(address: SocketAddrV4, cluster: &str, topic: Topic) -> io::Result<Vec<Vec<String>>> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.set_read_timeout(Some(TIMEOUT))?;
     let mut rows = Vec::new();
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -19,7 +19,7 @@
 use crate::signals::{CaughtSignals, SignalStream, Signals};
 use crate::state::State;
 use crate::state::clock::Clock;
-use crate::subsetting::{self, Subsetting};
+use crate::subsetting::{self, SubsettingInputs};
 use crate::{client, discovery, shutdown, timer};
 use cluster::{ClusterSettings, JoinedCluster};
 use larchfall_operator_config::OperatorConfig;
@@ -61,7 +61,7 @@
 
     let quota_inputs = QuotaInputs::new(&config.settings);
     let subsetting =
-        operator_config.subsetting.map(|subsetting| Subsetting::new(subsetting, &config.settings));
+        operator_config.subsetting.map(|subsetting| SubsettingInputs::new(subsetting, &config.settings));
     let Config { listen, seed, discovery, known, settings, .. } = config;
     let state = Arc::new(state::build(StateSettings {
         platform: settings,
@@ -138,7 +138,7 @@
     listener: TcpListener,
     paged_rest: Option<PagedRest>,
     cluster: Option<Arc<Cluster>>,
-    subsetting: Option<Subsetting>,
+    subsetting: Option<SubsettingInputs>,
     event_poll_probe: timer::EventPollProbe,
     signals: Signals,
     files: Files,
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -22,18 +22,18 @@
 const UNKNOWN: EngineHealth = EngineHealth { ejected: true, congested: false };
 
 /// What an assignment is worked out from, but for members and engines.
-pub struct Subsetting {
+pub struct SubsettingInputs {
     settings: SubsettingConfig,
     classes: Vec<RequestClass>,
     /// How many gateways the platform's settings name and which is this one: what counts without membership.
     topology: Topology,
 }
 
-impl Subsetting {
+impl SubsettingInputs {
     /// With the operator's settings and the platform's.
-    pub fn new(settings: SubsettingConfig, platform: &Settings) -> Subsetting {
+    pub fn new(settings: SubsettingConfig, platform: &Settings) -> SubsettingInputs {
         let policy = &platform.policy;
-        Subsetting { settings, classes: policy.classes.clone(), topology: policy.topology.clone() }
+        SubsettingInputs { settings, classes: policy.classes.clone(), topology: policy.topology.clone() }
     }
 
     fn members(&self, state: &State, cluster: Option<&Cluster>) -> Members {
@@ -46,7 +46,7 @@
             };
         };
         let zone_index = |zone: &str| state.settings.names.zones.iter().position(|known| known == zone);
-        let alive_zones = cluster.alive_zones();
+        let alive_zones = cluster.live_member_zones();
         let named = |name: &str, zone: Option<&String>| Gateway {
             key: xxh3_64(name.as_bytes()),
             zone: zone.and_then(|zone| zone_index(zone)),
@@ -73,13 +73,13 @@
 }
 
 /// Starts the coroutine. Until its first pass the policy uses the engines that are known now.
-pub fn start(state: &Arc<State>, cluster: Option<Arc<Cluster>>, subsetting: Subsetting) {
+pub fn start(state: &Arc<State>, cluster: Option<Arc<Cluster>>, subsetting: SubsettingInputs) {
     let state = state.clone();
     state.policy.enable_subset();
     may::go!(move || run(&state, cluster.as_deref(), &subsetting));
 }
 
-fn run(state: &State, cluster: Option<&Cluster>, subsetting: &Subsetting) {
+fn run(state: &State, cluster: Option<&Cluster>, subsetting: &SubsettingInputs) {
     let mut aperture = Aperture::new(subsetting.settings.aperture, state.clock.now());
     let mut assignment = Assignment::default();
     let mut used = BTreeSet::new();
