--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -3,7 +3,7 @@
 use crate::codec::Decoded;
 use crate::codec::discovery::{self, Frame, WatchEvent};
 use crate::state::State;
-use crate::state::clock::timeout;
+use crate::state::clock::to_std_timeout;
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
 use nanorand::{Rng, WyRand};
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// A change of the list counts as known so long after it happened, whether or not its event has come.
-pub const REPORTED_WITHIN: Duration = Duration::from_millis(7000);
+pub const MAX_EVENT_DELAY: Duration = Duration::from_millis(7000);
 /// An empty frame comes each second: after this much silence the service is taken for gone.
 const SILENCE: Duration = Duration::from_millis(2500);
 /// One last read after that much silence: to a gateway that was stalled all that was sent meanwhile is still unread.
@@ -53,18 +53,18 @@
 }
 
 /// Follows the service at this address from now on, in place of the one that was followed before.
-pub fn start(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
-    let client = state.discovery.next_client();
+pub fn start_client(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
+    let client = state.discovery.next_client_id();
     let state = state.clone();
     may::go!(move || follow(&state, address, seed, client));
 }
 
 /// Applies a watch event, and drops connections to engines that are gone.
-pub fn apply(state: &State, event: &WatchEvent) {
+pub fn apply_event(state: &State, event: &WatchEvent) {
     for engine in state.policy.apply_discovery_event(event) {
         state.engine_connections.close_idle(engine);
     }
-    state.counters.update(|counters| counters.discovery_events += 1);
+    state.counters.update_gateway(|counters| counters.discovery_events += 1);
 }
 
 fn follow(state: &State, address: SocketAddrV4, seed: u64, client: u64) {
@@ -93,11 +93,12 @@
     /// Receives until the connection ends.
     fn run(&mut self, address: SocketAddrV4) -> Disconnect {
         let address = SocketAddr::V4(address);
-        let Ok(mut stream) = TcpStream::connect_timeout(&address, timeout(CONNECT_TIMEOUT)) else {
+        let Ok(mut stream) = TcpStream::connect_timeout(&address, to_std_timeout(CONNECT_TIMEOUT)) else {
             return Disconnect::NotConnected;
         };
-        let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
-        if stream.write_all(&discovery::encode_watch(self.state.policy.discovery_revision())).is_err() {
+        let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE)));
+        if stream.write_all(&discovery::encode_watch_request(self.state.policy.discovery_revision())).is_err()
+        {
             return Disconnect::NotWritten;
         }
         let mut is_last_read = false;
@@ -114,7 +115,7 @@
                 Ok(0) => return Disconnect::Closed,
                 Ok(_) if is_last_read => {
                     is_last_read = false;
-                    let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
+                    let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE)));
                 }
                 Ok(_) => {}
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) if is_last_read => {
@@ -122,7 +123,7 @@
                 }
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
                     is_last_read = true;
-                    let _ = stream.set_read_timeout(Some(timeout(LAST_READ)));
+                    let _ = stream.set_read_timeout(Some(to_std_timeout(LAST_READ)));
                 }
                 Err(_) => return Disconnect::Reset,
             }
@@ -148,10 +149,10 @@
             match discovery::decode(&self.input) {
                 Ok(Some(Decoded { value: frame, length })) => {
                     self.frames += 1;
-                    state.discovery.record_heard(state.clock.now());
-                    state.policy.confirm_endpoints(sent);
+                    state.discovery.record_contact(state.clock.now());
+                    state.policy.confirm_endpoint_list(sent);
                     if let Frame::Event(event) = frame {
-                        apply(state, &event);
+                        apply_event(state, &event);
                     }
                     self.input.drain(..length);
                 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -43,7 +43,7 @@
             }
             RoutingDecision::Wait | RoutingDecision::CancelAttempt(_) => {
                 state.policy.wait_for_change(request);
-                if state.policy.disconnection(request).is_some() {
+                if state.policy.disconnect_action(request).is_some() {
                     return;
                 }
             }
@@ -66,10 +66,10 @@
     let attempt = Attempt::new(state, context, request, number, parameters);
     let mut end = attempt.as_ref().map_or_else(|| AttemptEnd::not_sent(Outcome::NotSent), Attempt::run);
     let took = attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.started));
-    if let Some(attempt) = attempt.as_ref().filter(|_| end.is_unsettled) {
+    if let Some(attempt) = attempt.as_ref().filter(|_| end.is_cancel_pending) {
         // The answer is due now; the end of what is in flight may come later.
         answer_decision(state, context, state.policy.finish_unanswered(request));
-        end.evidence = attempt.settle();
+        end.evidence = attempt.cancel_timed_out();
     }
     state.counters.record_outcome(context.class, end.outcome);
     if let Some(attempt) = &attempt {
@@ -81,14 +81,14 @@
     } else if end.is_truncated {
         answer(state, context, FinalAnswer::Errored("the result broke off"));
     }
-    let is_over = is_returned || end.is_truncated || state.policy.disconnection(request).is_some();
+    let is_over = is_returned || end.is_truncated || state.policy.disconnect_action(request).is_some();
     let result = AttemptResult {
         outcome: end.outcome,
-        took,
+        duration: took,
         request_finished: is_over,
         evidence: end.evidence,
-        work: None,
-        report: end.report,
+        reported_work: None,
+        load_report: end.load_report,
     };
     state.policy.record_outcome(request, number, &result)
 }
