--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -106,7 +106,7 @@
         connection_cost: raw.costs.connection,
         idle_connection_lifetime: Duration::ZERO,
         max_attempts: raw.caps.max_attempts,
-        single_attempt: false,
+        forbids_hedging: false,
         max_retry_after: if raw.caps.retry_after { unless_zero(raw.caps.max_retry_after) } else { None },
         sets_memory_grant: raw.domain.memory_grants,
         swaps_when_out_of_memory: raw.domain.out_of_memory == "swap",
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -59,7 +59,7 @@
 
     let caps = &policy.capabilities;
     assert!(
-        caps.can_cancel && caps.sets_memory_grant && caps.swaps_when_out_of_memory && !caps.single_attempt
+        caps.can_cancel && caps.sets_memory_grant && caps.swaps_when_out_of_memory && !caps.forbids_hedging
     );
     assert_eq!((caps.health_check_cost, caps.connection_cost, caps.max_attempts), (Some(0.002), 0.01, 3));
     assert_eq!((caps.max_retry_after, caps.progress_interval), (Some(ms(500)), Some(ms(250))));
--- a/crates/gateway/src/startup/state.rs
+++ b/crates/gateway/src/startup/state.rs
@@ -39,7 +39,7 @@
         unobserved_attempt_lifetime: Some(UNOBSERVED_ATTEMPT_LIFETIME),
         idle_connection_lifetime: ConnectionPool::idle_lifetime(platform.engine_idle_timeout),
         endpoint_list_lifetime: Some(discovery::MAX_EVENT_DELAY + platform.drain_grace),
-        single_attempt: platform.single_attempt,
+        forbids_hedging: platform.single_attempt,
         ..platform.policy.capabilities
     };
     let timers = Arc::new(Timers::new(clock));
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -30,7 +30,7 @@
             self.retry_budget.record_returned(record.admitted_time, now);
         }
         record.finished |= result.request_finished;
-        record.may_still_run |= self.capabilities.single_attempt && !proves_end(result.evidence);
+        record.may_still_run |= self.capabilities.forbids_hedging && !proves_end(result.evidence);
         if let Some(key) = record.request.key {
             let uncertain = matches!(result.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
             self.key_order.on_attempt_finished(key, request, number, result.evidence, uncertain, now);
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -107,7 +107,7 @@
     ];
     for (single_attempt, seen, again) in cases {
         let mut config = typical_config();
-        config.capabilities.single_attempt = single_attempt;
+        config.capabilities.forbids_hedging = single_attempt;
         let mut gateway = config.start(3);
         let (b, decision) = gateway.admit(0, request(LOOKUP));
         assert!(sent_to(decision).is_some());
