--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,71 +1,75 @@
-//! A point in time and a length of time, kept apart so that neither can be taken for the other.
+//! Types for points in time and durations, in whole microseconds.
 //!
-//! Own types, since the clock is the caller's, simulated or real, and arithmetic saturates: a length is never negative.
+//! The types of `std::time` do not fit: the caller supplies the clock, which may be simulated, and arithmetic
+//! here saturates instead of panicking, so that a duration is never negative.
 
 use std::ops::{Add, Div, Mul, Sub};
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A point on the clock that the caller hands in, in microseconds from an arbitrary start.
+/// A point in time on the caller's clock, in microseconds since an arbitrary start that is the same for all
+/// calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
-/// A length of time in microseconds, never negative.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Duration(u64);
 
 impl Timestamp {
-    /// The point so many microseconds after the start.
+    /// The point in time `micros` microseconds after the start of the clock.
     pub const fn from_micros(micros: u64) -> Timestamp {
         Timestamp(micros)
     }
 
-    /// Microseconds since the start.
+    /// Microseconds since the start of the clock.
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// The time since an earlier point; zero when that point is still to come.
+    /// The duration since `earlier`, or zero if `earlier` is later than this point in time.
     pub const fn since(self, earlier: Timestamp) -> Duration {
         Duration(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Duration {
-    /// No time.
+    /// A duration of zero.
     pub const ZERO: Duration = Duration(0);
 
-    /// So many microseconds.
+    /// A duration of `micros` microseconds.
     pub const fn from_micros(micros: u64) -> Duration {
         Duration(micros)
     }
 
-    /// So many milliseconds.
+    /// A duration of `millis` milliseconds. The product with 1000 must fit into 64 bits.
     pub const fn from_millis(millis: u64) -> Duration {
         Duration(millis * 1000)
     }
 
-    /// So many seconds, down to whole microseconds; zero for a negative number.
+    /// A duration of `seconds` seconds, rounded down to whole microseconds. Negative values and NaN give
+    /// zero, and values that are too large give the longest duration.
     pub fn from_secs(seconds: f64) -> Duration {
         Duration((seconds.max(0.0) * MICROS_PER_SECOND) as u64)
     }
 
-    /// Microseconds.
+    /// The duration in microseconds.
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// The difference, zero where `other` is longer.
+    /// The difference between two durations, or zero if `other` is longer.
     pub const fn saturating_sub(self, other: Duration) -> Duration {
         Duration(self.0.saturating_sub(other.0))
     }
 
-    /// Seconds.
+    /// The duration in seconds, including fractions.
     pub fn secs(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND
     }
 }
 
+/// Saturates at the last representable point in time.
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
     fn add(self, duration: Duration) -> Timestamp {
@@ -73,6 +77,7 @@
     }
 }
 
+/// Saturates at the start of the clock.
 impl Sub<Duration> for Timestamp {
     type Output = Timestamp;
     fn sub(self, duration: Duration) -> Timestamp {
@@ -80,6 +85,7 @@
     }
 }
 
+/// Saturates at the longest representable duration.
 impl Add for Duration {
     type Output = Duration;
     fn add(self, other: Duration) -> Duration {
@@ -87,6 +93,7 @@
     }
 }
 
+/// Rounds down to whole microseconds, with negative results as zero.
 impl Mul<f64> for Duration {
     type Output = Duration;
     fn mul(self, factor: f64) -> Duration {
@@ -94,6 +101,7 @@
     }
 }
 
+/// The ratio of two durations. A divisor of zero counts as one microsecond.
 impl Div<Duration> for Duration {
     type Output = f64;
     fn div(self, divisor: Duration) -> f64 {
--- a/crates/policy/src/types/engine.rs
+++ b/crates/policy/src/types/engine.rs
@@ -1,30 +1,31 @@
-//! Engines as the endpoint list names them.
+//! Engines as the endpoint list describes them.
 
 use crate::time::Timestamp;
 
-/// One query engine.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Its zone.
+    /// Index of the engine's zone.
     pub zone: usize,
-    /// Its kind, which tells its size.
+    /// Index of the engine kind, which determines the number of cores and the memory.
     pub kind: usize,
-    /// Its cell within the zone.
+    /// Index of the engine's cell within the zone.
     pub cell: usize,
-    /// Whether it takes new attempts.
+    /// Whether the engine accepts new attempts.
     pub state: EngineState,
-    /// When it last started; `None` is long ago.
+    /// Time of the last start of the engine's process. `None` means that the start is too long ago for slow
+    /// start.
     pub start_time: Option<Timestamp>,
 }
 
-/// Whether an engine takes new attempts.
+/// Whether an engine accepts new attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineState {
-    /// It does.
+    /// The engine accepts new attempts.
     #[default]
     Ready,
-    /// It ends what it has, and takes nothing new past a grace period.
+    /// The engine finishes the attempts that it has, and rejects new ones after a grace period.
     Draining,
-    /// It is no longer listed.
+    /// The endpoint list no longer names the engine.
     Gone,
 }
--- a/crates/policy/src/work_estimate.rs
+++ b/crates/policy/src/work_estimate.rs
@@ -1,95 +1,106 @@
-//! Estimates of the work of a request, in seconds of one thread, learned from answers by request class.
+//! Estimates of the work of a request, learned by request class from work hints and answers. Work is measured
+//! in seconds of one thread.
 
 use crate::time::Duration;
 use crate::types::RequestClass;
 
-/// Hints after which the mean of hints moves no faster.
+/// The running mean of hints weighs a new hint as if at most this many hints had been recorded.
 const MAX_HINTS: f64 = 500.0;
-/// Weight of the assumption before the first hints, in hints.
+/// Weight, in hints, of the assumed mean before the first hint.
 const PRIOR_HINTS: f64 = 4.0;
-/// Time taken over the estimated time, before any answer.
-const FIRST_STRETCH: f64 = 1.5;
-/// An attempt whose pace predicts so many times the usual time has gone off its estimate.
+/// Initial ratio of the measured time of an attempt to its estimated time.
+const INITIAL_STRETCH: f64 = 1.5;
+/// An attempt is off its estimate if its progress predicts a duration of more than this multiple of the usual
+/// duration for its estimate.
 const OFF_ESTIMATE_FACTOR: f64 = 4.0;
-/// Weights of one answer in the learned factors and in the mean of the work that answers report.
+/// Weight of one answer in the learned stretch, and in the hint correction where answers report work.
 const FACTOR_WEIGHT: f64 = 0.03;
+/// Weight of one answer in the mean of the reported work.
 const MEAN_WEIGHT: f64 = 0.02;
 
-/// What is known of the work of one request class.
+/// Learned estimates of the work of one request class.
 pub(crate) struct WorkEstimate {
-    /// Mean of the hints that came with requests, in seconds.
-    mean_hint: f64,
-    /// Work over hint, as answers show it.
+    /// Mean of the work hints of requests, in seconds of one thread.
+    mean_hint_secs: f64,
+    /// Learned ratio of the actual work to the hint.
     hint_correction: f64,
-    /// Mean of the work that answers report, in seconds.
-    mean_reported: Option<f64>,
+    /// Mean of the work that answers report, in seconds of one thread. `None` until an answer reports work.
+    mean_reported_secs: Option<f64>,
+    /// Number of recorded hints, at most [`MAX_HINTS`].
     hints: f64,
-    /// Time taken over estimated time, as it mostly is lately.
+    /// Running geometric mean of the ratio of the measured time of an attempt to its estimated time.
     stretch: f64,
 }
 
-/// One answer, as far as it tells of work.
+/// What one answer shows about the work of its request.
 pub(crate) struct ObservedWork {
+    /// The hint that came with the request.
     pub hint: Option<Duration>,
-    /// The estimate when the request was admitted, in seconds.
+    /// The estimate at the admission of the request, in seconds of one thread.
     pub estimate: Option<f64>,
     /// The work that the answer reports.
     pub reported: Option<Duration>,
-    /// Time taken times the threads of the class, in seconds.
+    /// Duration of the attempt in seconds, multiplied by the threads per request of the class.
     pub thread_seconds: f64,
 }
 
 impl WorkEstimate {
-    /// Until hints come, the work that the latency objective has room for: slow start needs some.
+    /// Before the first hint the mean is the work that fits into the latency objective, since slow start
+    /// needs a value.
     pub(crate) fn new(class: &RequestClass) -> WorkEstimate {
         WorkEstimate {
-            mean_hint: class.latency_objective.secs() * class.threads,
+            mean_hint_secs: class.latency_objective.secs() * class.threads,
             hint_correction: 1.0,
-            mean_reported: None,
+            mean_reported_secs: None,
             hints: 0.0,
-            stretch: FIRST_STRETCH,
+            stretch: INITIAL_STRETCH,
         }
     }
 
-    /// The work of a request with this hint, in seconds; none before anything is known of its class.
+    /// Estimated work of a request with this hint, in seconds of one thread. `None` if the request has no
+    /// hint and its class has had neither hints nor reported work.
     pub(crate) fn estimate(&self, hint: Option<Duration>) -> Option<f64> {
-        let mean_hint = (self.hints > 0.0).then_some(self.mean_hint * self.hint_correction);
-        hint.map(|hint| hint.secs() * self.hint_correction).or(self.mean_reported).or(mean_hint)
+        let corrected_mean_hint = (self.hints > 0.0).then_some(self.mean_hint_secs * self.hint_correction);
+        hint.map(|hint| hint.secs() * self.hint_correction)
+            .or(self.mean_reported_secs)
+            .or(corrected_mean_hint)
     }
 
-    /// Usual work of a request in seconds, as slow start counts it.
+    /// Mean work of a request in seconds of one thread, for the budgets of slow start.
     pub(crate) fn mean_secs(&self) -> f64 {
-        self.mean_reported.unwrap_or(self.mean_hint * self.hint_correction.max(1.0)).max(0.001)
+        self.mean_reported_secs.unwrap_or(self.mean_hint_secs * self.hint_correction.max(1.0)).max(0.001)
     }
 
     pub(crate) fn record_hint(&mut self, hint: Option<Duration>) {
         let Some(hint) = hint else { return };
         self.hints = (self.hints + 1.0).min(MAX_HINTS);
-        self.mean_hint += (hint.secs() - self.mean_hint) / (self.hints + PRIOR_HINTS);
+        self.mean_hint_secs += (hint.secs() - self.mean_hint_secs) / (self.hints + PRIOR_HINTS);
     }
 
-    /// An attempt whose pace predicts more than this has gone off its estimate; without an estimate none has.
+    /// Predicted duration beyond which an attempt is off its estimate. Without an estimate no attempt is.
     pub(crate) fn off_estimate_after(&self, estimate: Option<f64>, threads: f64) -> Duration {
         let Some(work) = estimate else { return Duration::from_secs(f64::MAX) };
         Duration::from_secs(work / threads * self.stretch * OFF_ESTIMATE_FACTOR)
     }
 
-    /// Learns from an answer. Where answers report the work it is learned as reported. Elsewhere the correction follows a low
-    /// quantile of the time over the hint: an answer is never faster than its work, and most wait a little.
+    /// Updates the estimates with an answer. If answers report the work, the mean and the hint correction
+    /// follow the reported work. Otherwise the correction follows a low quantile of the ratio of the measured
+    /// time to the hint, because an attempt never takes less time than its work and most attempts also wait a
+    /// little.
     pub(crate) fn record_answer(&mut self, observed: &ObservedWork) {
         if let Some(estimate) = observed.estimate {
             let ratio = (observed.thread_seconds / estimate.max(0.001)).clamp(0.5, 20.0);
             self.stretch *= (ratio / self.stretch).powf(FACTOR_WEIGHT);
         }
         if let Some(reported) = observed.reported {
-            let mean = self.mean_reported.get_or_insert(reported.secs());
+            let mean = self.mean_reported_secs.get_or_insert(reported.secs());
             *mean += (reported.secs() - *mean) * MEAN_WEIGHT;
         }
         let Some(hint) = observed.hint.filter(|hint| hint.micros() > 0) else { return };
-        self.correct_hints(hint, observed);
+        self.update_hint_correction(hint, observed);
     }
 
-    fn correct_hints(&mut self, hint: Duration, observed: &ObservedWork) {
+    fn update_hint_correction(&mut self, hint: Duration, observed: &ObservedWork) {
         self.hint_correction *= match observed.reported {
             Some(reported) => ((reported / hint).max(0.01) / self.hint_correction).powf(FACTOR_WEIGHT),
             None if observed.thread_seconds / hint.secs() < self.hint_correction => 0.98,
