--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,7 +1,10 @@
-//! Rule 4 summed over a whole fleet: each gateway decides alone, and an engine in slow start has a budget for all of
-//! them together. Gateways here are the real decisions, each with a chance of its own; traffic is what hurts most.
+//! Rule 4: all gateways together stay within the budget of an engine in slow start, although each gateway
+//! decides alone.
+//!
+//! Each simulated gateway runs the real policy with a seed of its own, under the traffic patterns that come
+//! closest to exceeding the budget.
 
-#[allow(dead_code, reason = "other tests use the rest of it")]
+#[allow(dead_code, reason = "other test files use the remaining helpers")]
 mod common;
 
 use common::*;
@@ -11,36 +14,41 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::{iter, thread};
 
-const SLOW_START: usize = 0;
+/// Index of the engine in slow start.
+const ENGINE: usize = 0;
+/// Class of the requests with little work.
 const LIGHT: usize = LOOKUP;
+/// Class of the requests with much work.
 const HEAVY: usize = REPORT;
-/// The engine starts then, long after the gateways.
-const STARTS: u64 = 20_000;
-const LASTS: u64 = 5_500;
-/// Between two requests where more comes than is sent on.
-const STEP: u64 = 20;
+/// Start time of the engine in ms, long after the start of the gateways.
+const ENGINE_START_MS: u64 = 20_000;
+/// Length of the simulated traffic in ms.
+const TRAFFIC_MS: u64 = 5_500;
+/// Time in ms between two requests of a gateway with dense traffic.
+const STEP_MS: u64 = 20;
 
-/// What comes to one gateway and when.
+/// The requests that arrive at one gateway.
 #[derive(Clone, Copy, Debug)]
 enum Traffic {
-    /// More than it can send on, from the moment on in which it hears of the engine.
+    /// More requests than the gateway may send to the engine, from the time at which it learns of the engine.
     Dense,
-    /// One a second at times of its own, then more than it can send on, everywhere at once.
-    ThinThenSurge,
-    /// Some tens a second.
+    /// One request per second, at a different time in each gateway, then dense traffic at all gateways at
+    /// once.
+    SparseThenSurge,
+    /// About 25 requests per second.
     Even,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
     gateways: usize,
-    /// Work in ms of a light and of a heavy request, and how many of a hundred are heavy.
+    /// Work in ms of a light request, work in ms of a heavy request, and percentage of heavy requests.
     work: (u64, u64, u64),
     traffic: Traffic,
-    /// Gateways hear of the engine up to so much apart.
-    listed_within: u64,
-    /// So many of ten gateways are started anew in the middle.
-    restarted: usize,
+    /// Gateways learn of the engine at random times within this many ms after its start.
+    discovery_spread_ms: u64,
+    /// Mean number of gateways out of ten that restart in the middle of the traffic.
+    restarted_of_ten: usize,
 }
 
 impl Case {
@@ -49,67 +57,71 @@
         config.topology.gateway_count = self.gateways;
         config.topology.engine_kinds = vec![EngineKind { cores: 16.0, memory_mb: 16_000.0 }];
         config.classes.truncate(2);
-        config.classes.iter_mut().for_each(|g| g.threads = 1.0);
+        config.classes.iter_mut().for_each(|class| class.threads = 1.0);
         config
     }
 
-    fn mean(&self) -> f64 {
-        let (light, heavy, part) = self.work;
-        (light * (100 - part) + heavy * part) as f64 / 100.0
+    fn mean_work_ms(&self) -> f64 {
+        let (light, heavy, heavy_percent) = self.work;
+        (light * (100 - heavy_percent) + heavy * heavy_percent) as f64 / 100.0
     }
 
-    /// The rule's budget and slack in requests of mean work, for a window that begins then.
-    fn most(&self, config: &PolicyConfig, from: Timestamp) -> f64 {
+    /// Budget of the engine plus its slack, in requests of mean work, for a window that starts at `from`.
+    fn max_requests(&self, config: &PolicyConfig, from: Timestamp) -> f64 {
         let slow_start = &config.slow_start;
-        let budget_of = slow_start.overload_multiple
-            * slow_start.warm_up_factor(Some(at_ms(STARTS)), from)
+        let budget_secs = slow_start.overload_multiple
+            * slow_start.warm_up_factor(Some(at_ms(ENGINE_START_MS)), from)
             * 16.0
             * slow_start.window.secs();
-        let n = budget_of * 1000.0 / self.mean();
-        n + if n < 30.0 { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 }
+        let budget = budget_secs * 1000.0 / self.mean_work_ms();
+        budget + if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 }
     }
 
-    /// Everything sent to the engine by all gateways: when, and how much in requests of mean work.
-    fn play(&self, seed: u64) -> Vec<(u64, f64)> {
-        let mut chance = WyRand::new_seed(seed);
+    /// Simulates all gateways. Returns the time in ms and the work, in requests of mean work, of each request
+    /// that was sent to the engine, in order of time.
+    fn simulate(&self, seed: u64) -> Vec<(u64, f64)> {
+        let mut random = WyRand::new_seed(seed);
         let mut sent = Vec::new();
         for gateway_index in 0..self.gateways {
-            let listed = STARTS + chance.generate_range(0..=self.listed_within);
-            let restarts = STARTS + LASTS / 2;
-            let anew = chance.generate_range(0..10_usize) < self.restarted;
-            let thin = chance.generate_range(0..1000_u64);
-            for (from, until, born) in [
-                (listed, if anew { restarts } else { STARTS + LASTS }, 0),
-                (restarts, STARTS + LASTS, restarts),
+            let discovered_ms = ENGINE_START_MS + random.generate_range(0..=self.discovery_spread_ms);
+            let restart_ms = ENGINE_START_MS + TRAFFIC_MS / 2;
+            let restarts = random.generate_range(0..10_usize) < self.restarted_of_ten;
+            let sparse_ms = random.generate_range(0..1000_u64);
+            for (from, until, process_start_ms) in [
+                (discovered_ms, if restarts { restart_ms } else { ENGINE_START_MS + TRAFFIC_MS }, 0),
+                (restart_ms, ENGINE_START_MS + TRAFFIC_MS, restart_ms),
             ] {
-                if born > 0 && !anew {
+                if process_start_ms > 0 && !restarts {
                     continue;
                 }
                 let mut config = self.config();
                 config.topology.gateway_index = gateway_index;
                 let mut gateway = config.start(0);
-                // What it hears first is when it starts.
+                // The first endpoint update sets the time at which this gateway joined.
                 gateway.policy.update_engine(
-                    at_ms(born),
+                    at_ms(process_start_ms),
                     9,
                     Engine { state: EngineState::Gone, ..ready_engine() },
                 );
-                self.learn(&mut gateway, born);
+                self.learn_demand(&mut gateway, process_start_ms);
                 gateway.policy.update_engine(
                     at_ms(from),
-                    SLOW_START,
-                    Engine { start_time: Some(at_ms(STARTS)), ..ready_engine() },
+                    ENGINE,
+                    Engine { start_time: Some(at_ms(ENGINE_START_MS)), ..ready_engine() },
                 );
-                for time in (from..until).step_by(STEP as usize) {
-                    let comes = match self.traffic {
+                for time in (from..until).step_by(STEP_MS as usize) {
+                    let arrives = match self.traffic {
                         Traffic::Dense => true,
-                        Traffic::Even => chance.generate_range(0..2_u32) == 0,
-                        Traffic::ThinThenSurge => time >= STARTS + 3_000 || time % 1000 / STEP == thin / STEP,
+                        Traffic::Even => random.generate_range(0..2_u32) == 0,
+                        Traffic::SparseThenSurge => {
+                            time >= ENGINE_START_MS + 3_000 || time % 1000 / STEP_MS == sparse_ms / STEP_MS
+                        }
                     };
-                    if comes {
-                        let heavy = chance.generate_range(0..100) < self.work.2;
+                    if arrives {
+                        let heavy = random.generate_range(0..100) < self.work.2;
                         sent.extend(
-                            self.one(&mut gateway, time, heavy).map(|work| (time, work / self.mean())),
+                            self.send_one(&mut gateway, time, heavy)
+                                .map(|work| (time, work / self.mean_work_ms())),
                         );
                     }
                 }
@@ -128,81 +140,93 @@
         }
     }
 
-    /// The gateway knows the usual work of each class, and how often each is asked for.
-    fn learn(&self, gateway: &mut TestGateway, time: u64) {
-        for n in 0..100 {
-            let (b, decision) = gateway.admit(time, self.request(time, n < self.work.2));
+    /// Admits 100 requests before any engine is ready, so that the gateway learns the mean work and the
+    /// demand of each class.
+    fn learn_demand(&self, gateway: &mut TestGateway, time: u64) {
+        for number in 0..100 {
+            let (index, decision) = gateway.admit(time, self.request(time, number < self.work.2));
             assert_eq!(sent_to(decision), None);
-            gateway.policy.on_client_disconnected(b);
+            gateway.policy.on_client_disconnected(index);
         }
     }
 
-    /// The work in ms that goes out; it comes back at once, so that only the rule holds anything back.
-    fn one(&self, gateway: &mut TestGateway, time: u64, heavy: bool) -> Option<f64> {
+    /// Admits one request and returns its work in ms if it was sent to the engine. The answer returns at
+    /// once, so that only slow start limits the requests.
+    fn send_one(&self, gateway: &mut TestGateway, time: u64, heavy: bool) -> Option<f64> {
         let request = self.request(time, heavy);
         let work = request.work_hint.unwrap();
-        let (b, decision) = gateway.admit(time, request);
+        let (index, decision) = gateway.admit(time, request);
         sent_to(decision)?;
-        gateway.finish_attempt(time, b, 0, Outcome::Returned, 1);
+        gateway.finish_attempt(time, index, 0, Outcome::Returned, 1);
         Some(work.secs() * 1000.0)
     }
 
-    /// The window that comes nearest to the rule's budget with its slack, as a part of it.
-    fn worst(&self, seed: u64) -> f64 {
-        let (config, sent) = (self.config(), self.play(seed));
-        let window = config.slow_start.window.micros() / 1000;
-        let (mut worst, mut from, mut sum) = (0.0_f64, 0, 0.0);
+    /// Simulates all gateways and returns the largest ratio, over all windows, of the work sent to the budget
+    /// plus slack.
+    fn max_budget_use(&self, seed: u64) -> f64 {
+        let (config, sent) = (self.config(), self.simulate(seed));
+        let window_ms = config.slow_start.window.micros() / 1000;
+        let (mut max_use, mut first, mut sum) = (0.0_f64, 0, 0.0);
         for (time, work) in &sent {
             sum += work;
-            while sent[from].0 + window < *time {
-                sum -= sent[from].1;
-                from += 1;
+            while sent[first].0 + window_ms < *time {
+                sum -= sent[first].1;
+                first += 1;
             }
-            worst = worst.max(sum / self.most(&config, at_ms(sent[from].0)));
+            max_use = max_use.max(sum / self.max_requests(&config, at_ms(sent[first].0)));
         }
-        worst
+        max_use
     }
 }
 
 #[test]
 fn all_gateways_together_stay_within_the_budget_of_an_engine_in_slow_start() {
-    let one = |work| (work, work, 0);
+    let uniform = |work_ms| (work_ms, work_ms, 0);
     let mut cases = Vec::new();
     for gateways in [1, 5, 30, 300] {
-        // Some hundred requests, some tens, a few, and none that fits.
-        for work in [one(150), one(300), one(1_500), one(10_000), (150, 1_500, 10), (100, 4_000, 3)] {
-            for traffic in [Traffic::Dense, Traffic::ThinThenSurge, Traffic::Even] {
-                cases.push(Case { gateways, work, traffic, listed_within: 0, restarted: 0 });
+        // The budget fits hundreds of requests, tens, a few, or no request at all.
+        for work in
+            [uniform(150), uniform(300), uniform(1_500), uniform(10_000), (150, 1_500, 10), (100, 4_000, 3)]
+        {
+            for traffic in [Traffic::Dense, Traffic::SparseThenSurge, Traffic::Even] {
+                cases.push(Case { gateways, work, traffic, discovery_spread_ms: 0, restarted_of_ten: 0 });
             }
             let traffic = Traffic::Dense;
-            cases.push(Case { gateways, work, traffic, listed_within: 2_500, restarted: 0 });
-            cases.push(Case { gateways, work, traffic, listed_within: 0, restarted: 7 });
+            cases.push(Case { gateways, work, traffic, discovery_spread_ms: 2_500, restarted_of_ten: 0 });
+            cases.push(Case { gateways, work, traffic, discovery_spread_ms: 0, restarted_of_ten: 7 });
         }
     }
-    let played = |case: &Case| {
-        let worst = (1..=2).map(|seed| (seed, case.worst(seed))).filter(|(_, worst)| *worst > 1.0);
-        worst
-            .map(|(seed, worst)| format!("{case:?} seed {seed}: {worst:.2} of the budget"))
+    let excesses = |case: &Case| {
+        let exceeded =
+            (1..=2).map(|seed| (seed, case.max_budget_use(seed))).filter(|(_, budget_use)| *budget_use > 1.0);
+        exceeded
+            .map(|(seed, budget_use)| format!("{case:?} seed {seed}: {budget_use:.2} of budget plus slack"))
             .collect::<Vec<_>>()
     };
-    let next = AtomicUsize::new(0);
-    let play =
-        || iter::from_fn(|| cases.get(next.fetch_add(1, Relaxed))).flat_map(played).collect::<Vec<_>>();
+    let next_case = AtomicUsize::new(0);
+    let run_cases = || {
+        iter::from_fn(|| cases.get(next_case.fetch_add(1, Relaxed))).flat_map(excesses).collect::<Vec<_>>()
+    };
     let threads = thread::available_parallelism().map_or(1, usize::from);
-    let over: Vec<String> = thread::scope(|scope| {
-        let all: Vec<_> = (0..threads).map(|_| scope.spawn(play)).collect();
-        all.into_iter().flat_map(|played| played.join().unwrap()).collect()
+    let over_budget: Vec<String> = thread::scope(|scope| {
+        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(run_cases)).collect();
+        workers.into_iter().flat_map(|worker| worker.join().unwrap()).collect()
     });
-    assert!(over.is_empty(), "{over:#?}");
+    assert!(over_budget.is_empty(), "{over_budget:#?}");
 }
 
-/// Guards against a budget that is kept by sending nothing.
+/// Guards against a policy that stays within the budget by sending almost no requests.
 #[test]
-fn an_engine_in_slow_start_is_used() {
+fn gateways_use_the_slow_start_budget() {
     for gateways in [1, 5, 30, 300] {
-        let case =
-            Case { gateways, work: (300, 300, 0), traffic: Traffic::Even, listed_within: 0, restarted: 0 };
-        let worst = case.worst(1);
-        assert!(worst > 0.25, "{gateways} gateways: {worst:.2} of the budget");
+        let case = Case {
+            gateways,
+            work: (300, 300, 0),
+            traffic: Traffic::Even,
+            discovery_spread_ms: 0,
+            restarted_of_ten: 0,
+        };
+        let budget_use = case.max_budget_use(1);
+        assert!(budget_use > 0.25, "{gateways} gateways: {budget_use:.2} of budget plus slack");
     }
 }
