--- a/crates/policy/src/attempt_ledger.rs
+++ b/crates/policy/src/attempt_ledger.rs
@@ -1,12 +1,13 @@
-//! What of one key may still run: each attempt from before its first byte until something proves that it neither runs
-//! nor can start.
+//! Attempt ledger of one ordering key: the attempts that may be running at an engine. An attempt is listed from before its
+//! first byte is sent until there is proof that it neither runs nor can start, or until it can no longer run.
 
 use crate::time::Timestamp;
 use crate::types::{AttemptEvidence, LastObservation};
 
-/// The one table of how an attempt can end: whether that proves that nothing of it runs or can start. What a process
-/// says proves something only where the same one has the request: a call that was cut off may arrive late, and at the
-/// address of an engine that drains, and runs on what it has, another may listen.
+/// Whether the evidence proves that an attempt neither runs nor can start.
+///
+/// A reply proves this only when it came from the process that has the attempt. A call on a broken connection may still
+/// arrive late, and another process may listen at the address of a draining engine that still runs its attempts.
 pub fn proves_end(evidence: AttemptEvidence) -> bool {
     match evidence.last {
         LastObservation::NotSent => true,
@@ -18,28 +19,29 @@
     }
 }
 
+/// One attempt that may be running.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Entry {
-    /// None once the request has finished: its index may then be another one's.
+struct LedgerEntry {
+    /// `None` once the request has finished, since its index may then be assigned to another request.
     request: Option<usize>,
     attempt: u8,
     engine: usize,
-    /// Until when it may run; open while it is in flight.
+    /// When the attempt can no longer be running; `None` while it is in flight.
     may_run_until: Option<Timestamp>,
-    /// It had its outcome, and nothing proved its end.
+    /// The attempt has an outcome, but nothing proved that it ended.
     end_unproven: bool,
 }
 
-impl Entry {
-    fn is_over(&self, now: Timestamp) -> bool {
+impl LedgerEntry {
+    fn has_ended(&self, now: Timestamp) -> bool {
         self.may_run_until.is_some_and(|until| until <= now)
     }
 }
 
-/// Attempts of one key that may run.
+/// Attempts of one key that may be running.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct AttemptLedger {
-    entries: Vec<Entry>,
+    entries: Vec<LedgerEntry>,
 }
 
 impl AttemptLedger {
@@ -47,46 +49,47 @@
         self.entries.is_empty()
     }
 
-    pub(crate) fn open(&mut self, request: usize, attempt: u8, engine: usize) {
+    pub(crate) fn record_start(&mut self, request: usize, attempt: u8, engine: usize) {
         let request = Some(request);
-        self.entries.push(Entry { request, attempt, engine, may_run_until: None, end_unproven: false });
+        self.entries.push(LedgerEntry { request, attempt, engine, may_run_until: None, end_unproven: false });
     }
 
-    /// Whether nothing of any other request may run.
-    pub(crate) fn allows(&self, request: usize, now: Timestamp) -> bool {
-        self.entries.iter().all(|entry| entry.request == Some(request) || entry.is_over(now))
+    /// Whether no attempt of any other request may be running.
+    pub(crate) fn allows_request(&self, request: usize, now: Timestamp) -> bool {
+        self.entries.iter().all(|entry| entry.request == Some(request) || entry.has_ended(now))
     }
 
-    /// The attempt has its outcome, and may run until then.
-    pub(crate) fn close(
+    /// Records that an attempt has its outcome and may run until `may_run_until`.
+    pub(crate) fn record_outcome(
         &mut self,
         request: usize,
         attempt: u8,
         may_run_until: Timestamp,
         end_unproven: bool,
     ) {
-        let closed = |entry: &&mut Entry| entry.request == Some(request) && entry.attempt == attempt;
-        for entry in self.entries.iter_mut().filter(closed) {
+        let is_attempt =
+            |entry: &&mut LedgerEntry| entry.request == Some(request) && entry.attempt == attempt;
+        for entry in self.entries.iter_mut().filter(is_attempt) {
             entry.may_run_until = Some(may_run_until);
             entry.end_unproven = end_unproven;
         }
     }
 
-    /// Holds what was not seen to end, at engines that meet the condition, until then at least.
-    pub(crate) fn hold(&mut self, until: Timestamp, is_draining: impl Fn(usize) -> bool) {
+    /// Extends the time in which attempts without proof of their end may run at draining engines, at least to `until`.
+    pub(crate) fn extend_unproven(&mut self, until: Timestamp, is_draining: impl Fn(usize) -> bool) {
         for entry in self.entries.iter_mut().filter(|entry| entry.end_unproven && is_draining(entry.engine)) {
             entry.may_run_until = entry.may_run_until.max(Some(until));
         }
     }
 
-    /// The request has finished: what may run of it stays, under no index.
-    pub(crate) fn forget_request(&mut self, request: usize) {
+    /// Records that a request has finished. Its attempts that may be running stay listed without the request's index.
+    pub(crate) fn detach_request(&mut self, request: usize) {
         for entry in self.entries.iter_mut().filter(|entry| entry.request == Some(request)) {
             entry.request = None;
         }
     }
 
-    pub(crate) fn remove_over(&mut self, now: Timestamp) {
-        self.entries.retain(|entry| !entry.is_over(now));
+    pub(crate) fn remove_ended(&mut self, now: Timestamp) {
+        self.entries.retain(|entry| !entry.has_ended(now));
     }
 }
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -1,6 +1,7 @@
-//! Cancellation of attempts in flight: where a fresh attempt, or none, costs less than the rest of this one.
+//! Cancellation of attempts in flight, where finishing an attempt would cost more than a new attempt or none.
 //!
-//! Guards against engines that went silent, bad plans and slow engines, and attempts that only hold memory.
+//! Cancelled are attempts at silent ejected engines, attempts much slower than estimated because of a bad query plan or a
+//! slow engine, and attempts that hold memory while they wait for a data lock.
 
 use crate::engine_record::EngineRecord;
 use crate::request_record::RequestRecord;
@@ -8,16 +9,16 @@
 use crate::types::{Capabilities, Idempotency, RequestClass};
 use std::collections::BTreeMap;
 
-/// An attempt should have brought a progress update by this many intervals.
-const UPDATE_SLACK: f64 = 1.6;
+/// Progress update intervals without an update after which an attempt counts as silent.
+const OVERDUE_INTERVALS: f64 = 1.6;
 
-/// How long after the last progress update an engine counts as silent; `None` where there are no updates.
+/// Time after the last progress update from which an attempt counts as silent; `None` if engines send no updates.
 pub(crate) fn update_overdue_after(capabilities: &Capabilities) -> Option<Duration> {
-    capabilities.progress_interval.map(|interval| interval * UPDATE_SLACK)
+    capabilities.progress_interval.map(|interval| interval * OVERDUE_INTERVALS)
 }
 
-/// Cancels at most one attempt of a request, and names it.
-pub(crate) fn cancel_one(
+/// Marks at most one attempt of a request as cancelled, and returns its number. Only idempotent requests are cancelled.
+pub(crate) fn cancel_one_attempt(
     record: &mut RequestRecord,
     class: &RequestClass,
     off_estimate_after: Duration,
@@ -28,16 +29,17 @@
     if class.idempotency != Idempotency::Idempotent || !capabilities.can_cancel {
         return None;
     }
-    let objective = class.latency_objective_for(record.work);
-    // Once: what is as slow elsewhere was estimated wrong, and cancelling it again only wastes more.
-    let judges_pace = !record.went_off_estimate;
+    let objective = class.latency_objective_for(record.work_estimate);
+    // A request is cancelled for its pace only once: if the next attempt is as slow, the estimate was wrong, and another
+    // cancellation would waste more work.
+    let checks_pace = !record.went_off_estimate;
     for attempt in record.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
         let ejected = engines.get(&attempt.engine).is_some_and(|engine| engine.outliers.is_ejected());
         let silent = attempt.is_silent(update_overdue_after(capabilities), now);
         let is_off_estimate =
             |predicted: Duration| predicted > off_estimate_after && predicted > class.latency_objective;
-        let off_estimate = judges_pace && attempt.predicted_duration.is_some_and(is_off_estimate);
-        // Behind a lock past its objective it only keeps memory that an engine in need of it swaps for.
+        let off_estimate = checks_pace && attempt.predicted_duration.is_some_and(is_off_estimate);
+        // An attempt that waits for a data lock past its objective holds memory, and an engine short of memory swaps.
         let only_holds_memory = capabilities.swaps_when_out_of_memory
             && attempt.waited_for_lock
             && now.since(attempt.sent_time) > objective;
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -64,7 +64,7 @@
     /// engines count among the healthy ones: what they have no room for must not spill onto an unhealthy one.
     fn reach(&self, engines: &BTreeMap<usize, EngineRecord>) -> Reach {
         let used = engines.values().any(|engine| self.is_open(engine) && !engine.outside_subset);
-        let beyond_subset = self.record.first_run.is_some() || !used;
+        let beyond_subset = self.record.first_possible_run.is_some() || !used;
         let mut reach = Reach { beyond_subset, trusts_ejections: false };
         let in_reach = || engines.values().filter(|engine| self.is_in_reach(engine, &reach));
         let ejected = in_reach().filter(|engine| engine.outliers.is_ejected()).count();
@@ -97,10 +97,10 @@
         if !engine.limit.admits(class, self.class.threads, self.record.within_quota, pool) {
             return false;
         }
-        let first_run = self.record.first_run;
+        let first_possible_run = self.record.first_possible_run;
         if !idempotency::allows_attempt(
             self.class.idempotency,
-            first_run,
+            first_possible_run,
             &engine.listed,
             self.now,
             self.capabilities.clock_step,
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,15 +1,15 @@
-//! What the decisions tell an operator: events that the gateway logs.
+//! Events of the policy that the gateway logs for operators.
 
 use std::fmt;
 
-/// What an ejection or restoration of an engine rests on.
+/// Source of the outcome that led to the ejection or restoration of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthEvidence {
     /// Outcomes of this gateway's own attempts.
     Outcomes,
     /// Outcomes that other gateways reported.
     Gossip,
-    /// Progress updates that are due and did not come.
+    /// Overdue progress updates of attempts in flight.
     Silence,
 }
 
@@ -23,39 +23,39 @@
     }
 }
 
-/// One change of a verdict. Displayed as a log line: a fixed message, then its values.
+/// One change of state. Its `Display` text is a log line: a fixed message followed by the fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PolicyEvent {
-    /// An engine gets probes only from now on.
+    /// An engine was ejected and is now sent only probes.
     EngineEjected {
         /// Index of the engine.
         engine: usize,
-        /// What the last outcome came from.
+        /// Source of the last outcome.
         evidence: HealthEvidence,
     },
-    /// An ejected engine is used again.
+    /// An ejected engine was restored and is used again.
     EngineRestored {
         /// Index of the engine.
         engine: usize,
-        /// What the last outcome came from.
+        /// Source of the last outcome.
         evidence: HealthEvidence,
     },
-    /// Discovery was not heard for too long: no engine is sent anything.
+    /// Discovery has not confirmed the endpoint list for too long. No attempts are sent until it does.
     EndpointListExpired,
-    /// Discovery was heard again.
+    /// Discovery confirmed the endpoint list again after it had expired.
     EndpointListCurrent,
-    /// Most engines are congested: no retries until that is over.
+    /// At least half of the ready engines are congested. No retries are sent until the overload ends.
     OverloadStarted {
-        /// Congested engines among the ready ones.
+        /// Number of ready engines that are congested.
         congested: usize,
-        /// Engines that are ready and in use.
+        /// Number of engines that are ready and in the gateway's subset.
         ready: usize,
     },
-    /// Fewer engines are congested.
+    /// Less than half of the ready engines are congested, and retries are sent again.
     OverloadEnded {
-        /// Congested engines among the ready ones.
+        /// Number of ready engines that are congested.
         congested: usize,
-        /// Engines that are ready and in use.
+        /// Number of engines that are ready and in the gateway's subset.
         ready: usize,
     },
 }
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,29 +1,32 @@
-//! Rule 2: whether a further attempt of a request can have its effect a second time.
+//! Idempotency: whether another attempt of a request could repeat the request's effect.
 
 use crate::time::{Duration, Timestamp};
 use crate::types::{Engine, Idempotency};
 
-/// The first attempt of a request that may have run.
+/// The earliest attempt of a request that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleRun {
+    /// The engine's endpoint list entry when the attempt ended: its zone and cell limit the deduplication scope.
     pub engine: Engine,
     pub sent_time: Timestamp,
 }
 
-/// Whether an attempt may go to this engine now.
+/// Whether an attempt may be sent to `engine` now. The deduplication window ends one `clock_step` early, to allow for the
+/// step between two readings of the clock.
 pub(crate) fn allows_attempt(
     idempotency: Idempotency,
-    first_run: Option<PossibleRun>,
+    first_possible_run: Option<PossibleRun>,
     engine: &Engine,
     now: Timestamp,
     clock_step: Duration,
 ) -> bool {
-    let Some(first_run) = first_run else { return true };
+    let Some(first_possible_run) = first_possible_run else { return true };
     match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::IdempotentWithKey { scope, window } => {
-            now.since(first_run.sent_time) + clock_step < window && scope.covers(&first_run.engine, engine)
+            now.since(first_possible_run.sent_time) + clock_step < window
+                && scope.covers(&first_possible_run.engine, engine)
         }
     }
 }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,63 +1,66 @@
-//! Outlier detection: engines that fail more of their attempts than all engines do are ejected, probed, and restored.
+//! Outlier detection: an engine that fails clearly more of its attempts than all engines do is ejected, probed and restored.
 //!
-//! A sequential test: the log-likelihood ratio of "unhealthy" over "healthy" adds up over outcomes. Guards against
-//! engines that answer fast with errors and so look idle, and against ejecting engines for what all of them share.
+//! A sequential test adds up the log-likelihood ratio of "unhealthy" over "healthy" over the outcomes of an engine. It
+//! finds engines that answer quickly with errors and would look idle. Failures that all engines share eject none of them,
+//! since the failure fraction of a healthy engine follows the baseline over all engines.
 
 use crate::time::{Duration, Timestamp};
 
-/// Fraction of bad outcomes of a healthy engine, at least.
-const HEALTHY_BAD_MINIMUM: f64 = 0.05;
-/// And at most, where all engines are bad alike.
-const HEALTHY_BAD_MAXIMUM: f64 = 0.6;
-/// A healthy engine may be so many times as bad as all engines are.
-const HEALTHY_TIMES_BASELINE: f64 = 3.0;
-/// Fraction of bad outcomes of an unhealthy engine, while a healthy one has the minimum.
-const UNHEALTHY_BAD: f64 = 0.5;
-/// Good outcomes that the baseline starts with.
-const BASELINE_PRIOR: f64 = 100.0;
-/// What is left of the baseline's counts after each further outcome.
+/// Minimum of the failure fraction that a healthy engine is assumed to have.
+const MIN_HEALTHY_FAILURE_FRACTION: f64 = 0.05;
+/// Maximum of the failure fraction that a healthy engine is assumed to have, reached where all engines fail alike.
+const MAX_HEALTHY_FAILURE_FRACTION: f64 = 0.6;
+/// Failure fraction that a healthy engine is assumed to have, as a multiple of that of all engines.
+const HEALTHY_BASELINE_FACTOR: f64 = 3.0;
+/// Failure fraction that an unhealthy engine is assumed to have, where that of a healthy engine is the minimum.
+const UNHEALTHY_FAILURE_FRACTION: f64 = 0.5;
+/// Successful outcomes that the baseline assumes before the first outcome.
+const BASELINE_PRIOR_SUCCESSES: f64 = 100.0;
+/// Factor by which each further outcome multiplies the earlier counts of the baseline.
 const BASELINE_DECAY: f64 = 0.997;
 /// Log-likelihood ratio at which an engine is ejected.
-const EJECTION_EVIDENCE: f64 = 4.0;
-/// Part of it down to which good probes must bring an ejected engine.
-const RESTORE_FRACTION: f64 = 0.5;
-/// Fraction of ejected engines above which the verdict itself is in doubt: then none is left out.
+const EJECTION_THRESHOLD: f64 = 4.0;
+/// Fraction of the ejection threshold to which successful probes must lower the ratio of an ejected engine to restore it.
+const RESTORE_THRESHOLD_FRACTION: f64 = 0.5;
+/// Fraction of ejected engines above which ejections are ignored: a failure of so many engines has another cause.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
+/// Time from an ejection to the first probe. Each failed probe doubles the interval up to the maximum.
 const FIRST_PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-const LONGEST_PROBE_INTERVAL: Duration = Duration::from_millis(8000);
+const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(8000);
 
-/// Bad outcomes and all outcomes at engines that are not ejected, decayed.
+/// Exponentially decayed counts of the outcomes at engines that are not ejected.
 #[derive(Debug, Default)]
 pub(crate) struct FailureBaseline {
-    bad: f64,
-    all: f64,
+    failed: f64,
+    total: f64,
 }
 
 impl FailureBaseline {
-    /// Fraction of bad outcomes that a healthy engine may have: cut connections and mistakes of clients hit all alike.
-    fn healthy_bad_fraction(&self) -> f64 {
-        let times_baseline = HEALTHY_TIMES_BASELINE * self.bad / (self.all + BASELINE_PRIOR);
-        times_baseline.clamp(HEALTHY_BAD_MINIMUM, HEALTHY_BAD_MAXIMUM)
+    /// Failure fraction that a healthy engine is assumed to have. The fraction follows the baseline, since broken
+    /// connections and invalid statements of clients fail attempts at all engines alike.
+    fn healthy_failure_fraction(&self) -> f64 {
+        let fraction = HEALTHY_BASELINE_FACTOR * self.failed / (self.total + BASELINE_PRIOR_SUCCESSES);
+        fraction.clamp(MIN_HEALTHY_FAILURE_FRACTION, MAX_HEALTHY_FAILURE_FRACTION)
     }
 
-    fn record(&mut self, bad: bool) {
-        self.bad = self.bad * BASELINE_DECAY + f64::from(bad);
-        self.all = self.all * BASELINE_DECAY + 1.0;
+    fn record(&mut self, failed: bool) {
+        self.failed = self.failed * BASELINE_DECAY + f64::from(failed);
+        self.total = self.total * BASELINE_DECAY + 1.0;
     }
 }
 
-/// What an outcome changed.
+/// Change of an engine's health by an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthChange {
     Ejected,
     Restored,
 }
 
-/// The test on one engine.
+/// The sequential test of one engine.
 #[derive(Default)]
 pub(crate) struct OutlierDetector {
-    /// Log-likelihood ratio of unhealthy over healthy.
-    evidence: f64,
+    /// Sum of the log-likelihood ratios of unhealthy over healthy, in 0..=EJECTION_THRESHOLD.
+    log_likelihood_ratio: f64,
     ejected: bool,
     next_probe_time: Timestamp,
     probe_interval: Duration,
@@ -68,64 +71,67 @@
         self.ejected
     }
 
-    /// Whether a probe may go out now, where the engine is ejected.
+    /// Whether the next probe may be sent now, if the engine is ejected.
     pub(crate) fn is_probe_due(&self, now: Timestamp) -> bool {
         now >= self.next_probe_time
     }
 
-    /// For how long a probe has been due.
+    /// Time since the next probe became due; zero before.
     pub(crate) fn probe_overdue(&self, now: Timestamp) -> Duration {
         now.since(self.next_probe_time)
     }
 
-    /// An attempt goes there: until its outcome the next probe waits.
+    /// Delays the next probe by the probe interval after an attempt was sent, so that the attempt ends first.
     pub(crate) fn on_attempt_sent(&mut self, now: Timestamp) {
         self.next_probe_time = now + self.probe_interval;
     }
 
-    /// Takes in one outcome, and tells whether the verdict changes by it.
+    /// Records one outcome. Returns the ejection or restoration that follows from it, if any.
     pub(crate) fn record(
         &mut self,
-        bad: bool,
+        failed: bool,
         baseline: &mut FailureBaseline,
         now: Timestamp,
     ) -> Option<HealthChange> {
-        self.evidence = (self.evidence + evidence_of(bad, baseline)).clamp(0.0, EJECTION_EVIDENCE);
-        if self.ejected { self.record_probe(bad, now) } else { self.record_attempt(bad, baseline, now) }
+        self.log_likelihood_ratio = (self.log_likelihood_ratio + log_likelihood_ratio_of(failed, baseline))
+            .clamp(0.0, EJECTION_THRESHOLD);
+        if self.ejected { self.record_probe(failed, now) } else { self.record_attempt(failed, baseline, now) }
     }
 
     fn record_attempt(
         &mut self,
-        bad: bool,
+        failed: bool,
         baseline: &mut FailureBaseline,
         now: Timestamp,
     ) -> Option<HealthChange> {
-        baseline.record(bad);
-        self.ejected = self.evidence >= EJECTION_EVIDENCE;
+        baseline.record(failed);
+        self.ejected = self.log_likelihood_ratio >= EJECTION_THRESHOLD;
         self.probe_interval = FIRST_PROBE_INTERVAL;
         self.next_probe_time = now + FIRST_PROBE_INTERVAL;
         self.ejected.then_some(HealthChange::Ejected)
     }
 
-    /// An ejected engine comes back by the same test, over probes one after the other: a single good answer would restore
-    /// one that errors on every other request.
-    fn record_probe(&mut self, bad: bool, now: Timestamp) -> Option<HealthChange> {
-        let backoff = if bad { 2.0 } else { 1.0 };
-        self.probe_interval = (self.probe_interval * backoff).min(LONGEST_PROBE_INTERVAL);
-        self.next_probe_time = if bad { now + self.probe_interval } else { now };
-        self.ejected = self.evidence > EJECTION_EVIDENCE * RESTORE_FRACTION;
+    /// Records the outcome of a probe. The same test restores an ejected engine, over several successive probes: a single
+    /// successful probe is not enough, or an engine that fails every other request would be restored.
+    fn record_probe(&mut self, failed: bool, now: Timestamp) -> Option<HealthChange> {
+        let backoff = if failed { 2.0 } else { 1.0 };
+        self.probe_interval = (self.probe_interval * backoff).min(MAX_PROBE_INTERVAL);
+        self.next_probe_time = if failed { now + self.probe_interval } else { now };
+        self.ejected = self.log_likelihood_ratio > EJECTION_THRESHOLD * RESTORE_THRESHOLD_FRACTION;
         (!self.ejected).then_some(HealthChange::Restored)
     }
 }
 
-fn evidence_of(bad: bool, baseline: &FailureBaseline) -> f64 {
-    let healthy = baseline.healthy_bad_fraction();
-    let unhealthy = UNHEALTHY_BAD + (healthy - HEALTHY_BAD_MINIMUM) / 2.0;
-    let ratio = if bad { unhealthy / healthy } else { (1.0 - unhealthy) / (1.0 - healthy) };
+/// Log-likelihood ratio of unhealthy over healthy for one outcome: positive after a failure, negative after a success.
+fn log_likelihood_ratio_of(failed: bool, baseline: &FailureBaseline) -> f64 {
+    let healthy = baseline.healthy_failure_fraction();
+    let unhealthy = UNHEALTHY_FAILURE_FRACTION + (healthy - MIN_HEALTHY_FAILURE_FRACTION) / 2.0;
+    let ratio = if failed { unhealthy / healthy } else { (1.0 - unhealthy) / (1.0 - healthy) };
     ratio.ln()
 }
 
-/// Whether ejections among the engines in reach count: with most of them ejected it is the network or the work.
+/// Whether ejections apply among the engines that a request can reach. With most of them ejected, the network or the
+/// requests are the likely cause, and ejections are ignored.
 pub(crate) fn is_ejection_trusted(in_reach: usize, ejected: usize) -> bool {
     ejected as f64 <= in_reach as f64 * MAX_EJECTED_FRACTION
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,8 +1,8 @@
-//! The public type: a request's life, as the caller drives it.
+//! [`Policy`]: the routing decisions of one gateway, from the admission of a request to its final answer.
 //!
-//! The ordinary path: a request goes to the ready engine with most headroom of its class. Limits of running threads, for
-//! each engine and class, move each tick by asymmetric AIMD on one congestion signal, and bind only while the engine's
-//! last tick found it congested. With no headroom anywhere the request is rejected at once.
+//! A request is sent to the ready engine with the most headroom for its class. Each engine has a limit of running threads
+//! for each class. Every tick adjusts the limits by asymmetric AIMD on one congestion signal, and they bind only while
+//! the engine's last tick found it congested. When no engine has headroom, the request is rejected at once.
 
 mod attempt_end;
 mod engines;
@@ -34,12 +34,13 @@
 
 pub use crate::concurrency_limit::TICK;
 
-/// How often a request that waits for its key is looked at; one with an attempt in flight, each tick.
+/// Time between two routings of a request that waits for its ordering key. A request with an attempt in flight is routed
+/// every [`TICK`].
 const KEY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Retries of one request at most, whatever the caller allows.
+/// Maximum retries of one request, even where `Capabilities::max_attempts` allows more.
 const MAX_RETRIES: usize = 2;
 
-/// All decisions of one gateway.
+/// The routing policy of one gateway: its engines, the requests in flight and what has been learned from their results.
 pub struct Policy {
     topology: Topology,
     capabilities: Capabilities,
@@ -50,11 +51,11 @@
     key_order: KeyOrder,
     engines: BTreeMap<usize, EngineRecord>,
     requests: BTreeMap<usize, RequestRecord>,
-    /// When this gateway was first told of an engine.
+    /// When the endpoint list first named an engine to this gateway.
     joined_time: Option<Timestamp>,
     traffic: TrafficFraction,
     mean_reported_load: MeanLoad,
-    /// Time taken over work, as answers mostly show it.
+    /// Mean over all answers of the thread time taken, divided by the work that the answer reports.
     mean_slowdown: MeanLoad,
     health_checks: HealthCheckBudget,
     failure_baseline: FailureBaseline,
@@ -65,7 +66,8 @@
 }
 
 impl Policy {
-    /// A policy without engines; the seed decides ties and which engines are checked.
+    /// Creates a policy without engines. The seed determines how ties between engines are broken and which engines are
+    /// health-checked.
     pub fn new(seed: u64, config: PolicyConfig) -> Policy {
         let mut topology = config.topology;
         topology.gateways = topology.gateways.max(1);
@@ -93,17 +95,19 @@
         }
     }
 
-    /// Discovery was heard, with nothing new or all of it: the list of engines holds as of then.
+    /// Records that discovery confirmed the endpoint list at `time`, either unchanged or after all its changes were
+    /// applied.
     pub fn confirm_endpoint_list(&mut self, time: Timestamp) {
         self.endpoint_list.confirm(time);
     }
 
-    /// Rule 3: whether the list of engines is recent enough. A list that nobody stands by any more opens no engine.
+    /// Whether discovery confirmed the endpoint list recently enough. While it is not current, no attempt is sent, since the
+    /// list may name engines that are draining or gone.
     pub fn is_endpoint_list_current(&self, now: Timestamp) -> bool {
         self.endpoint_list.is_current(self.capabilities.endpoint_list_lifetime, now)
     }
 
-    /// Admits a request under an index of the caller's.
+    /// Admits a request under an index that the caller assigns. No other request in flight may have this index.
     pub fn admit(&mut self, now: Timestamp, index: usize, mut request: Request) {
         self.health_checks.record_request();
         let class = request.class;
@@ -112,33 +116,39 @@
         if let Some(key) = request.key {
             self.key_order.admit(key, index);
         }
-        let work = self.classes.work(class).estimate(request.work_hint);
+        let work_estimate = self.classes.work(class).estimate(request.work_hint);
         let traffic_fraction = self.traffic_fraction();
         let quota = request.tenant.and_then(|tenant| self.tenants.get_mut(tenant));
         let within_quota = quota.is_none_or(|quota| quota.try_acquire(traffic_fraction, now));
-        let record =
-            RequestRecord { request, admitted_time: now, work, within_quota, ..RequestRecord::default() };
+        let record = RequestRecord {
+            request,
+            admitted_time: now,
+            work_estimate,
+            within_quota,
+            ..RequestRecord::default()
+        };
         self.requests.insert(index, record);
     }
 
-    /// What to do with a request now: send it, wait, or end it.
+    /// Decides whether to send a request now, let it wait, cancel one of its attempts or end it.
     pub fn route(&mut self, now: Timestamp, request: usize) -> RoutingDecision {
         let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
             return RoutingDecision::Wait;
         };
         if !record.in_flight.is_empty() {
-            return self.review_attempts(now, request);
+            return self.cancel_or_wait(now, request);
         }
-        // What cannot be answered in time is better told so at once.
+        // A request without enough time left for its estimated work is ended at once instead of at its deadline.
         let class = record.request.class;
-        let shortest = Duration::from_secs(record.work.unwrap_or(0.0) / self.classes.threads(class));
-        if now + shortest >= self.last_answer_time(record) {
+        let shortest_duration =
+            Duration::from_secs(record.work_estimate.unwrap_or(0.0) / self.classes.threads(class));
+        if now + shortest_duration >= self.latest_answer_time(record) {
             return self.finish_unanswered(request);
         }
         if record.request.key.is_some_and(|key| !self.key_order.is_next(key, request, now)) {
             return RoutingDecision::Wait;
         }
-        if !self.may_attempt(now, request) {
+        if !self.is_attempt_allowed(now, request) {
             return self.finish_unanswered(request);
         }
         match self.select_engine(now, request) {
@@ -147,22 +157,23 @@
         }
     }
 
-    /// Whether an attempt that was routed a while ago may begin now: its client still waits, the list of engines holds,
-    /// and its idempotency key is still known where it may have run.
+    /// Whether an attempt that was routed earlier may start now: the request has no final answer, the attempt is not
+    /// cancelled, the endpoint list is current, and a repeat of an earlier attempt is still safe at this engine.
     pub fn may_start_attempt(&self, now: Timestamp, request: usize, attempt: u8) -> bool {
         let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
             return false;
         };
-        let live = |other: &&AttemptInFlight| other.number == attempt && !other.cancelled;
-        let Some(attempt) = record.in_flight.iter().find(live) else { return false };
+        let is_active = |other: &&AttemptInFlight| other.number == attempt && !other.cancelled;
+        let Some(attempt) = record.in_flight.iter().find(is_active) else { return false };
         let Some(engine) = self.engines.get(&attempt.engine) else { return false };
         let idempotency = self.classes.settings(record.request.class).idempotency;
-        let step = self.capabilities.clock_step;
+        let clock_step = self.capabilities.clock_step;
+        let first_possible_run = record.first_possible_run;
         self.is_endpoint_list_current(now)
-            && idempotency::allows_attempt(idempotency, record.first_run, &engine.listed, now, step)
+            && idempotency::allows_attempt(idempotency, first_possible_run, &engine.listed, now, clock_step)
     }
 
-    /// An engine says something of an attempt in flight.
+    /// Records a progress update on an attempt in flight. Updates on unknown requests and attempts are ignored.
     pub fn on_progress(&mut self, now: Timestamp, request: usize, attempt: u8, update: ProgressUpdate) {
         let Some(record) = self.requests.get_mut(&request) else { return };
         let data_set = record.request.data_set;
@@ -180,17 +191,18 @@
         }
     }
 
-    /// When to route this request again, if nothing happens before.
+    /// When to route a request again if none of its attempts ends before.
     pub fn next_route_time(&self, now: Timestamp, request: usize) -> Timestamp {
         match self.requests.get(&request) {
             Some(record) if record.in_flight.is_empty() => {
-                (now + KEY_CHECK_INTERVAL).min(self.last_answer_time(record))
+                (now + KEY_CHECK_INTERVAL).min(self.latest_answer_time(record))
             }
             Some(_) | None => now + TICK,
         }
     }
 
-    /// The client is gone, and may be back at once: what is in flight works for nobody. The attempts to cancel.
+    /// Finishes a request whose client disconnected, and returns the numbers of its attempts that the caller must cancel:
+    /// none where attempts cannot be cancelled. The client may reconnect and send the request again at once.
     pub fn on_client_disconnected(&mut self, request: usize) -> Vec<u8> {
         let record = self.requests.get_mut(&request).filter(|_| self.capabilities.can_cancel);
         let cancelled = record.map(RequestRecord::cancel_attempts).unwrap_or_default();
@@ -198,58 +210,59 @@
         cancelled
     }
 
-    /// The final answer of a request at once, whatever is in flight: a rejection where trying again is harmless, else a
-    /// failure.
+    /// Finishes a request without a result, also while attempts are in flight. Returns a rejection where the client may
+    /// safely send the request again, otherwise a failure.
     pub fn finish_unanswered(&mut self, request: usize) -> RoutingDecision {
         let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
             return RoutingDecision::Wait;
         };
         let idempotency = self.classes.settings(record.request.class).idempotency;
-        // Rule 2: a rejection says that trying again is harmless.
-        let never_ran = record.first_run.is_none() && record.in_flight.is_empty();
-        let harmless = never_ran
+        // A rejection tells the client that sending the request again cannot have its effect twice.
+        let never_ran = record.first_possible_run.is_none() && record.in_flight.is_empty();
+        let safe_to_repeat = never_ran
             || matches!(
                 idempotency,
                 Idempotency::Idempotent
                     | Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. }
             );
         self.finish(request);
-        if harmless {
+        if safe_to_repeat {
             RoutingDecision::Reject(self.capabilities.max_retry_after)
         } else {
             RoutingDecision::Fail
         }
     }
 
-    /// The gateway ends then: what it has is to have its final answer before.
+    /// Limits the deadline of every request to `deadline`, when the gateway shuts down, so that each request has its final
+    /// answer before.
     pub fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         for record in self.requests.values_mut() {
             record.request.deadline = record.request.deadline.min(deadline);
         }
     }
 
-    /// Events since the last call, for the log.
+    /// Takes the events since the last call, oldest first, for the log.
     pub fn take_events(&mut self) -> Vec<PolicyEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// This gateway's part of all traffic.
+    /// Fraction of all traffic that this gateway handles, in 0..=1.
     fn traffic_fraction(&self) -> f64 {
         self.traffic.value(self.topology.gateways)
     }
 
-    fn last_answer_time(&self, record: &RequestRecord) -> Timestamp {
-        deadline::last_answer_time(record.request.deadline, self.capabilities.clock_step)
+    fn latest_answer_time(&self, record: &RequestRecord) -> Timestamp {
+        deadline::latest_answer_time(record.request.deadline, self.capabilities.clock_step)
     }
 
-    /// Whether one more attempt of a request is allowed; the first always is.
-    fn may_attempt(&mut self, now: Timestamp, request: usize) -> bool {
+    /// Whether a request may have another attempt. The first attempt is always allowed.
+    fn is_attempt_allowed(&mut self, now: Timestamp, request: usize) -> bool {
         let Some(record) = self.requests.get(&request) else { return false };
         if record.attempts_made == 0 {
             return true;
         }
         let max_attempts = self.capabilities.max_attempts.min(1 + MAX_RETRIES);
-        let exhausted = record.may_still_run || record.attempts_made >= max_attempts;
+        let exhausted = record.has_unproven_end || record.attempts_made >= max_attempts;
         !self.overloaded && !exhausted && self.retry_budget.allows_retry(now)
     }
 
@@ -321,31 +334,38 @@
         })
     }
 
-    fn review_attempts(&mut self, now: Timestamp, request: usize) -> RoutingDecision {
+    fn cancel_or_wait(&mut self, now: Timestamp, request: usize) -> RoutingDecision {
         let Some(record) = self.requests.get_mut(&request) else { return RoutingDecision::Wait };
         let class = record.request.class;
         let work = self.classes.work(class);
-        let off_estimate_after = work.off_estimate_after(record.work, self.classes.threads(class));
+        let off_estimate_after = work.off_estimate_after(record.work_estimate, self.classes.threads(class));
         let settings = self.classes.settings(class);
-        cancellation::cancel_one(record, settings, off_estimate_after, &self.capabilities, &self.engines, now)
-            .map_or(RoutingDecision::Wait, RoutingDecision::CancelAttempt)
+        cancellation::cancel_one_attempt(
+            record,
+            settings,
+            off_estimate_after,
+            &self.capabilities,
+            &self.engines,
+            now,
+        )
+        .map_or(RoutingDecision::Wait, RoutingDecision::CancelAttempt)
     }
 
     fn finish(&mut self, request: usize) {
         if let Some(record) = self.requests.get_mut(&request) {
             record.finished = true;
         }
-        self.remove_if_over(request);
+        self.remove_if_complete(request);
     }
 
-    /// A request leaves once it has finished and nothing of it is in flight, and its key with it.
-    fn remove_if_over(&mut self, request: usize) {
-        if !self.requests.get(&request).is_some_and(RequestRecord::is_over) {
+    /// Removes a request that has its final answer and no attempt in flight, also from the queue of its ordering key.
+    fn remove_if_complete(&mut self, request: usize) {
+        if !self.requests.get(&request).is_some_and(RequestRecord::is_complete) {
             return;
         }
         let key = self.requests.remove(&request).and_then(|record| record.request.key);
         if let Some(key) = key {
-            self.key_order.remove(key, request);
+            self.key_order.remove_request(key, request);
         }
     }
 }
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what it tells of its request, its engine and its class.
+//! The end of an attempt: updates the request, the engine and the estimates of the request class by its result.
 
 use super::Policy;
 use crate::attempt_ledger::proves_end;
@@ -11,12 +11,14 @@
 use crate::types::{AfterAttempt, AttemptEvidence, AttemptResult, LastObservation, Outcome};
 use crate::work_estimate::ObservedWork;
 
-/// Bounds of the time over the work of one answer, as a sign of its engine's load.
+/// Bounds of the slowdown of one answer: its thread time divided by the work that it reports. The slowdown shows how
+/// loaded the engine is.
 const MIN_SLOWDOWN: f64 = 0.8;
 const MAX_SLOWDOWN: f64 = 4.0;
 
 impl Policy {
-    /// What to do after an attempt has ended.
+    /// Records the result of an attempt and tells what to do with its request. An unknown attempt changes nothing and
+    /// counts as [`AfterAttempt::Finished`].
     pub fn on_attempt_finished(
         &mut self,
         now: Timestamp,
@@ -30,7 +32,7 @@
             self.retry_budget.record_returned(record.admitted_time, now);
         }
         record.finished |= result.request_finished;
-        record.may_still_run |= self.capabilities.single_attempt && !proves_end(result.evidence);
+        record.has_unproven_end |= self.capabilities.single_attempt && !proves_end(result.evidence);
         if let Some(key) = record.request.key {
             let uncertain = matches!(result.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
             self.key_order.on_attempt_finished(key, request, number, result.evidence, uncertain, now);
@@ -39,20 +41,21 @@
         if !never_ran(result) {
             record.record_possible_run(engine.listed, attempt.sent_time);
         }
-        release(engine, record, &self.classes, now);
-        let bad = engine.judge(result.outcome, attempt.sent_time);
-        learn(engine, record, &attempt, result, &mut self.classes, &mut self.mean_slowdown, now);
+        release_resources(engine, record, &self.classes, now);
+        let failed = engine.judge(result.outcome, attempt.sent_time);
+        record_result(engine, record, &attempt, result, &mut self.classes, &mut self.mean_slowdown, now);
         engine.record_contact(result.outcome, now);
         let finished = record.finished;
-        if let Some(bad) = bad {
-            self.record_engine_outcome(now, attempt.engine, bad, HealthEvidence::Outcomes);
+        if let Some(failed) = failed {
+            self.record_engine_outcome(now, attempt.engine, failed, HealthEvidence::Outcomes);
         }
         self.on_load_report(now, attempt.engine, result.load_report);
-        self.remove_if_over(request);
+        self.remove_if_complete(request);
         if finished { AfterAttempt::Finished } else { AfterAttempt::RouteAgain }
     }
 
-    /// The caller's task for a request ended unexpectedly: nothing is known of what is in flight.
+    /// Finishes a request whose task ended unexpectedly, as in a panic. Its attempts in flight count as cancelled, with
+    /// no proof that they ended.
     pub fn abandon(&mut self, now: Timestamp, request: usize) {
         self.finish(request);
         let evidence = AttemptEvidence { last: LastObservation::Lost, same_process: false };
@@ -68,7 +71,8 @@
     }
 }
 
-/// Rule 2's first question. What was cut off, then rejected on another connection may still arrive.
+/// Whether it is certain that the engine never ran the attempt. A rejection proves that only when the process that has the
+/// attempt sent it: after a broken connection, the first call may still arrive later than a rejection on a new connection.
 fn never_ran(result: &AttemptResult) -> bool {
     match result.outcome {
         Outcome::ConnectFailed | Outcome::NotSent => true,
@@ -79,8 +83,13 @@
     }
 }
 
-/// Gives back what the attempt used at its engine.
-fn release(engine: &mut EngineRecord, record: &RequestRecord, classes: &ClassTable, now: Timestamp) {
+/// Releases the threads and the data lock that the attempt held at its engine.
+fn release_resources(
+    engine: &mut EngineRecord,
+    record: &RequestRecord,
+    classes: &ClassTable,
+    now: Timestamp,
+) {
     let class = record.request.class;
     engine.limit.finish_attempt(class, classes.threads(class));
     if classes.settings(class).locks_data_set {
@@ -89,7 +98,8 @@
     engine.locks.remove_expired(now);
 }
 
-fn learn(
+/// Updates the engine's congestion signal and the estimates of the request class by the result.
+fn record_result(
     engine: &mut EngineRecord,
     record: &RequestRecord,
     attempt: &AttemptInFlight,
@@ -105,13 +115,13 @@
     }
     match result.outcome {
         Outcome::Returned => {
-            let work = result.reported_work.map(Duration::secs).or(record.work);
+            let work = result.reported_work.map(Duration::secs).or(record.work_estimate);
             let late = result.duration > classes.settings(class).latency_objective_for(work);
-            let excused = attempt.waited_for_lock || attempt.connection_lost;
-            engine.limit.signal.record_answer(late && !excused);
+            let delayed_by_other_cause = attempt.waited_for_lock || attempt.connection_lost;
+            engine.limit.signal.record_answer(late && !delayed_by_other_cause);
             let observed = ObservedWork {
                 hint: record.request.work_hint,
-                estimate: record.work,
+                estimate: record.work_estimate,
                 reported: result.reported_work,
                 thread_seconds: result.duration.secs() * classes.threads(class),
             };
@@ -129,7 +139,8 @@
     }
 }
 
-/// Cores that are all busy look alike, and only the time that reported work took tells them apart.
+/// Records how much longer an answer took than its work. Engines whose cores are all busy report the same load, so that
+/// only the slowdown shows which of them is more loaded. An engine that reports its attempts in flight needs no slowdown.
 fn record_slowdown(
     engine: &mut EngineRecord,
     attempt: &AttemptInFlight,
--- a/crates/policy/src/policy/engines.rs
+++ b/crates/policy/src/policy/engines.rs
@@ -1,4 +1,4 @@
-//! What the caller tells of engines, and what it may ask of them: the endpoint list, quotas, the subset, observations.
+//! Calls about engines: endpoint list entries, quotas, the subset, health checks, load reports and outcomes.
 
 use super::Policy;
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -10,7 +10,8 @@
 use crate::types::{Engine, EngineHealth, LoadReport};
 
 impl Policy {
-    /// The endpoint list has this entry for an engine.
+    /// Adds an engine or applies its changed endpoint list entry. A new start time means a new process: the health, cache
+    /// and congestion state of the old process is reset.
     pub fn update_engine(&mut self, now: Timestamp, engine: usize, listed: Engine) {
         self.joined_time.get_or_insert(now);
         if let Some(record) = self.engines.get_mut(&engine) {
@@ -23,7 +24,8 @@
         self.engines.insert(engine, EngineRecord::new(listed, limit, now));
     }
 
-    /// Forgets an engine that is gone, not soon back and has nothing in flight: then its index is free.
+    /// Removes an engine that has been gone for a while and has no attempt in flight. Returns whether it was removed: its
+    /// index may then be used for another engine.
     pub fn forget_engine(&mut self, now: Timestamp, engine: usize) -> bool {
         let forgettable = self.engines.get(&engine).is_some_and(|record| record.is_forgettable(now));
         if forgettable {
@@ -32,7 +34,8 @@
         forgettable
     }
 
-    /// So many gateways count from now on: by them engines are divided evenly.
+    /// Sets the number of gateways that share the engines. Each gateway gets an equal fraction of every engine; this
+    /// replaces the fractions that [`Policy::set_engine_quota`] set for threads.
     pub fn set_gateway_count(&mut self, gateways: usize) {
         self.topology.gateways = gateways.max(1);
         let fraction = 1.0 / self.topology.gateways as f64;
@@ -41,35 +44,37 @@
         }
     }
 
-    /// This gateway's part of what an engine bears in slow start, and of its threads, where they are no even ones.
+    /// Sets this gateway's fractions of an engine's slow-start budget and threads, each in 0..=1. `None` means an equal
+    /// fraction for each gateway.
     pub fn set_engine_quota(&mut self, engine: usize, slow_start: Option<f64>, threads: Option<f64>) {
         let Some(engine) = self.engines.get_mut(&engine) else { return };
         engine.slow_start_fraction = slow_start;
         engine.limit.set_gateway_fraction(threads.unwrap_or(1.0 / self.topology.gateways as f64));
     }
 
-    /// Whether an engine is within the subset that this gateway uses.
+    /// Sets whether an engine is in the subset that this gateway sends to.
     pub fn set_in_subset(&mut self, engine: usize, in_subset: bool) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.outside_subset = !in_subset;
         }
     }
 
-    /// Whether this gateway may probe an engine while that is ejected, where gateways take turns at it.
+    /// Sets whether this gateway holds the probe slot of an engine. Where gateways take turns, only the holder probes the
+    /// engine while it is ejected.
     pub fn set_probe_slot(&mut self, engine: usize, holds_slot: bool) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.awaits_probe_slot = !holds_slot;
         }
     }
 
-    /// This gateway's part of a tenant's rate; `None` leaves it to its part of the traffic.
+    /// Sets this gateway's fraction of a tenant's rate, in 0..=1. `None` means the gateway's fraction of all traffic.
     pub fn set_tenant_quota(&mut self, tenant: usize, fraction: Option<f64>) {
         if let Some(quota) = self.tenants.get_mut(tenant) {
-            quota.assign(fraction);
+            quota.set_fraction(fraction);
         }
     }
 
-    /// The verdict on an engine; `None` for one that is not known.
+    /// The health of an engine; `None` if the engine is unknown.
     pub fn engine_health(&self, engine: usize) -> Option<EngineHealth> {
         let record = self.engines.get(&engine)?;
         Some(EngineHealth {
@@ -78,7 +83,7 @@
         })
     }
 
-    /// Engines to ask for a load report now.
+    /// Draws the engines to health-check now; an engine may occur more than once. Empty where engines may not be checked.
     pub fn draw_health_checks(&mut self) -> Vec<usize> {
         let Some(cost) = self.capabilities.health_check_cost else { return Vec::new() };
         let used = self.engines.iter().filter(|(_, engine)| engine.is_used());
@@ -90,30 +95,32 @@
         self.health_checks.draw(cost, &candidates, &mut self.random)
     }
 
-    /// An engine's load report, with an answer or by a health check.
+    /// Records an engine's load report, which came with an answer, from a health check or from a peer.
     pub fn on_load_report(&mut self, now: Timestamp, engine: usize, report: LoadReport) {
         let Some(engine) = self.engines.get_mut(&engine) else { return };
-        let own = engine.limit.attempts_in_flight() as f64;
-        if let Some(all) = report.in_flight.filter(|all| *all > 0.0) {
-            self.traffic.record(own, all);
+        let own_in_flight = engine.limit.attempts_in_flight() as f64;
+        if let Some(all_in_flight) = report.in_flight.filter(|count| *count > 0.0) {
+            self.traffic.record(own_in_flight, all_in_flight);
         }
         let cores = self.topology.cores(&engine.listed);
-        let peer_load = report.in_flight.map(|all| (all - own).max(0.0) / cores);
+        let peer_load =
+            report.in_flight.map(|all_in_flight| (all_in_flight - own_in_flight).max(0.0) / cores);
         if let Some(load) = peer_load.or(report.busy_fraction) {
             engine.load.record(load, &mut self.mean_reported_load, now);
         }
     }
 
-    /// An outcome at an engine, of this gateway's own attempts or one that peers reported.
+    /// Records one outcome at an engine for outlier detection: of this gateway's own attempt, or as a peer reported it.
+    /// `failed` says whether the outcome counts against the engine.
     pub fn record_engine_outcome(
         &mut self,
         now: Timestamp,
         engine: usize,
-        bad: bool,
+        failed: bool,
         evidence: HealthEvidence,
     ) {
         let Some(record) = self.engines.get_mut(&engine) else { return };
-        match record.outliers.record(bad, &mut self.failure_baseline, now) {
+        match record.outliers.record(failed, &mut self.failure_baseline, now) {
             Some(HealthChange::Ejected) => self.events.push(PolicyEvent::EngineEjected { engine, evidence }),
             Some(HealthChange::Restored) => {
                 self.events.push(PolicyEvent::EngineRestored { engine, evidence });
--- a/crates/policy/src/policy/tick.rs
+++ b/crates/policy/src/policy/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic work: what attempts in flight show, the limits, silence, and overload.
+//! Periodic work: late attempts in flight, concurrency limits, silent engines, endpoint list expiry and overload.
 
 use super::{Policy, TICK};
 use crate::cancellation::update_overdue_after;
@@ -9,49 +9,53 @@
 use crate::time::{Duration, Timestamp};
 use crate::types::EngineState;
 
-/// How far over its part of what engines have a gateway's observed capacity may go.
-const CAPACITY_OVER_TRAFFIC: f64 = 1.75;
-/// The gateway is overloaded while this part of the ready engines is congested.
+/// Maximum observed capacity of an engine at this gateway, as a multiple of the gateway's fraction of all traffic.
+const CAPACITY_TO_TRAFFIC_RATIO: f64 = 1.75;
+/// Fraction of the ready engines that must be congested for the gateway to count as overloaded.
 const OVERLOADED_FRACTION: f64 = 0.5;
-/// Silent attempts of one engine that count in one tick.
+/// Maximum number of silent attempts of one engine that count as failures in one tick.
 const MAX_SILENT_PER_TICK: usize = 2;
-/// How long a tick holds the keys of what was not seen to end at a draining engine: until after the next one.
+/// Ticks for which each tick keeps an ordering key blocked by an attempt at a draining engine whose end is unproven. More
+/// than one, so that the key stays blocked until the next tick extends the time.
 const KEY_HOLD_TICKS: f64 = 2.0;
-/// The class that stands for all where headroom does not matter.
+/// Class for which capacity pools are computed where the class does not matter: only the headroom depends on it.
 const ANY_CLASS: usize = 0;
 
 impl Policy {
-    /// To be called each [`TICK`].
+    /// Does the periodic work. The caller calls it every [`TICK`].
     pub fn tick(&mut self, now: Timestamp) {
-        self.hold_keys(now);
-        self.review_in_flight(now);
-        self.move_limits(now);
-        self.judge_silence(now);
-        self.review_endpoint_list(now);
-        self.review_overload();
+        self.extend_key_holds(now);
+        self.record_overdue_attempts(now);
+        self.update_limits(now);
+        self.record_silent_engines(now);
+        self.report_endpoint_list_change(now);
+        self.update_overload();
     }
 
-    fn hold_keys(&mut self, now: Timestamp) {
+    fn extend_key_holds(&mut self, now: Timestamp) {
         let engines = &self.engines;
         let is_draining = |engine| {
             let record: Option<&EngineRecord> = engines.get(&engine);
             record.is_some_and(|record| record.listed.state == EngineState::Draining)
         };
-        self.key_order.hold(now + TICK * KEY_HOLD_TICKS, is_draining);
+        self.key_order.extend_unproven(now + TICK * KEY_HOLD_TICKS, is_draining);
         self.key_order.remove_idle_keys(now);
     }
 
-    /// What is in flight past its objective is late before it answers: an overfull engine answers nothing at all.
-    fn review_in_flight(&mut self, now: Timestamp) {
+    /// Records attempts in flight that are past their latency objective as late before they are answered, since an
+    /// overloaded engine may answer nothing at all. Also counts the overdue progress updates of each engine.
+    fn record_overdue_attempts(&mut self, now: Timestamp) {
         let overdue_after = update_overdue_after(&self.capabilities);
         for record in self.requests.values() {
             let class = record.request.class;
-            let objective = self.classes.settings(class).latency_objective_for(record.work);
+            let objective = self.classes.settings(class).latency_objective_for(record.work_estimate);
             let threads = self.classes.threads(class);
-            let off_estimate_after = self.classes.work(class).off_estimate_after(record.work, threads);
+            let off_estimate_after =
+                self.classes.work(class).off_estimate_after(record.work_estimate, threads);
             for attempt in &record.in_flight {
                 let Some(engine) = self.engines.get_mut(&attempt.engine) else { continue };
-                // A predicted lateness is load too, unless so far off that the plan, not the engine, is bad.
+                // A prediction past the objective shows load too. A prediction far beyond the estimate is ignored: it
+                // shows a bad query plan rather than a slow engine.
                 let predicted =
                     attempt.predicted_duration.filter(|predicted| *predicted < off_estimate_after);
                 let duration = now.since(attempt.sent_time).max(predicted.unwrap_or_default());
@@ -67,29 +71,30 @@
         }
     }
 
-    fn move_limits(&mut self, now: Timestamp) {
-        let counts = |engine: &EngineRecord| engine.is_used() && !engine.outliers.is_ejected();
-        let pools = capacity_pools(&self.engines, &self.slow_start, ANY_CLASS, now, counts);
+    fn update_limits(&mut self, now: Timestamp) {
+        let is_pooled = |engine: &EngineRecord| engine.is_used() && !engine.outliers.is_ejected();
+        let pools = capacity_pools(&self.engines, &self.slow_start, ANY_CLASS, now, is_pooled);
         let max_fraction = self.max_capacity_fraction();
         for engine in self.engines.values_mut() {
             let pool = pools.by_kind.get(&engine.listed.kind).unwrap_or(&pools.all);
-            let threads = largest_request(&self.classes, engine);
+            let threads = largest_allowed_threads(&self.classes, engine);
             let saturated = engine.limit.is_saturated(threads, pool, 1.0);
             engine.limit.tick(self.classes.ranked(), &pools.all, saturated, max_fraction);
         }
     }
 
-    /// Without this bound calm lets the observed capacities of all gateways grow to the whole engine, and the next surge
-    /// overfills it.
+    /// Maximum observed capacity of an engine at this gateway, as a fraction of the engine's capacity. Without this bound,
+    /// in times of little load every gateway's observed capacity would grow to the whole engine, and the next surge would
+    /// overload the engine.
     fn max_capacity_fraction(&self) -> f64 {
         if !self.traffic.is_known() {
             return 1.0;
         }
-        (CAPACITY_OVER_TRAFFIC * self.traffic_fraction()).min(1.0)
+        (CAPACITY_TO_TRAFFIC_RATIO * self.traffic_fraction()).min(1.0)
     }
 
-    /// Updates are due from what is in flight, and nothing at all has come from the engine.
-    fn judge_silence(&mut self, now: Timestamp) {
+    /// Counts attempts as failures at engines that sent nothing at all although progress updates are overdue.
+    fn record_silent_engines(&mut self, now: Timestamp) {
         let mut ejected = Vec::new();
         for (index, engine) in &mut self.engines {
             let silent = std::mem::take(&mut engine.overdue_updates).min(MAX_SILENT_PER_TICK);
@@ -106,7 +111,7 @@
         self.events.extend(ejected.into_iter().map(event));
     }
 
-    fn review_endpoint_list(&mut self, now: Timestamp) {
+    fn report_endpoint_list_change(&mut self, now: Timestamp) {
         match self.endpoint_list.take_change(self.capabilities.endpoint_list_lifetime, now) {
             Some(true) => self.events.push(PolicyEvent::EndpointListExpired),
             Some(false) => self.events.push(PolicyEvent::EndpointListCurrent),
@@ -114,7 +119,7 @@
         }
     }
 
-    fn review_overload(&mut self) {
+    fn update_overload(&mut self) {
         let used = || self.engines.values().filter(|engine| engine.is_used());
         let ready = used().count();
         let congested = used().filter(|engine| engine.limit.signal.is_congested()).count();
@@ -131,8 +136,8 @@
     }
 }
 
-/// Threads of the largest request that may go to an engine.
-fn largest_request(classes: &ClassTable, engine: &EngineRecord) -> f64 {
+/// Threads of the largest request class that is allowed at an engine; at least one.
+fn largest_allowed_threads(classes: &ClassTable, engine: &EngineRecord) -> f64 {
     let allowed = classes.ranked().iter().filter(|class| class.settings.allows_engine(&engine.listed));
     allowed.map(|class| class.settings.threads).fold(1.0, f64::max)
 }
--- a/crates/policy/src/request_record.rs
+++ b/crates/policy/src/request_record.rs
@@ -1,35 +1,36 @@
-//! What is known of a request from its admission until nothing of it is in flight.
+//! State of a request, from its admission until it has its final answer and no attempt in flight.
 
 use crate::idempotency::PossibleRun;
 use crate::time::{Duration, Timestamp};
 use crate::types::{Engine, ProgressUpdate, Request};
 
-/// An attempt that was sent and has had no outcome yet.
+/// An attempt that was sent and has no outcome yet.
 #[derive(Default)]
 pub(crate) struct AttemptInFlight {
     pub number: u8,
     pub engine: usize,
     pub sent_time: Timestamp,
-    /// When its engine last said something of it.
+    /// When the attempt was sent or its engine last sent a progress update on it.
     pub heard_time: Timestamp,
     pub cancelled: bool,
-    /// Whole time that its pace predicts, once a progress update told how much is done.
+    /// Total duration extrapolated from the last progress update; `None` before the first update with a fraction done.
     pub predicted_duration: Option<Duration>,
+    /// Memory granted to the attempt in MB; `None` if the engine decides.
     pub memory_grant_mb: Option<f64>,
     pub spilled: bool,
-    /// Its connection was cut or stalled: its time tells of the network, not of the engine.
+    /// The connection broke or stalled, so that the duration does not show the load of the engine.
     pub connection_lost: bool,
-    /// It waited for a request that locks its data set: that is no overload.
+    /// The attempt waited for a data lock that another request held, which is no sign of overload.
     pub waited_for_lock: bool,
 }
 
 impl AttemptInFlight {
-    /// Whether nothing was heard of it for longer than progress updates take.
+    /// Whether progress updates on the attempt are overdue; never where `update_overdue_after` is `None`.
     pub(crate) fn is_silent(&self, update_overdue_after: Option<Duration>, now: Timestamp) -> bool {
         update_overdue_after.is_some_and(|overdue| now.since(self.heard_time) > overdue)
     }
 
-    /// Takes in what its engine says of it.
+    /// Records a progress update.
     pub(crate) fn record_progress(&mut self, update: ProgressUpdate, now: Timestamp) {
         self.heard_time = now;
         match update {
@@ -46,24 +47,25 @@
     }
 }
 
-/// An admitted request.
+/// An admitted request and its attempts.
 #[derive(Default)]
 pub(crate) struct RequestRecord {
     pub request: Request,
     pub admitted_time: Timestamp,
-    /// Estimated work in seconds.
-    pub work: Option<f64>,
+    /// Estimated work in seconds of one thread; `None` before anything is known of the class.
+    pub work_estimate: Option<f64>,
+    /// Whether the request was within its tenant's quota when it was admitted.
     pub within_quota: bool,
     pub in_flight: Vec<AttemptInFlight>,
     pub attempts_made: usize,
     pub last_engine: Option<usize>,
-    /// An attempt of it was cancelled for its pace.
+    /// An attempt of the request was cancelled because it was much slower than estimated.
     pub went_off_estimate: bool,
-    /// The first attempt that may have run.
-    pub first_run: Option<PossibleRun>,
-    /// An attempt had its outcome and may run all the same, and none may run beside it.
-    pub may_still_run: bool,
-    /// It has its final answer.
+    /// The earliest attempt that may have run.
+    pub first_possible_run: Option<PossibleRun>,
+    /// An attempt has an outcome, but no proof that it ended, and no other attempt may run at the same time.
+    pub has_unproven_end: bool,
+    /// The request has its final answer.
     pub finished: bool,
 }
 
@@ -77,19 +79,19 @@
         Some(self.in_flight.remove(position))
     }
 
-    /// An attempt may have run there: the earliest one counts.
+    /// Records an attempt that may have run. Only the earliest is kept.
     pub(crate) fn record_possible_run(&mut self, engine: Engine, sent_time: Timestamp) {
-        if self.first_run.is_none_or(|first| sent_time < first.sent_time) {
-            self.first_run = Some(PossibleRun { engine, sent_time });
+        if self.first_possible_run.is_none_or(|first| sent_time < first.sent_time) {
+            self.first_possible_run = Some(PossibleRun { engine, sent_time });
         }
     }
 
-    /// Whether it has its final answer and nothing of it is in flight.
-    pub(crate) fn is_over(&self) -> bool {
+    /// Whether the request has its final answer and no attempt in flight.
+    pub(crate) fn is_complete(&self) -> bool {
         self.finished && self.in_flight.is_empty()
     }
 
-    /// Marks all attempts in flight as cancelled, and names those that were not.
+    /// Marks all attempts in flight as cancelled. Returns the numbers of those that were not cancelled before.
     pub(crate) fn cancel_attempts(&mut self) -> Vec<u8> {
         let mut cancelled = Vec::new();
         for attempt in self.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,17 +1,17 @@
-//! Rule 7: retries of this gateway stay within a budget in any window since its start.
+//! Retry budget: in any time window, the retries of this gateway stay within a fixed number plus a number per request.
 //!
-//! A request counts from when it was admitted, but only once an engine returned it to a client that still waits: no flood
-//! of requests that are cancelled, rejected or failed may widen the budget.
+//! A request adds to the budget at the time of its admission, but only once its result was returned to a client that still
+//! waited. Requests that are cancelled, rejected or failed add nothing, so that a flood of them cannot raise the budget.
 
 use crate::time::{Duration, Timestamp};
 use crate::types::RetryBudgetRule;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Retries and the requests that pay for them, within the rule's window.
+/// Recent retries and returned requests, within the window of the rule.
 pub(crate) struct RetryBudget {
     rule: Option<RetryBudgetRule>,
-    /// When the requests that count were admitted: they end in any order.
+    /// Admission times of returned requests, the earliest first. A heap, since requests are returned in any order.
     admitted: BinaryHeap<Reverse<Timestamp>>,
     retries: VecDeque<Timestamp>,
 }
@@ -21,7 +21,7 @@
         RetryBudget { rule, admitted: BinaryHeap::new(), retries: VecDeque::new() }
     }
 
-    /// A request that was admitted then has been returned to its client.
+    /// Records that the result of a request was returned to its client.
     pub(crate) fn record_returned(&mut self, admitted_time: Timestamp, now: Timestamp) {
         self.admitted.push(Reverse(admitted_time));
         self.remove_expired(now);
@@ -31,7 +31,7 @@
         self.retries.push_back(now);
     }
 
-    /// Whether one more retry lies within the budget; without a rule any does.
+    /// Whether one more retry is within the budget. Without a rule, retries are unlimited.
     pub(crate) fn allows_retry(&mut self, now: Timestamp) -> bool {
         self.remove_expired(now);
         let Some(rule) = self.rule else { return true };
--- a/crates/policy/src/types/attempt.rs
+++ b/crates/policy/src/types/attempt.rs
@@ -1,78 +1,78 @@
-//! What is seen of an attempt: its progress, its outcome, and what of it may still run.
+//! Attempts: progress updates, outcomes, and the evidence of whether an attempt still runs.
 
 use crate::time::Duration;
 
-/// How an attempt ended for the gateway.
+/// How an attempt ended, as seen by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole result came.
+    /// The engine returned the complete result.
     Returned,
     /// The engine answered with an error.
     Errored,
-    /// Rejected unseen, for lack of room.
+    /// The engine rejected the attempt for lack of capacity, without running it.
     Rejected,
-    /// No end within its time.
+    /// The attempt did not end within its timeout.
     TimedOut,
-    /// No connection: it never ran.
+    /// No connection could be opened, so that the attempt never ran.
     ConnectFailed,
-    /// The connection ended before the answer.
+    /// The connection ended before the answer arrived.
     Reset,
-    /// Cancelled by the gateway.
+    /// The gateway cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The gateway sent nothing of the attempt, for a reason of its own.
     NotSent,
 }
 
-/// What was last observed of an attempt.
+/// Last observation about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LastObservation {
-    /// No byte of it left.
+    /// The gateway sent no byte of the attempt.
     NotSent,
-    /// It was rejected unseen.
+    /// The engine rejected the attempt without running it.
     Declined,
-    /// It was said to be over.
+    /// The engine replied that the attempt is over.
     Ended,
-    /// It was told to stop, and that was acknowledged.
+    /// The engine acknowledged a cancellation.
     Stopped,
-    /// Whoever answered knows no such request.
+    /// The process that replied does not know the request.
     Unknown,
-    /// Nobody listens at its engine's address.
+    /// The engine's address refused the connection.
     Refused,
-    /// Nobody could be asked or told.
+    /// No reply arrived in time, neither to a poll nor to a cancellation.
     Silent,
-    /// The gateway's own task for it ended unexpectedly.
+    /// The gateway's own task for the request ended unexpectedly.
     Lost,
 }
 
-/// By this alone it is judged what of an attempt may still run.
+/// Evidence by which the policy decides whether an attempt may still run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptEvidence {
-    /// What was last observed.
+    /// Last observation about the attempt.
     pub last: LastObservation,
-    /// Said by the very process that has the request: on the connection of the call itself, or on one on which that
-    /// process had spoken of the request as its own.
+    /// Whether the observation came from the process that has the request: on the connection that the request was sent on,
+    /// or on a later one on which that process had shown that it knows the request.
     pub same_process: bool,
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Time from the start of the attempt to its end.
     pub duration: Duration,
-    /// Set once the request has finished, by this outcome or before it.
+    /// Whether the request has its final answer, by this outcome or an earlier event.
     pub request_finished: bool,
-    /// What was last observed of it.
+    /// Evidence of whether the attempt still runs.
     pub evidence: AttemptEvidence,
-    /// The work that the request needed, where answers report it.
+    /// Work of the request as the answer reports it, in time of one thread; `None` where answers do not report it.
     pub reported_work: Option<Duration>,
-    /// The engine's load, where answers report it.
+    /// The engine's load as the answer reports it; empty where answers do not report it.
     pub load_report: LoadReport,
 }
 
 impl AttemptResult {
-    /// One that tells nothing but how the attempt ended, and finishes its request.
+    /// Creates a result without measurements (zero duration, no work, no load report) that finishes its request.
     pub fn from_outcome(outcome: Outcome, evidence: AttemptEvidence) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -85,26 +85,26 @@
     }
 }
 
-/// An engine's load as it reports it itself, late and noisy.
+/// An engine's own report of its load, which may be delayed and inaccurate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it has.
+    /// Requests at the engine, from all gateways; `None` if not reported.
     pub in_flight: Option<f64>,
-    /// Fraction of its cores that are busy, in 0..=1.
+    /// Fraction of the engine's cores that are busy, in 0..=1; `None` if not reported.
     pub busy_fraction: Option<f64>,
 }
 
-/// What an engine says of an attempt in flight.
+/// Progress of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressUpdate {
-    /// Fraction done, rough, in 0..=1.
+    /// Approximate fraction of the work that is done, in 0..=1.
     FractionDone(f64),
-    /// It spills so many MB to disk.
+    /// The attempt spills this many MB to disk.
     SpillsMb(f64),
-    /// It waits for memory.
+    /// The attempt waits for memory.
     WaitsForMemory,
-    /// It waits for a request that locks its data set.
+    /// The attempt waits for a request that locks its data set.
     WaitsForDataLock,
-    /// From the caller itself: the connection was cut or stalled, and what it would have brought came later.
+    /// The connection broke or stalled and delayed the answer. The gateway itself reports this, not the engine.
     ConnectionLost,
 }
--- a/crates/policy/src/types/decision.rs
+++ b/crates/policy/src/types/decision.rs
@@ -1,49 +1,49 @@
-//! What the decisions answer.
+//! Decisions of the policy.
 
 use crate::time::Duration;
 
-/// What to do with a request now.
+/// What the caller must do with a request now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RoutingDecision {
     /// Start an attempt.
     Send(AttemptParameters),
-    /// Nothing to do now: ask again at the next check.
+    /// Do nothing now, and route the request again at its next routing time.
     Wait,
-    /// Final: trying again is harmless, best after the time given.
+    /// Reject the request. The client may safely send it again, preferably after the given retry-after time.
     Reject(Option<Duration>),
-    /// Final: nothing is promised about what it did.
+    /// Fail the request. It may have run, so that sending it again may repeat its effect.
     Fail,
     /// Cancel the attempt with this number.
     CancelAttempt(u8),
 }
 
-/// How to make an attempt.
+/// Parameters of an attempt to start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptParameters {
     /// Index of the engine.
     pub engine: usize,
-    /// When it counts as timed out.
+    /// Time from the start after which the attempt counts as timed out.
     pub timeout: Duration,
-    /// Memory to grant in MB; `None` leaves it to the engine.
+    /// Memory to grant in MB; `None` leaves the amount to the engine.
     pub memory_grant_mb: Option<f64>,
-    /// Priority to send; engines serve the higher one first.
+    /// Priority to send to the engine, which serves attempts of higher priority first.
     pub priority: u8,
 }
 
-/// What to do after an attempt has ended.
+/// What the caller must do with a request after an attempt of it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAttempt {
-    /// The request has finished.
+    /// Nothing: the request has its final answer or is unknown.
     Finished,
-    /// Something is still open: route the request again.
+    /// Route the request again, since it has no final answer yet.
     RouteAgain,
 }
 
-/// The verdict on an engine.
+/// The policy's view of an engine's health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineHealth {
-    /// It fails more than others do, and gets probes only.
+    /// Whether outlier detection ejected the engine, which is then sent only probes.
     pub ejected: bool,
-    /// Its last tick found it congested.
+    /// Whether the last tick found the engine congested.
     pub congested: bool,
 }
--- a/crates/policy/src/types/mod.rs
+++ b/crates/policy/src/types/mod.rs
@@ -1,7 +1,7 @@
-//! What goes into the decisions and what comes out: plain values, no wire.
+//! Input and output values of the policy, independent of any wire format.
 //!
-//! Engines, request classes, tenants, zones, engine kinds and requests are small indices that the caller hands out. A
-//! request's index may be used again once the request has finished and every attempt of it has brought its outcome.
+//! Engines, request classes, tenants, zones, engine kinds and requests are identified by small indices that the caller
+//! assigns. The index of a request may be reused once the request has finished and each of its attempts has an outcome.
 
 mod attempt;
 mod config;
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -1,76 +1,77 @@
-//! Requests and their classes.
+//! Requests and request classes.
 
 use super::engine::Engine;
 use crate::time::{Duration, Timestamp};
 
-/// How requests of one kind are treated.
+/// Settings of one request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Weight of the class against the others: the larger one is served first.
+    /// Priority of the class relative to the other classes. Classes of larger weight are served first.
     pub priority_weight: f64,
-    /// An answer is wanted within this, plus `objective_stretch` times the work over the threads.
+    /// Fixed part of the latency objective. The whole objective adds `objective_stretch` times the work per thread.
     pub latency_objective: Duration,
-    /// See `latency_objective`.
+    /// Factor of the work per thread in the latency objective; see `latency_objective`.
     pub objective_stretch: f64,
-    /// Whether requests of the class may be sent twice.
+    /// Whether requests of the class may be sent more than once.
     pub idempotency: Idempotency,
-    /// Whether requests of one key run one after the other.
+    /// Whether requests of one ordering key run one after the other, in the order of admission.
     pub in_order: bool,
-    /// Threads that a request uses at its engine.
+    /// Number of threads that a request uses at its engine.
     pub threads: f64,
-    /// Locks its data set at its engine while it runs.
+    /// Whether a request locks its data set at its engine while it runs.
     pub locks_data_set: bool,
-    /// Waits while a request that locks its data set runs at the same engine.
+    /// Whether a request waits while another request locks its data set at the same engine.
     pub waits_for_data_lock: bool,
-    /// The only zones it may be sent to; `None` leaves them open.
+    /// Zones that requests may be sent to, by index; `None` allows all.
     pub allowed_zones: Option<Vec<usize>>,
-    /// The only kinds of engines it may be sent to; `None` leaves them open.
+    /// Engine kinds that requests may be sent to, by index; `None` allows all.
     pub allowed_kinds: Option<Vec<usize>>,
 }
 
 impl RequestClass {
-    /// The latency objective of a request with so much work in seconds: what answers after that is late.
+    /// Latency objective of a request with this work, in seconds of one thread. An answer that takes longer is late.
     pub fn latency_objective_for(&self, work: Option<f64>) -> Duration {
         self.latency_objective
             + Duration::from_secs(self.objective_stretch * work.unwrap_or(0.0) / self.threads)
     }
 
-    /// Rule 6: whether requests of the class may run at an engine.
+    /// Whether requests of the class may run at an engine of this zone and kind.
     pub fn allows_engine(&self, engine: &Engine) -> bool {
         self.allowed_zones.as_ref().is_none_or(|zones| zones.contains(&engine.zone))
             && self.allowed_kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
     }
 }
 
-/// Whether a request may be sent a second time.
+/// Whether a request may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// The request may be sent any number of times.
     Idempotent,
-    /// Engines of one scope drop a repeat, for a window from the first attempt that may have run.
+    /// Engines within the scope drop repeats of an idempotency key. The request may be sent again to these engines until
+    /// the window ends.
     IdempotentWithKey {
-        /// Which engines know the key.
+        /// Engines that drop repeats of the key.
         scope: DeduplicationScope,
-        /// For how long.
+        /// Time in which repeats are dropped, from the start of the earliest attempt that may have run.
         window: Duration,
     },
-    /// Only while nothing of it may have run.
+    /// The request may be sent again only if no earlier attempt can have run.
     NonIdempotent,
 }
 
-/// Which engines drop a repeat of what ran on one of them.
+/// Engines that drop a repeat of a request that ran on one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All engines.
     All,
-    /// Those of the same zone.
+    /// Engines of the same zone.
     Zone,
-    /// Those of the same cell.
+    /// Engines of the same cell.
     Cell,
 }
 
 impl DeduplicationScope {
-    /// Whether `engine` drops a repeat of what ran on `ran_on`.
+    /// Whether `engine` drops a repeat of a request that ran on `ran_on`.
     pub fn covers(self, ran_on: &Engine, engine: &Engine) -> bool {
         match self {
             DeduplicationScope::All => true,
@@ -80,21 +81,21 @@
     }
 }
 
-/// One request of a client.
+/// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Index of its class.
+    /// Index of the request class.
     pub class: usize,
-    /// Index of its tenant, where tenants are counted.
+    /// Index of the tenant; `None` if no quota applies.
     pub tenant: Option<usize>,
-    /// Key by which requests are ordered, where the class is in order.
+    /// Ordering key; used only if the class is `in_order`.
     pub key: Option<u64>,
-    /// When its client needs the answer.
+    /// When the client must have the final answer.
     pub deadline: Timestamp,
-    /// A rough hint of the work of all its threads, as time on one.
+    /// Approximate total work of the request, in time of one thread; `None` if unknown.
     pub work_hint: Option<Duration>,
-    /// A rough hint of the memory it needs, in MB.
+    /// Approximate memory need of the request in MB; `None` if unknown.
     pub memory_hint_mb: Option<f64>,
-    /// The data set that it reads or writes.
+    /// Data set that the request reads or writes.
     pub data_set: u32,
 }
--- a/crates/policy/tests/attempt_ledger.rs
+++ b/crates/policy/tests/attempt_ledger.rs
@@ -45,12 +45,12 @@
         false,
         time_of(0),
     );
-    key_order.remove(KEY, 0);
+    key_order.remove_request(KEY, 0);
     key_order.admit(KEY, 0);
     let over = UNOBSERVED_LIFETIME.micros();
     assert!(!key_order.is_next(KEY, 0, time_of(over - 1)), "what may run is another request's");
     assert!(key_order.is_next(KEY, 0, time_of(over)));
-    key_order.remove(KEY, 0);
+    key_order.remove_request(KEY, 0);
     key_order.remove_idle_keys(time_of(over));
     assert_eq!(key_order, KeyOrder::new(Duration::ZERO, UNOBSERVED_LIFETIME), "nothing is left of the key");
 }
@@ -80,7 +80,7 @@
             unsure,
             time_of(0),
         );
-        key_order.remove(KEY, 0);
+        key_order.remove_request(KEY, 0);
         key_order.admit(KEY, 1);
         assert_eq!(key_order.is_next(KEY, 1, time_of(COOLDOWN - 1)), !rests, "{last:?} {unsure}");
         assert!(key_order.is_next(KEY, 1, time_of(COOLDOWN)), "{last:?} {unsure}");
--- a/crates/policy/tests/key_order.rs
+++ b/crates/policy/tests/key_order.rs
@@ -239,7 +239,7 @@
         let drains = &self.drains;
         self.running.retain(|r| drains.contains(&r.process) || now - r.since <= held(r));
         if x.reading != Reading::FixedTime {
-            self.key_order.hold(time_of(now + 2), |process| drains.contains(&process));
+            self.key_order.extend_unproven(time_of(now + 2), |process| drains.contains(&process));
         }
         self.key_order.remove_idle_keys(time_of(now));
     }
@@ -280,7 +280,7 @@
 
     fn leave(&mut self, b: usize) {
         self.requests[b].0 = RequestState::Finished;
-        self.key_order.remove(KEY, b);
+        self.key_order.remove_request(KEY, b);
     }
 }
 
