--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -69,19 +69,19 @@
     if class_settings.requires_idempotency_key && client_request.idempotency_key.is_none() {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
-    if class_settings.in_order && client_request.order_key.is_none() {
+    if class_settings.in_order && client_request.ordering_key.is_none() {
         return Err(InvalidRequest::MissingOrderKey);
     }
-    let key_spacing = if client_request.order_key.is_some() { KEY_SPACING } else { Duration::ZERO };
+    let key_spacing = if client_request.ordering_key.is_some() { KEY_SPACING } else { Duration::ZERO };
     let longest_wait = class_settings.max_deadline;
     let client_wait = client_request.timeout.unwrap_or(longest_wait).min(longest_wait);
     let deadline = (sent + client_wait - ROUND_TRIP_TIME - key_spacing).max(sent);
     Ok(Request {
         class,
         tenant,
-        key: client_request.order_key,
+        key: client_request.ordering_key,
         deadline: state.shutdown.deadline().map_or(deadline, |shutdown| deadline.min(shutdown)),
-        work_hint: client_request.work,
+        work_hint: client_request.work_estimate,
         memory_hint_mb: client_request.memory_mb,
         data_set: data_set(client_request.statement).unwrap_or(0),
     })
@@ -120,7 +120,7 @@
 
 /// Counts an invalid request.
 fn refuse(state: &State, invalid: InvalidRequest) -> RequestError {
-    state.counters.update(|counters| counters.unusable += 1);
+    state.counters.update_gateway(|counters| counters.invalid_requests += 1);
     invalid.into()
 }
 
@@ -133,7 +133,9 @@
         }
         RoutingDecision::Send(_) | RoutingDecision::Wait | RoutingDecision::CancelAttempt(_) => {
             let in_flight = state.policy.in_flight();
-            state.counters.update(|counters| counters.max_in_flight = counters.max_in_flight.max(in_flight));
+            state
+                .counters
+                .update_gateway(|counters| counters.max_in_flight = counters.max_in_flight.max(in_flight));
             let state = state.clone();
             may::go!(move || request::run(&state, &context, request, decision));
         }
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -23,10 +23,10 @@
 use larchfall_quotas::demand::Arrivals;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-pub use capacity::ReadyForQuota;
+pub use capacity::QuotaEngine;
 pub use engines::{EndpointSummary, EngineStatus};
-pub use in_flight::{AdmissionError, Disconnection};
-pub use larchfall_policy::policy::TICK;
+pub use in_flight::{AdmissionError, DisconnectAction};
+pub use larchfall_policy::policy::TICK_INTERVAL;
 
 /// The policy, and what belongs to its decisions.
 pub struct PolicyHandle {
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -11,21 +11,21 @@
     pub sent_time: Timestamp,
 }
 
-/// Whether an attempt may be sent to `engine` now. The deduplication window ends one `clock_step` early, to allow for the
-/// step between two readings of the clock.
+/// Whether an attempt may be sent to `engine` now. The deduplication window is taken to end one `clock_resolution` early,
+/// since the clock may be behind by that much.
 pub(crate) fn allows_attempt(
     idempotency: Idempotency,
     first_possible_run: Option<PossibleRun>,
     engine: &Engine,
     now: Timestamp,
-    clock_step: Duration,
+    clock_resolution: Duration,
 ) -> bool {
     let Some(first_possible_run) = first_possible_run else { return true };
     match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::IdempotentWithKey { scope, window } => {
-            now.since(first_possible_run.sent_time) + clock_step < window
+            now.since(first_possible_run.sent_time) + clock_resolution < window
                 && scope.covers(&first_possible_run.engine, engine)
         }
     }
--- a/crates/policy/src/policy/tick.rs
+++ b/crates/policy/src/policy/tick.rs
@@ -1,6 +1,6 @@
 //! Periodic work: late attempts in flight, concurrency limits, silent engines, endpoint list expiry and overload.
 
-use super::{Policy, TICK};
+use super::{Policy, TICK_INTERVAL};
 use crate::cancellation::update_overdue_after;
 use crate::class_state::ClassTable;
 use crate::engine_record::EngineRecord;
@@ -22,7 +22,7 @@
 const ANY_CLASS: usize = 0;
 
 impl Policy {
-    /// Does the periodic work. The caller calls it every [`TICK`].
+    /// Does the periodic work. The caller calls it every [`TICK_INTERVAL`].
     pub fn tick(&mut self, now: Timestamp) {
         self.extend_key_holds(now);
         self.record_overdue_attempts(now);
@@ -36,9 +36,9 @@
         let engines = &self.engines;
         let is_draining = |engine| {
             let record: Option<&EngineRecord> = engines.get(&engine);
-            record.is_some_and(|record| record.listed.state == EngineState::Draining)
+            record.is_some_and(|record| record.entry.state == EngineState::Draining)
         };
-        self.key_order.extend_unproven(now + TICK * KEY_HOLD_TICKS, is_draining);
+        self.key_order.extend_unproven(now + TICK_INTERVAL * KEY_HOLD_TICKS, is_draining);
         self.key_order.remove_idle_keys(now);
     }
 
@@ -51,7 +51,7 @@
             let objective = self.classes.settings(class).latency_objective_for(record.work_estimate);
             let threads = self.classes.threads(class);
             let off_estimate_after =
-                self.classes.work(class).off_estimate_after(record.work_estimate, threads);
+                self.classes.work_estimate(class).off_estimate_after(record.work_estimate, threads);
             for attempt in &record.in_flight {
                 let Some(engine) = self.engines.get_mut(&attempt.engine) else { continue };
                 // A prediction past the objective shows load too. A prediction far beyond the estimate is ignored: it
@@ -72,11 +72,11 @@
     }
 
     fn update_limits(&mut self, now: Timestamp) {
-        let is_pooled = |engine: &EngineRecord| engine.is_used() && !engine.outliers.is_ejected();
+        let is_pooled = |engine: &EngineRecord| engine.is_used() && !engine.outlier_detector.is_ejected();
         let pools = capacity_pools(&self.engines, &self.slow_start, ANY_CLASS, now, is_pooled);
         let max_fraction = self.max_capacity_fraction();
         for engine in self.engines.values_mut() {
-            let pool = pools.by_kind.get(&engine.listed.kind).unwrap_or(&pools.all);
+            let pool = pools.by_kind.get(&engine.entry.kind).unwrap_or(&pools.all);
             let threads = largest_allowed_threads(&self.classes, engine);
             let saturated = engine.limit.is_saturated(threads, pool, 1.0);
             engine.limit.tick(self.classes.ranked(), &pools.all, saturated, max_fraction);
@@ -99,10 +99,10 @@
         for (index, engine) in &mut self.engines {
             let silent = std::mem::take(&mut engine.overdue_updates).min(MAX_SILENT_PER_TICK);
             for _ in 0..silent {
-                if engine.outliers.is_ejected() {
+                if engine.outlier_detector.is_ejected() {
                     break;
                 }
-                if engine.outliers.record(true, &mut self.failure_baseline, now).is_some() {
+                if engine.outlier_detector.record(true, &mut self.failure_baseline, now).is_some() {
                     ejected.push(*index);
                 }
             }
@@ -112,7 +112,7 @@
     }
 
     fn report_endpoint_list_change(&mut self, now: Timestamp) {
-        match self.endpoint_list.take_change(self.capabilities.endpoint_list_lifetime, now) {
+        match self.endpoint_list.take_expiry_change(self.capabilities.endpoint_list_lifetime, now) {
             Some(true) => self.events.push(PolicyEvent::EndpointListExpired),
             Some(false) => self.events.push(PolicyEvent::EndpointListCurrent),
             None => {}
@@ -138,6 +138,6 @@
 
 /// Threads of the largest request class that is allowed at an engine; at least one.
 fn largest_allowed_threads(classes: &ClassTable, engine: &EngineRecord) -> f64 {
-    let allowed = classes.ranked().iter().filter(|class| class.settings.allows_engine(&engine.listed));
+    let allowed = classes.ranked().iter().filter(|class| class.settings.allows_engine(&engine.entry));
     allowed.map(|class| class.settings.threads).fold(1.0, f64::max)
 }
