--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -68,7 +68,7 @@
 
 /// Lets each connection that is still open log its own last line.
 fn close_connections(state: &State, service: Option<&Arc<RestService>>, killed: Timestamp) {
-    state.shutdown.complete();
+    state.shutdown.mark_complete();
     state.client_connections.wake_overdue(state.clock.now(), state.clock.now());
     let until = state.clock.now() + LAST_LOG_LINES;
     let open_connections = || state.client_connections.len() + service.map_or(0, |service| service.clients());
--- a/crates/gateway/src/state/client_connections.rs
+++ b/crates/gateway/src/state/client_connections.rs
@@ -1,64 +1,66 @@
-//! All client connections of MessagePack-RPC.
+//! Registry of the open MessagePack-RPC client connections.
 
 use super::lock;
-use super::response_writer::{ResponseWriter, UnreadBytes};
+use super::response_writer::{ResponseWriter, UnsentBytes};
 use larchfall_policy::time::Timestamp;
 use may::io::WaitIoWaker;
 use slab::Slab;
 use std::sync::{Arc, Mutex};
 
-/// The connections, by a number that each has while it is open.
+/// All open MessagePack-RPC client connections. A connection's id is unique while the connection is open and may be
+/// reused afterwards.
 pub struct ClientConnections {
     writers: Mutex<Slab<Arc<ResponseWriter>>>,
-    unread: Arc<UnreadBytes>,
+    unsent: Arc<UnsentBytes>,
 }
 
-/// A connection that was registered.
+/// A newly registered client connection.
 pub struct RegisteredConnection {
-    /// Its number.
+    /// Id under which the connection is unregistered.
     pub id: usize,
-    /// Its responses.
+    /// Buffer for the connection's outgoing responses.
     pub writer: Arc<ResponseWriter>,
 }
 
 impl ClientConnections {
-    /// No connections; responses of all together may hold `max_unsent_bytes`.
+    /// Creates an empty registry. `max_unsent_bytes` bounds the unsent response bytes of all connections together.
     pub fn new(max_unsent_bytes: usize) -> ClientConnections {
         ClientConnections {
             writers: Mutex::new(Slab::new()),
-            unread: Arc::new(UnreadBytes::new(max_unsent_bytes)),
+            unsent: Arc::new(UnsentBytes::new(max_unsent_bytes)),
         }
     }
 
-    /// Adds a connection whose coroutine is woken by this waker.
+    /// Adds a connection. `waker` wakes the connection's coroutine.
     pub fn register(&self, waker: WaitIoWaker, now: Timestamp) -> RegisteredConnection {
-        let writer = Arc::new(ResponseWriter::new(waker, self.unread.clone(), now));
+        let writer = Arc::new(ResponseWriter::new(waker, self.unsent.clone(), now));
         let id = lock(&self.writers).insert(writer.clone());
         RegisteredConnection { id, writer }
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a closed connection; does nothing if the id is unknown.
     pub fn unregister(&self, id: usize) {
         lock(&self.writers).try_remove(id);
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn len(&self) -> usize {
         lock(&self.writers).len()
     }
 
-    /// Whether no connection is open.
+    /// Returns whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether on all connections nothing is open and nothing is on its way out.
+    /// Returns whether every connection has neither open requests nor unsent response bytes.
     pub fn all_idle(&self) -> bool {
         lock(&self.writers).iter().all(|(_, writer)| writer.is_idle())
     }
 
-    /// Wakes connections without activity after `inactive_since`, and those that await a complete message since before
-    /// `awaiting_since`: each decides itself whether to end.
+    /// Wakes the coroutines of connections without reads or writes after `inactive_since`, and of connections that have
+    /// awaited a complete message since `awaiting_since` or earlier. Each coroutine then decides whether to close its
+    /// connection.
     pub fn wake_overdue(&self, inactive_since: Timestamp, awaiting_since: Timestamp) {
         let overdue: Vec<Arc<ResponseWriter>> = lock(&self.writers)
             .iter()
@@ -71,12 +73,13 @@
         }
     }
 
-    /// Asks up to `max` connections to close, of those on which no response is owed. One with activity since `recent`
-    /// may be about to send a request and stays.
-    pub fn evict_idle(&self, max: usize, recent: Timestamp) {
+    /// Asks up to `max` idle connections to close, first those that still await a complete message, then the least
+    /// recently active. Connections with activity at or after `active_since` are kept, because their clients may be about
+    /// to send a request.
+    pub fn evict_idle(&self, max: usize, active_since: Timestamp) {
         let mut evictable: Vec<_> = lock(&self.writers)
             .iter()
-            .filter_map(|(_, writer)| Some((writer.eviction_order(recent)?, writer.clone())))
+            .filter_map(|(_, writer)| Some((writer.eviction_order(active_since)?, writer.clone())))
             .collect();
         evictable.sort_by_key(|(order, _)| *order);
         for (_, writer) in evictable.into_iter().take(max) {
--- a/crates/gateway/src/state/connection_permits.rs
+++ b/crates/gateway/src/state/connection_permits.rs
@@ -1,6 +1,6 @@
-//! Connection permits: how many attempts may be in flight at a time. Whoever waits for a permit is served by the
-//! priority that the policy gave, then in order of arrival: while permits are short this is where requests compete
-//! first, and a plain queue would let many short ones keep out the few of a higher priority.
+//! Connection permits limit the number of attempts in flight. Waiting requests get permits by the priority that the
+//! policy assigned, then in order of arrival. While permits are scarce, requests compete here before they compete for
+//! engines, and a FIFO queue would let many short requests delay the few with a higher priority.
 
 use super::lock;
 use super::timers::Timers;
@@ -10,39 +10,43 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// A counting semaphore whose waiters are ordered by priority.
+/// A counting semaphore that serves waiters by priority, then in order of arrival.
 pub struct ConnectionPermits {
-    queue: Mutex<Queue>,
+    queue: Mutex<PermitQueue>,
 }
 
-struct Queue {
+struct PermitQueue {
     available: usize,
     waiting: BTreeMap<QueuePosition, Arc<Blocker>>,
+    /// Number of waiters queued so far; orders waiters of equal priority.
     arrivals: u64,
 }
 
-/// The highest priority first, then whoever came first.
+/// Sort key of a waiter: the highest priority first, then the earliest arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     priority: Reverse<u8>,
     arrival: u64,
 }
 
-/// How long to wait for a permit, and on which timers.
+/// Options for waiting until a permit becomes available.
 pub struct PermitWait<'a> {
-    /// The timers that wake the waiter.
+    /// Timers that wake the waiter at its deadline.
     pub timers: &'a Timers,
-    /// When to stop waiting.
+    /// Time at which the waiter gives up.
     pub deadline: Timestamp,
 }
 
 impl ConnectionPermits {
-    /// So many permits, all available.
+    /// Creates a semaphore with `available` permits.
     pub fn new(available: usize) -> ConnectionPermits {
-        ConnectionPermits { queue: Mutex::new(Queue { available, waiting: BTreeMap::new(), arrivals: 0 }) }
+        ConnectionPermits {
+            queue: Mutex::new(PermitQueue { available, waiting: BTreeMap::new(), arrivals: 0 }),
+        }
     }
 
-    /// Takes a permit, or waits for one; false when none became available in time.
+    /// Acquires a permit, waiting for a free permit if `wait` is given. Returns false if no permit became available by
+    /// the deadline, or immediately if all are taken and `wait` is `None`.
     pub fn acquire(&self, priority: u8, wait: Option<PermitWait>) -> bool {
         let blocker = Blocker::current();
         let mut queue = lock(&self.queue);
@@ -56,20 +60,21 @@
         queue.waiting.insert(position, blocker.clone());
         drop(queue);
         wait.timers.park_until(&blocker, wait.deadline);
-        // Whoever is no longer in the queue was handed a permit, be it at the last moment.
+        // `release` removes a waiter from the queue when it hands the waiter a permit. A waiter that is no longer queued
+        // therefore holds a permit, even if its deadline has passed.
         lock(&self.queue).waiting.remove(&position).is_none()
     }
 
-    /// Gives a permit back: the first in the queue has it next.
+    /// Releases a permit and passes it to the first waiter in the queue, if any.
     pub fn release(&self) {
         let mut queue = lock(&self.queue);
         match queue.waiting.pop_first() {
-            Some((_, first)) => first.unpark(),
+            Some((_, first_waiter)) => first_waiter.unpark(),
             None => queue.available += 1,
         }
     }
 
-    /// How many wait for a permit.
+    /// Number of coroutines that wait for a permit.
     pub fn waiting(&self) -> usize {
         lock(&self.queue).waiting.len()
     }
--- a/crates/gateway/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -5,100 +5,106 @@
 use larchfall_policy::types::Outcome;
 use std::sync::Mutex;
 
-/// Counters of one request class.
+/// Counters of one request class since the start of the gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassCounters {
-    /// Requests that came in good form.
+    /// Requests that passed validation, including any refused afterwards for a duplicate id or for too many requests in
+    /// flight.
     pub admitted: u64,
-    /// Attempts that had their outcome.
+    /// Attempts with a recorded outcome.
     pub attempts: u64,
     /// Attempts by outcome, in the order of `OUTCOME_LABELS`.
     outcomes: [u64; OUTCOME_LABELS.len()],
-    /// Requests whose rows all went to the client.
+    /// Requests whose complete result went to the client.
     pub returned: u64,
-    /// Requests that were rejected: trying again is harmless.
+    /// Rejected requests, which clients can safely retry.
     pub rejected: u64,
-    /// Requests that ended in an error.
+    /// Requests that ended with an error.
     pub errored: u64,
-    /// Requests whose client disconnected before the answer.
+    /// Requests whose client disconnected before the final answer.
     pub disconnected: u64,
 }
 
-/// Counters that belong to no request class.
+/// Counters of the whole gateway, which belong to no request class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GatewayCounters {
-    /// Client connections accepted.
+    /// Accepted MessagePack-RPC connections.
     pub client_connections: u64,
-    /// Messages that no request could be made of.
+    /// Messages and statements that are malformed or do not match the settings.
     pub invalid_requests: u64,
-    /// Requests rejected by the gateway's own limits: too many open on a connection, or in flight.
+    /// Requests rejected by the gateway's own limits: too many open on a connection, too many open paged results, or too
+    /// many in flight.
     pub over_limits: u64,
-    /// Pings of clients.
+    /// Pings received from clients.
     pub pings: u64,
-    /// Load reports asked for.
+    /// Load reports requested from engines.
     pub load_report_requests: u64,
-    /// Events of the discovery service.
+    /// Watch events applied to the endpoint list, from the discovery service and from a reloaded configuration.
     pub discovery_events: u64,
-    /// Paged results whose last page was handed out.
+    /// Paged results whose last page was sent to the client.
     pub results_delivered: u64,
     /// Paged results that their clients abandoned.
     pub results_abandoned: u64,
-    /// Most requests in flight at a time.
+    /// Highest number of requests in flight at the same time.
     pub max_in_flight: usize,
-    /// Most client connections at a time.
+    /// Highest number of client connections open at the same time.
     pub max_client_connections: usize,
-    /// Most connections to engines at a time.
+    /// Highest number of engine connections open at the same time.
     pub max_engine_connections: usize,
-    /// The longest delay of the timer thread: the time for which others kept the core.
+    /// Longest delay of a timer thread wakeup in milliseconds, that is, how long other threads occupied the core.
     pub max_timer_lag_ms: u64,
 }
 
-/// All counters of a gateway.
+/// All counters of a gateway, safe for concurrent updates.
 #[derive(Default)]
 pub struct Counters {
     classes: Mutex<Vec<ClassCounters>>,
     gateway: Mutex<GatewayCounters>,
 }
 
+/// The name of an attempt outcome in log lines.
 struct OutcomeLabel {
     outcome: Outcome,
     label: &'static str,
 }
 
-const fn labelled(outcome: Outcome, label: &'static str) -> OutcomeLabel {
+const fn labeled(outcome: Outcome, label: &'static str) -> OutcomeLabel {
     OutcomeLabel { outcome, label }
 }
 
 const OUTCOME_LABELS: [OutcomeLabel; 8] = [
-    labelled(Outcome::Returned, "returned"),
-    labelled(Outcome::Errored, "errored"),
-    labelled(Outcome::Rejected, "full"),
-    labelled(Outcome::TimedOut, "timed_out"),
-    labelled(Outcome::ConnectFailed, "connect_failed"),
-    labelled(Outcome::Reset, "reset"),
-    labelled(Outcome::Cancelled, "cancelled"),
-    labelled(Outcome::NotSent, "not_sent"),
+    labeled(Outcome::Returned, "returned"),
+    labeled(Outcome::Errored, "errored"),
+    labeled(Outcome::Rejected, "full"),
+    labeled(Outcome::TimedOut, "timed_out"),
+    labeled(Outcome::ConnectFailed, "connect_failed"),
+    labeled(Outcome::Reset, "reset"),
+    labeled(Outcome::Cancelled, "cancelled"),
+    labeled(Outcome::NotSent, "not_sent"),
 ];
 
 impl Counters {
-    /// Zero for so many request classes.
-    pub fn new(classes: usize) -> Counters {
-        Counters { classes: Mutex::new(vec![ClassCounters::default(); classes]), gateway: Mutex::default() }
+    /// Creates counters for `class_count` request classes, all zero.
+    pub fn new(class_count: usize) -> Counters {
+        Counters {
+            classes: Mutex::new(vec![ClassCounters::default(); class_count]),
+            gateway: Mutex::default(),
+        }
     }
 
-    /// Updates the counters of a request class, if there is one of that index.
+    /// Updates the counters of the request class with this index; does nothing if the index is out of range.
     pub fn update_class(&self, class: usize, update: impl FnOnce(&mut ClassCounters)) {
         if let Some(counters) = lock(&self.classes).get_mut(class) {
             update(counters);
         }
     }
 
-    /// Updates the counters that belong to no class.
+    /// Updates the counters that belong to no request class.
     pub fn update_gateway(&self, update: impl FnOnce(&mut GatewayCounters)) {
         update(&mut lock(&self.gateway));
     }
 
-    /// Counts a final answer that somebody still waited for.
+    /// Counts a final answer that was delivered to a waiting client.
     pub fn record_answer(&self, class: usize, answer: FinalAnswer) {
         self.update_class(class, |counters| match answer {
             FinalAnswer::Returned => counters.returned += 1,
@@ -107,7 +113,7 @@
         });
     }
 
-    /// Counts an attempt by its outcome.
+    /// Counts an attempt with its outcome.
     pub fn record_outcome(&self, class: usize, outcome: Outcome) {
         let position = OUTCOME_LABELS.iter().position(|label| label.outcome == outcome).unwrap_or(0);
         self.update_class(class, |counters| {
@@ -116,7 +122,7 @@
         });
     }
 
-    /// One log line for each request class, and one for the gateway.
+    /// Formats one log line for each request class, and a last line for the gateway.
     pub fn log_lines(&self, class_names: &[String]) -> Vec<String> {
         let classes = lock(&self.classes);
         let mut lines: Vec<String> =
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -1,14 +1,18 @@
-//! Limits of the transport, worked out once from the machine's memory and descriptors.
+//! Limits of the transport, computed once at startup from the machine's memory and file descriptors.
 
-/// Clients hold a third of the descriptors at most; connections that cross a close come on top.
-const CLIENT_DESCRIPTORS: Fraction = Fraction { numerator: 2, denominator: 5 };
-const ENGINE_DESCRIPTORS: Fraction = Fraction { numerator: 1, denominator: 2 };
-/// Listener, discovery service, signals, log, epoll, standard streams, load reports.
+/// Fraction of the descriptors for client connections. Clients hold at most a third of the descriptors; the rest covers
+/// new connections that are accepted while old ones are still closing.
+const CLIENT_DESCRIPTOR_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
+/// Fraction of the descriptors for connections to engines.
+const ENGINE_DESCRIPTOR_FRACTION: Fraction = Fraction { numerator: 1, denominator: 2 };
+/// Number of descriptors for other uses: listener, discovery service, signals, log, epoll, standard streams and load
+/// reports.
 const OTHER_DESCRIPTORS: usize = 24;
-/// One part in so many of the memory may hold responses on their way out.
+/// Divisor of the machine's memory that gives the memory for unsent responses.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
-/// One part in so many of the memory may hold requests in flight: a stack and a statement each.
+/// Divisor of the machine's memory that gives the memory for requests in flight.
 const REQUEST_MEMORY_DIVISOR: usize = 3;
+/// Memory of a request in flight in bytes: the stack of its coroutine, and its statement.
 const BYTES_PER_REQUEST: usize = 24 * 1024;
 
 struct Fraction {
@@ -22,27 +26,28 @@
     }
 }
 
-/// How much of everything there may be at a time.
+/// Upper bounds of the resources that the transport uses at the same time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Client connections.
+    /// Maximum number of open client connections.
     pub client_connections: usize,
-    /// Connections to engines.
+    /// Maximum number of open connections to engines.
     pub engine_connections: usize,
-    /// Requests in flight, of all clients together.
+    /// Maximum number of requests in flight, over all clients.
     pub requests: usize,
-    /// Bytes of responses that clients have not read.
+    /// Maximum size of responses not yet sent, in bytes, over all clients.
     pub unsent_bytes: usize,
 }
 
 impl Limits {
-    /// `None` when the machine is too small to serve anybody.
-    pub fn new(memory_mb: usize, sockets: usize) -> Option<Limits> {
-        let descriptors = sockets.checked_sub(OTHER_DESCRIPTORS)?;
+    /// Computes the limits from the memory in MiB and the maximum number of open descriptors. Returns `None` if either is
+    /// too small to serve any request.
+    pub fn new(memory_mb: usize, max_descriptors: usize) -> Option<Limits> {
+        let descriptors = max_descriptors.checked_sub(OTHER_DESCRIPTORS)?;
         let memory = memory_mb << 20;
         let limits = Limits {
-            client_connections: CLIENT_DESCRIPTORS.of(descriptors),
-            engine_connections: ENGINE_DESCRIPTORS.of(descriptors),
+            client_connections: CLIENT_DESCRIPTOR_FRACTION.of(descriptors),
+            engine_connections: ENGINE_DESCRIPTOR_FRACTION.of(descriptors),
             requests: memory / REQUEST_MEMORY_DIVISOR / BYTES_PER_REQUEST,
             unsent_bytes: memory / RESPONSE_MEMORY_DIVISOR,
         };
@@ -50,9 +55,9 @@
         is_usable.then_some(limits)
     }
 
-    /// The limits with so many client connections reserved for another protocol; `None` when none are left.
+    /// Reserves `reserved` client connections for another protocol; returns `None` if no client connections remain.
     pub fn reserve_client_connections(self, reserved: usize) -> Option<Limits> {
-        let left = self.client_connections.checked_sub(reserved).filter(|left| *left > 0)?;
-        Some(Limits { client_connections: left, ..self })
+        let remaining = self.client_connections.checked_sub(reserved).filter(|remaining| *remaining > 0)?;
+        Some(Limits { client_connections: remaining, ..self })
     }
 }
--- a/crates/gateway/src/state/mod.rs
+++ b/crates/gateway/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What one gateway keeps in memory. Nothing here does input or output, and no lock is held across a wait.
+//! The in-memory state of a gateway. These modules do no I/O, and no lock is held while a coroutine waits.
 //!
-//! Each part has one owner: what several coroutines share lies behind a lock of its own, private to the part's module.
-//! `PolicyHandle` is the only one that calls the policy.
+//! Each submodule owns its data: data that coroutines share is behind a mutex private to the submodule. Only
+//! `PolicyHandle` calls the policy.
 
 pub mod client_connections;
 pub mod clock;
@@ -36,56 +36,57 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use timers::Timers;
 
-/// All parts of a gateway, shared by its coroutines.
+/// The state of a gateway, shared by all its coroutines.
 pub struct State {
-    /// The clock that all times are read on.
+    /// Source of all timestamps.
     pub clock: Clock,
-    /// Coroutines that wait with a deadline.
+    /// Deadlines of waiting coroutines.
     pub timers: Arc<Timers>,
-    /// Whether this process was kept from running.
+    /// Detector of periods in which this process did not run.
     pub stall_detector: StallDetector,
-    /// Where log lines go.
+    /// Destination of log lines.
     pub log: Logger,
     /// Counters of requests and connections.
     pub counters: Counters,
-    /// Settings of the transport.
+    /// Settings of the transport, fixed at startup.
     pub settings: TransportSettings,
-    /// Limits of the transport.
+    /// Resource limits of the transport, fixed at startup.
     pub limits: Limits,
     /// The policy, the endpoint list and the requests in flight.
     pub policy: PolicyHandle,
-    /// Clients of MessagePack-RPC.
+    /// Open MessagePack-RPC client connections.
     pub client_connections: ClientConnections,
-    /// Connections to engines.
+    /// Pool of connections to engines.
     pub engine_connections: Arc<ConnectionPool>,
-    /// Whether this gateway is to end.
+    /// Progress of the gateway's shutdown.
     pub shutdown: Shutdown,
-    /// The connection to the discovery service.
+    /// State of the connection to the discovery service.
     pub discovery: DiscoveryStatus,
-    /// Load reports that members share, where there are leases for asking engines.
+    /// Load reports shared between members; `None` if no leases assign the members that request load reports.
     pub shared_load_reports: Option<Mutex<LoadReportSharing>>,
 }
 
 impl State {
-    /// Blocks for this long.
+    /// Blocks the calling coroutine for this long; returns at once if `duration` is zero.
     pub fn sleep(&self, duration: Duration) {
         if duration > Duration::ZERO {
             self.timers.sleep(duration);
         }
     }
 
-    /// Whether this gateway stalled for long and has not yet read what the discovery service sent meanwhile.
+    /// Returns whether this gateway had a long stall and may not yet have read the watch events sent during the stall.
     pub fn is_behind_discovery(&self) -> bool {
-        let heard = self.discovery.last_contact();
-        self.stall_detector.discovery_catch_up(self.clock.now(), heard) > Duration::ZERO
+        let last_contact = self.discovery.last_contact();
+        self.stall_detector.discovery_catch_up(self.clock.now(), last_contact) > Duration::ZERO
     }
 
-    /// Whether what clients, engines and the discovery service sent a while ago may still be unread.
+    /// Returns whether sockets may hold data from clients, engines or the discovery service that arrived some time ago.
     pub fn may_have_unread_input(&self) -> bool {
         self.is_behind_discovery() || self.stall_detector.is_event_poll_overdue(self.clock.now())
     }
 
-    /// Whether this gateway is to ask that engine for a load report: no member that asks for all has sent one lately.
+    /// Returns whether this gateway must request a load report from the engine itself, because no member has shared a
+    /// recent report of the engine.
     pub fn needs_load_report(&self, engine: usize) -> bool {
         let Some(reports) = &self.shared_load_reports else { return true };
         let id = self.policy.engine_id(engine).map(u64::from);
@@ -99,14 +100,15 @@
         }
     }
 
-    /// From now on nothing is promised beyond this time.
+    /// Begins the shutdown: request deadlines are capped at `deadline`, and the policy plans nothing beyond `deadline`.
     pub fn begin_shutdown(&self, deadline: Timestamp) {
         self.shutdown.set_deadline(deadline);
         self.policy.set_shutdown_deadline(deadline);
     }
 }
 
-/// Locks a mutex even if another holder panicked: what it left behind are plain values, and the others go on.
+/// Locks a mutex even if it is poisoned. A panicking holder leaves plain values without broken invariants behind, and
+/// the other coroutines must keep running.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -1,8 +1,8 @@
-//! The policy in blocking style, and the only place that calls it: a request is admitted, routed, waits while there is
-//! nothing to do, and each attempt's outcome is recorded; the timer thread calls `tick`.
+//! Blocking interface to the policy, and the only caller of the policy. Request coroutines admit and route a request,
+//! wait until its routing decision may change, and record the outcome of each attempt. The timer thread calls `tick`.
 //!
-//! Calls are grouped by subject in the modules below. All of them work on `Decisions`, under one lock that is never
-//! held across a wait, so that the policy, the endpoint list and the requests in flight always agree.
+//! The submodules group the calls by subject. All calls lock `PolicyState`, so that the policy, the endpoint list and
+//! the requests in flight stay consistent. The lock is never held while a coroutine waits.
 
 mod capacity;
 mod engines;
@@ -28,28 +28,28 @@
 pub use in_flight::{AdmissionError, DisconnectAction};
 pub use larchfall_policy::policy::TICK;
 
-/// The policy, and what belongs to its decisions.
+/// Thread-safe handle to the policy and to the state that must stay consistent with the policy.
 pub struct PolicyHandle {
-    decisions: Mutex<Decisions>,
+    state: Mutex<PolicyState>,
     clock: Clock,
     timers: Arc<Timers>,
 }
 
-struct Decisions {
+struct PolicyState {
     policy: Policy,
     engines: EngineTable,
     in_flight: InFlightRequests,
-    /// Requests that came so far, by request class and tenant.
+    /// Number of requests received so far, by request class and tenant.
     arrivals: Arrivals,
     capacity: CapacityPlan,
-    /// What this gateway observed of engines, where members are told.
+    /// Attempt outcomes that this gateway observed; `None` unless they are reported to members.
     observations: Option<Observations>,
 }
 
 impl PolicyHandle {
-    /// A policy with no engines and no requests; at most `max_in_flight` requests are admitted at a time.
+    /// Creates a handle without engines or requests. At most `max_in_flight` requests are admitted at the same time.
     pub fn new(policy: Policy, clock: Clock, max_in_flight: usize, timers: Arc<Timers>) -> PolicyHandle {
-        let decisions = Decisions {
+        let state = PolicyState {
             policy,
             engines: EngineTable::default(),
             in_flight: InFlightRequests::new(max_in_flight),
@@ -57,38 +57,39 @@
             capacity: CapacityPlan::default(),
             observations: None,
         };
-        PolicyHandle { decisions: Mutex::new(decisions), clock, timers }
+        PolicyHandle { state: Mutex::new(state), clock, timers }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Decisions> {
-        lock(&self.decisions)
+    fn lock(&self) -> MutexGuard<'_, PolicyState> {
+        lock(&self.state)
     }
 
-    /// The periodic work; returns the engines that are to be asked for a load report.
+    /// Runs the policy's periodic work and removes engines that are gone and no longer needed. Returns the indices of
+    /// engines that are due for a load report.
     pub fn tick(&self) -> Vec<usize> {
-        let mut decisions = self.lock();
+        let mut state = self.lock();
         let now = self.clock.now();
-        decisions.policy.tick(now);
-        for engine in decisions.engines.gone() {
-            let is_forgotten = decisions.policy.forget_engine(now, engine);
+        state.policy.tick(now);
+        for engine in state.engines.gone() {
+            let is_forgotten = state.policy.forget_engine(now, engine);
             if is_forgotten {
-                decisions.engines.remove(engine);
+                state.engines.remove(engine);
             }
         }
-        decisions.policy.health_checks()
+        state.policy.health_checks()
     }
 
-    /// What the policy has to log since the last call.
+    /// Takes the events that the policy has emitted for the log since the last call.
     pub fn take_events(&self) -> Vec<PolicyEvent> {
         self.lock().policy.take_events()
     }
 
-    /// From now on so many gateways share the engines.
-    pub fn set_gateway_count(&self, gateways: usize) {
-        self.lock().policy.set_gateway_count(gateways);
+    /// Sets the number of gateways that share the engines.
+    pub fn set_gateway_count(&self, gateway_count: usize) {
+        self.lock().policy.set_gateway_count(gateway_count);
     }
 
-    /// This gateway ends then.
+    /// Sets the time by which this gateway stops.
     pub fn set_shutdown_deadline(&self, deadline: Timestamp) {
         self.lock().policy.set_shutdown_deadline(deadline);
     }
--- a/crates/gateway/src/state/policy_handle/in_flight.rs
+++ b/crates/gateway/src/state/policy_handle/in_flight.rs
@@ -1,4 +1,4 @@
-//! The requests in flight: each has an index while it is, under which the policy knows it.
+//! The table of requests in flight. The policy identifies each request by its index in this table.
 
 use may::sync::Blocker;
 use slab::Slab;
@@ -9,48 +9,48 @@
 /// Why a request was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AdmissionError {
-    /// As many requests are in flight as there is memory for.
+    /// The limit of requests in flight, which follows from the machine's memory, is reached.
     #[error("too many requests in flight")]
     TooManyInFlight,
-    /// Another request with the same id is in flight. Engines know queries by that id alone: to cancel the second
-    /// would cancel the first.
-    #[error("a request with this id is in flight")]
+    /// Another request with the same id is in flight. Engines identify queries by this id alone, so that cancelling the
+    /// second request would cancel the first.
+    #[error("a request with this id is already in flight")]
     DuplicateId,
 }
 
-/// What the coroutine of a request is to do after its client disconnected.
+/// How the coroutine of a request proceeds after the request's client has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectAction {
-    /// Cancel the attempts that are in flight.
+    /// Cancel the attempts in flight.
     CancelAttempts,
-    /// Let the attempts that are in flight run to their end.
+    /// Let the attempts in flight finish.
     LetAttemptsFinish,
 }
 
-/// A request in flight.
 pub(super) struct InFlightRequest {
+    /// Id under which engines know the request's query.
     id: u64,
     /// Set once the client has disconnected.
     pub(super) disconnect_action: Option<DisconnectAction>,
-    /// The request's coroutine while it waits for a change.
+    /// Wakes the request's coroutine while the coroutine waits for a new routing decision.
     pub(super) waiting: Option<Arc<Blocker>>,
 }
 
-/// All requests in flight, up to a bound.
+/// All requests in flight, up to a maximum number.
 pub(super) struct InFlightRequests {
     requests: Slab<InFlightRequest>,
     ids: HashSet<u64>,
-    max: usize,
+    max_requests: usize,
 }
 
 impl InFlightRequests {
-    pub(super) fn new(max: usize) -> InFlightRequests {
-        InFlightRequests { requests: Slab::new(), ids: HashSet::new(), max }
+    pub(super) fn new(max_requests: usize) -> InFlightRequests {
+        InFlightRequests { requests: Slab::new(), ids: HashSet::new(), max_requests }
     }
 
-    /// Gives a request an index.
+    /// Adds a request and returns its index.
     pub(super) fn insert(&mut self, id: u64) -> Result<usize, AdmissionError> {
-        if self.requests.len() >= self.max {
+        if self.requests.len() >= self.max_requests {
             return Err(AdmissionError::TooManyInFlight);
         }
         if !self.ids.insert(id) {
@@ -59,7 +59,7 @@
         Ok(self.requests.insert(InFlightRequest { id, disconnect_action: None, waiting: None }))
     }
 
-    /// Frees the index of a request that is over.
+    /// Removes a finished request; its index can be reused.
     pub(super) fn remove(&mut self, request: usize) {
         if let Some(removed) = self.requests.try_remove(request) {
             self.ids.remove(&removed.id);
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -1,6 +1,7 @@
-//! What this gateway observed of engines, for its members, and what they observed.
+//! Engine observations that gateways exchange: records the attempt outcomes of this gateway for reports to other
+//! members, and passes the outcomes that members report to the policy.
 
-use super::{Decisions, PolicyHandle};
+use super::{PolicyHandle, PolicyState};
 use crate::state::engine_table::EngineInstance;
 use larchfall_health_gossip::EngineProcess;
 use larchfall_health_gossip::counts::ProcessCounts;
@@ -9,15 +10,16 @@
 use larchfall_policy::types::Outcome;
 
 impl PolicyHandle {
-    /// From now on observations are kept, of at most so many processes.
+    /// Enables the recording of observations, of at most `max_processes` engine processes.
     pub fn enable_observations(&self, max_processes: usize) {
         self.lock().observations = Some(Observations::new(max_processes));
     }
 
-    /// Keeps what the outcome of an attempt tells of the process it was sent to, unless that was replaced meanwhile.
+    /// Records the outcome of an attempt as an observation of the engine process to which the attempt was sent. Outcomes
+    /// that say nothing about the engine, and outcomes of a process that was replaced meanwhile, are dropped.
     pub fn record_observation(&self, instance: EngineInstance, outcome: Outcome) {
         let mut guard = self.lock();
-        let Decisions { engines, observations, .. } = &mut *guard;
+        let PolicyState { engines, observations, .. } = &mut *guard;
         let Some(observations) = observations else { return };
         let Some(observation) = Observation::of(outcome) else { return };
         let is_current = engines.instance(instance.engine) == Some(instance);
@@ -26,40 +28,43 @@
         }
     }
 
-    /// The next report to members, with at most so many observations; `None` where there is nothing to report.
+    /// Returns the next report to members, with at most `max_observations` entries; `None` if there is nothing to report
+    /// or observations are disabled.
     pub fn next_observation_report(&self, max_observations: usize) -> Option<Report> {
         let mut guard = self.lock();
-        let Decisions { engines, observations, .. } = &mut *guard;
-        let own = observations.as_mut()?;
-        own.retain(|process| engines.index_of_process(process).is_some());
-        let report = own.next_report(max_observations, self.clock.now());
+        let PolicyState { engines, observations, .. } = &mut *guard;
+        let observations = observations.as_mut()?;
+        observations.retain(|process| engines.index_of_process(process).is_some());
+        let report = observations.next_report(max_observations, self.clock.now());
         (!report.entries.is_empty()).then_some(report)
     }
 
-    /// All observations of this gateway.
+    /// Returns all observations that this gateway has recorded; empty if observations are disabled.
     pub fn own_observations(&self) -> Vec<ProcessCounts> {
         self.lock().observations.iter().flat_map(Observations::all).collect()
     }
 
-    /// An outcome that members observed of a process.
+    /// Passes an outcome that members observed at an engine process to the policy; does nothing if this gateway does not
+    /// list the process.
     pub fn record_peer_outcome(&self, process: EngineProcess, is_failure: bool) {
-        let mut decisions = self.lock();
-        if let Some(engine) = decisions.engines.index_of_process(process) {
-            decisions.policy.record_engine_outcome(self.clock.now(), engine, is_failure, Evidence::Gossip);
+        let mut state = self.lock();
+        if let Some(engine) = state.engines.index_of_process(process) {
+            state.policy.record_engine_outcome(self.clock.now(), engine, is_failure, Evidence::Gossip);
         }
     }
 
-    /// Processes that the policy has ejected.
+    /// Returns the listed engine processes that the policy has ejected.
     pub fn ejected_processes(&self) -> Vec<EngineProcess> {
         let statuses = self.engine_statuses();
         statuses.into_iter().filter(|status| status.health.ejected).map(|status| status.process).collect()
     }
 
-    /// Whether it is this gateway's turn to probe a process that is ejected.
-    pub fn set_probe_slot(&self, process: EngineProcess, is_ours: bool) {
-        let mut decisions = self.lock();
-        if let Some(engine) = decisions.engines.index_of_process(process) {
-            decisions.policy.set_probe_slot(engine, is_ours);
+    /// Sets whether this gateway holds the probe slot of an ejected engine process, that is, whether it may probe the
+    /// process now.
+    pub fn set_probe_slot(&self, process: EngineProcess, is_held: bool) {
+        let mut state = self.lock();
+        if let Some(engine) = state.engines.index_of_process(process) {
+            state.policy.set_probe_slot(engine, is_held);
         }
     }
 }
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -1,87 +1,91 @@
-//! One request's life: admitted, routed, waiting, attempted, over.
+//! The policy calls of a single request, from admission over routing and attempts to its release.
 
 use super::in_flight::{AdmissionError, DisconnectAction};
-use super::{Decisions, PolicyHandle};
+use super::{PolicyHandle, PolicyState};
 use crate::state::engine_table::EngineInstance;
 use larchfall_policy::types::{AfterAttempt, AttemptResult, ProgressUpdate, Request, RoutingDecision};
 use may::sync::Blocker;
 
 impl PolicyHandle {
-    /// Admits a request under the id by which engines will know it; returns its index.
+    /// Admits a request and returns its index. `id` identifies the request's query at engines and must not be in use by
+    /// another request in flight.
     pub fn admit(&self, id: u64, request: Request) -> Result<usize, AdmissionError> {
-        let mut decisions = self.lock();
-        let index = decisions.in_flight.insert(id)?;
-        decisions.arrivals.count(request.class, request.tenant);
-        decisions.policy.admit(self.clock.now(), index, request);
+        let mut state = self.lock();
+        let index = state.in_flight.insert(id)?;
+        state.arrivals.count(request.class, request.tenant);
+        state.policy.admit(self.clock.now(), index, request);
         Ok(index)
     }
 
-    /// Where to send a request, or not yet, or never.
+    /// Returns the policy's routing decision for a request: send it to an engine, wait, or end the request.
     pub fn route(&self, request: usize) -> RoutingDecision {
         self.lock().policy.route(self.clock.now(), request)
     }
 
-    /// The final answer of a request whose time is up, while the end of its attempts is still waited for.
+    /// Returns the decision that ends a request whose deadline has passed. Attempts of the request may still be in
+    /// flight; their outcomes are recorded later.
     pub fn finish_unanswered(&self, request: usize) -> RoutingDecision {
         self.lock().policy.finish_unanswered(request)
     }
 
-    /// Blocks until it is time to route a request again, or something happened to it.
+    /// Blocks until the policy has to be asked again for a routing decision, or until the client disconnects. Returns at
+    /// once if the client has already disconnected.
     pub fn wait_for_change(&self, request: usize) {
         let blocker = Blocker::current();
-        let mut decisions = self.lock();
-        let deadline = decisions.policy.next_check(self.clock.now(), request);
-        let in_flight = decisions.in_flight.get_mut(request);
+        let mut state = self.lock();
+        let deadline = state.policy.next_check(self.clock.now(), request);
+        let in_flight = state.in_flight.get_mut(request);
         let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnect_action.is_none()) else {
             return;
         };
         in_flight.waiting = Some(blocker.clone());
-        drop(decisions);
+        drop(state);
         self.timers.park_until(&blocker, deadline);
         if let Some(in_flight) = self.lock().in_flight.get_mut(request) {
             in_flight.waiting = None;
         }
     }
 
-    /// Whether an attempt that was routed to this process may start there now. Where the request was routed recently, an
-    /// engine that drains by now may still have it.
+    /// Returns whether an attempt that was routed to this engine process may start there now. An engine that began to
+    /// drain after the routing decision still accepts the attempt if `is_recently_routed` is true.
     pub fn may_start_attempt(
         &self,
         request: usize,
-        number: u8,
+        attempt: u8,
         instance: EngineInstance,
         is_recently_routed: bool,
     ) -> bool {
-        let decisions = self.lock();
-        decisions.engines.accepts(instance, is_recently_routed)
-            && decisions.policy.may_begin(self.clock.now(), request, number)
+        let state = self.lock();
+        state.engines.accepts_attempt(instance, is_recently_routed)
+            && state.policy.may_begin(self.clock.now(), request, attempt)
     }
 
-    /// An engine told how far an attempt has come.
-    pub fn record_progress(&self, request: usize, number: u8, update: ProgressUpdate) {
-        self.lock().policy.on_progress(self.clock.now(), request, number, update);
+    /// Passes a progress update of an attempt to the policy.
+    pub fn record_progress(&self, request: usize, attempt: u8, update: ProgressUpdate) {
+        self.lock().policy.on_progress(self.clock.now(), request, attempt, update);
     }
 
-    /// The outcome of an attempt; returns what to do after it.
-    pub fn record_outcome(&self, request: usize, number: u8, result: &AttemptResult) -> AfterAttempt {
-        self.lock().policy.on_attempt_finished(self.clock.now(), request, number, result)
+    /// Records the outcome of an attempt; returns whether the request continues.
+    pub fn record_outcome(&self, request: usize, attempt: u8, result: &AttemptResult) -> AfterAttempt {
+        self.lock().policy.on_attempt_finished(self.clock.now(), request, attempt, result)
     }
 
-    /// The coroutine of a request ended without recording the outcome of its attempt.
+    /// Records that the coroutine of a request ended without recording the outcome of its attempt.
     pub fn abandon(&self, request: usize) {
         self.lock().policy.abandon(self.clock.now(), request);
     }
 
-    /// The client of a request disconnected: no answer is owed any more.
+    /// Records that the client of a request has disconnected, so that no answer is due any more, and wakes the request's
+    /// coroutine. Only the first call for a request has an effect.
     pub fn record_disconnection(&self, request: usize) {
         let mut guard = self.lock();
-        let Decisions { policy, in_flight, .. } = &mut *guard;
+        let PolicyState { policy, in_flight, .. } = &mut *guard;
         let in_flight = in_flight.get_mut(request);
         let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnect_action.is_none()) else {
             return;
         };
-        let to_cancel = policy.on_client_disconnected(request);
-        in_flight.disconnect_action = Some(if to_cancel.is_empty() {
+        let attempts_to_cancel = policy.on_client_disconnected(request);
+        in_flight.disconnect_action = Some(if attempts_to_cancel.is_empty() {
             DisconnectAction::LetAttemptsFinish
         } else {
             DisconnectAction::CancelAttempts
@@ -91,17 +95,17 @@
         }
     }
 
-    /// What to do after the client of a request has disconnected; `None` while it has not.
+    /// Returns how to proceed with a request whose client has disconnected; `None` while the client is connected.
     pub fn disconnect_action(&self, request: usize) -> Option<DisconnectAction> {
         self.lock().in_flight.get(request)?.disconnect_action
     }
 
-    /// A request is over, with none of its attempts in flight: its index is free.
+    /// Removes a finished request. None of its attempts may be in flight, because its index can be reused.
     pub fn release(&self, request: usize) {
         self.lock().in_flight.remove(request);
     }
 
-    /// How many requests are in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.lock().in_flight.len()
     }
--- a/crates/gateway/src/state/response_writer.rs
+++ b/crates/gateway/src/state/response_writer.rs
@@ -1,5 +1,5 @@
-//! The responses of one client connection. The connection's own coroutine is the only one that writes to its socket:
-//! whoever has a response leaves it here and wakes that coroutine.
+//! Buffer for the responses of one client connection. Only the connection's coroutine writes to the socket; request
+//! coroutines add their responses to the buffer and wake the connection's coroutine.
 
 use super::lock;
 use crate::codec::message_pack::{self, Response};
@@ -9,27 +9,28 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Requests open on one connection.
+/// Maximum number of open requests on one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// As much as the responses of all requests that may be open; a client with more of it unread is read no further.
-const MAX_UNREAD_BYTES: usize = 2 << 20;
+/// Unsent response bytes of a connection above which the gateway stops reading from the connection. The value is the size
+/// of the responses of `MAX_OPEN_REQUESTS` requests.
+const MAX_UNSENT_BYTES: usize = 2 << 20;
 
-/// What is open on a connection and what is on its way out.
+/// The open requests and the unsent response bytes of a client connection.
 pub struct ResponseWriter {
     connection: Mutex<ConnectionState>,
     waker: WaitIoWaker,
-    unread_by_all: Arc<UnreadBytes>,
+    unsent_total: Arc<UnsentBytes>,
 }
 
-/// Bytes of responses that no client has read yet, of all connections.
-pub(super) struct UnreadBytes {
+/// Total number of response bytes that the gateway has not yet sent, over all client connections.
+pub(super) struct UnsentBytes {
     bytes: AtomicUsize,
     max: usize,
 }
 
-impl UnreadBytes {
-    pub(super) fn new(max: usize) -> UnreadBytes {
-        UnreadBytes { bytes: AtomicUsize::new(0), max }
+impl UnsentBytes {
+    pub(super) fn new(max: usize) -> UnsentBytes {
+        UnsentBytes { bytes: AtomicUsize::new(0), max }
     }
 
     fn add(&self, bytes: usize) {
@@ -47,37 +48,43 @@
 
 #[derive(Default)]
 struct ConnectionState {
-    /// Requests by the message that asked for them.
+    /// Indices of the open requests, by the id of the message that contained the request.
     open_requests: BTreeMap<u32, usize>,
+    /// Highest message id received so far.
     last_message_id: u32,
-    unread: Vec<u8>,
+    /// Encoded responses that are not yet written to the socket.
+    unsent: Vec<u8>,
+    /// Time of the last read or write on the socket.
     last_activity: Timestamp,
-    /// Since when a complete message is awaited: the first one, or one that has begun.
+    /// Time since which the gateway awaits a complete message: either the first message, or the rest of a message of
+    /// which a part has arrived.
     awaiting_message_since: Option<Timestamp>,
+    /// Whether the client has sent a message with a valid id.
     has_sent_message: bool,
-    /// Its descriptor is needed for another connection.
+    /// Whether the connection should close to free its file descriptor for another connection.
     should_close: bool,
 }
 
 impl ConnectionState {
     fn is_idle(&self) -> bool {
-        self.open_requests.is_empty() && self.unread.is_empty()
+        self.open_requests.is_empty() && self.unsent.is_empty()
     }
 }
 
-/// Whether a message's id may be used.
+/// Result of checking the id of a received message.
 #[derive(Debug, PartialEq)]
 pub enum MessageIdCheck {
-    /// A request may be opened under it.
+    /// The id is valid, and a request may be opened under it.
     Accepted,
-    /// Too many requests are open on this connection.
+    /// `MAX_OPEN_REQUESTS` requests are open on this connection.
     TooManyOpen,
-    /// The id was used before: a response could not be told from the first one.
+    /// The id is not greater than the previous id. Ids must ascend, because the client could not match a response to one
+    /// of two messages with the same id.
     Reused,
 }
 
-/// The order in which idle connections are closed when descriptors are needed: first those that never sent a complete
-/// message, then those without activity for longest.
+/// Sort key by which idle connections are closed when file descriptors are needed: first connections that still await a
+/// complete message, then the connections that were inactive longest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionOrder {
     has_sent_complete_messages: bool,
@@ -85,16 +92,16 @@
 }
 
 impl ResponseWriter {
-    pub(super) fn new(waker: WaitIoWaker, unread_by_all: Arc<UnreadBytes>, now: Timestamp) -> ResponseWriter {
+    pub(super) fn new(waker: WaitIoWaker, unsent_total: Arc<UnsentBytes>, now: Timestamp) -> ResponseWriter {
         let connection = ConnectionState {
             last_activity: now,
             awaiting_message_since: Some(now),
             ..ConnectionState::default()
         };
-        ResponseWriter { connection: Mutex::new(connection), waker, unread_by_all }
+        ResponseWriter { connection: Mutex::new(connection), waker, unsent_total }
     }
 
-    /// Records the id of a message that came.
+    /// Checks and records the id of a received message.
     pub fn register_message_id(&self, id: u32) -> MessageIdCheck {
         let mut connection = lock(&self.connection);
         if id <= connection.last_message_id {
@@ -109,22 +116,23 @@
         }
     }
 
-    /// A message's request was admitted: a response is owed to it.
+    /// Records that the request of message `id` was admitted under the index `request` and awaits a response.
     pub fn open_request(&self, id: u32, request: usize) {
         lock(&self.connection).open_requests.insert(id, request);
     }
 
-    /// The client no longer waits for this message's response; the request that it had asked for.
+    /// Closes the request of message `id`, whose response the client no longer awaits. Returns the index of the request;
+    /// `None` if no request is open under `id`.
     pub fn cancel(&self, id: u32) -> Option<usize> {
         lock(&self.connection).open_requests.remove(&id)
     }
 
-    /// The client no longer waits for any response; the requests that it had asked for.
+    /// Closes all open requests, because the client no longer awaits any response; returns their indices.
     pub fn cancel_all(&self) -> Vec<usize> {
         std::mem::take(&mut lock(&self.connection).open_requests).into_values().collect()
     }
 
-    /// Responds to an open request, once; false when nobody waits for it any more.
+    /// Responds to an open request and closes it. Returns false, without a response, if the request is no longer open.
     pub fn respond(&self, id: u32, response: &Response) -> bool {
         if lock(&self.connection).open_requests.remove(&id).is_none() {
             return false;
@@ -133,81 +141,85 @@
         true
     }
 
-    /// Responds to a message that opened no request.
+    /// Sends a response to a message, whether or not the message opened a request.
     pub fn send(&self, id: u32, response: &Response) {
         let mut connection = lock(&self.connection);
-        let before = connection.unread.len();
-        // A client that does not read must not fill the memory of all.
-        let is_full = self.unread_by_all.is_exceeded();
+        let length_before = connection.unsent.len();
+        // Clients that do not read their responses must not exhaust the gateway's memory. Once the total is exceeded, a
+        // short error replaces each response.
+        let is_full = self.unsent_total.is_exceeded();
         let response = if is_full { &Response::Errored("unread answers fill the memory") } else { response };
-        message_pack::encode(&mut connection.unread, id, response);
-        self.unread_by_all.add(connection.unread.len() - before);
+        message_pack::encode(&mut connection.unsent, id, response);
+        self.unsent_total.add(connection.unsent.len() - length_before);
         drop(connection);
         self.waker.wakeup();
     }
 
-    /// Hands unread bytes to a function that writes them and returns how many it took.
+    /// Passes the unsent bytes to `write`, which returns the number of bytes that it has written, and removes the written
+    /// bytes from the buffer. Returns 0 without a call if there are no unsent bytes.
     pub fn write<E>(&self, mut write: impl FnMut(&[u8]) -> Result<usize, E>) -> Result<usize, E> {
         let mut connection = lock(&self.connection);
-        if connection.unread.is_empty() {
+        if connection.unsent.is_empty() {
             return Ok(0);
         }
-        let written = write(&connection.unread)?;
-        connection.unread.drain(..written);
-        if connection.unread.is_empty() {
-            // Frees the buffer.
-            connection.unread = Vec::new();
+        let written = write(&connection.unsent)?;
+        connection.unsent.drain(..written);
+        if connection.unsent.is_empty() {
+            // Frees the allocation, so that idle connections hold no memory.
+            connection.unsent = Vec::new();
         }
-        self.unread_by_all.remove(written);
+        self.unsent_total.remove(written);
         Ok(written)
     }
 
-    /// Whether nothing is open and nothing is on its way out.
+    /// Returns whether the connection has neither open requests nor unsent bytes.
     pub fn is_idle(&self) -> bool {
         lock(&self.connection).is_idle()
     }
 
-    /// Whether the connection's descriptor is needed and nobody is owed a response on it.
+    /// Returns whether the connection was asked to close and has been idle since. A connection that is no longer idle
+    /// withdraws the request to close.
     pub fn should_close(&self) -> bool {
         let mut connection = lock(&self.connection);
         connection.should_close &= connection.is_idle();
         connection.should_close
     }
 
-    /// Bytes were read: whether there was a complete message among them, and whether an incomplete one is left.
-    pub fn record_read(&self, any_complete: bool, has_incomplete: bool, now: Timestamp) {
+    /// Records that bytes were read from the socket. `has_complete` tells whether they completed any message, and
+    /// `has_incomplete` whether they ended with a part of a message.
+    pub fn record_read(&self, has_complete: bool, has_incomplete: bool, now: Timestamp) {
         let mut connection = lock(&self.connection);
-        let since = connection.awaiting_message_since.filter(|_| !any_complete).unwrap_or(now);
-        connection.awaiting_message_since = (has_incomplete || !any_complete).then_some(since);
+        let since = connection.awaiting_message_since.filter(|_| !has_complete).unwrap_or(now);
+        connection.awaiting_message_since = (has_incomplete || !has_complete).then_some(since);
     }
 
-    /// Whether the client has sent any message.
+    /// Returns whether the client has sent any message with a valid id.
     pub fn has_sent_message(&self) -> bool {
         lock(&self.connection).has_sent_message
     }
 
-    /// Since when a complete message is awaited, where one is.
+    /// Returns the time since which the gateway awaits a complete message; `None` if no message is awaited.
     pub fn awaiting_message_since(&self) -> Option<Timestamp> {
         lock(&self.connection).awaiting_message_since
     }
 
-    /// Whether all requests have their response, and some of that is not yet read.
+    /// Returns whether all requests have their response, and some response bytes are still unsent.
     pub fn has_only_unsent_responses(&self) -> bool {
         let connection = lock(&self.connection);
-        connection.open_requests.is_empty() && !connection.unread.is_empty()
+        connection.open_requests.is_empty() && !connection.unsent.is_empty()
     }
 
-    /// Whether so much is unread that the client is read no further.
+    /// Returns whether so many bytes are unsent that the gateway stops reading from the connection.
     pub fn is_backlogged(&self) -> bool {
-        lock(&self.connection).unread.len() > MAX_UNREAD_BYTES
+        lock(&self.connection).unsent.len() > MAX_UNSENT_BYTES
     }
 
-    /// Bytes were read or written.
+    /// Records that bytes were read from or written to the socket.
     pub fn record_activity(&self, now: Timestamp) {
         lock(&self.connection).last_activity = now;
     }
 
-    /// When bytes were last read or written.
+    /// Returns the time of the last read or write on the socket.
     pub fn last_activity(&self) -> Timestamp {
         lock(&self.connection).last_activity
     }
@@ -217,25 +229,26 @@
         self.waker.wakeup();
     }
 
-    /// Whether there was no activity after `inactive_since`, or a message is awaited since before `awaiting_since`.
+    /// Returns whether there was no read or write after `inactive_since`, or a complete message has been awaited since
+    /// `awaiting_since` or earlier.
     pub(super) fn is_overdue(&self, inactive_since: Timestamp, awaiting_since: Timestamp) -> bool {
         let connection = lock(&self.connection);
         connection.last_activity <= inactive_since
             || connection.awaiting_message_since.is_some_and(|since| since <= awaiting_since)
     }
 
-    /// When this connection's turn is to be closed for its descriptor; `None` while a response is owed on it or there
-    /// was activity since `recent`.
-    pub(super) fn eviction_order(&self, recent: Timestamp) -> Option<EvictionOrder> {
+    /// Returns the sort key for closing this connection to free its descriptor; `None` if the connection is not idle, or
+    /// was active at or after `active_since`.
+    pub(super) fn eviction_order(&self, active_since: Timestamp) -> Option<EvictionOrder> {
         let connection = lock(&self.connection);
-        let is_evictable = connection.is_idle() && connection.last_activity < recent;
+        let is_evictable = connection.is_idle() && connection.last_activity < active_since;
         is_evictable.then_some(EvictionOrder {
             has_sent_complete_messages: connection.awaiting_message_since.is_none(),
             last_activity: connection.last_activity,
         })
     }
 
-    /// Asks the connection's coroutine to close it, unless something comes before.
+    /// Asks the connection's coroutine to close the connection, unless a request arrives first.
     pub(super) fn request_close(&self) {
         lock(&self.connection).should_close = true;
         self.wake();
@@ -244,6 +257,6 @@
 
 impl Drop for ResponseWriter {
     fn drop(&mut self) {
-        self.unread_by_all.remove(lock(&self.connection).unread.len());
+        self.unsent_total.remove(lock(&self.connection).unsent.len());
     }
 }
--- a/crates/gateway/src/state/result_pages.rs
+++ b/crates/gateway/src/state/result_pages.rs
@@ -1,5 +1,5 @@
-//! Open results of the paged protocol, and the coroutines that wait for a page of them. Which page is whose, and until
-//! when, is decided by `larchfall_paged_rest`; here is who waits and who is woken.
+//! Open results of the paged REST protocol, and the coroutines that wait for their pages. `larchfall_paged_rest` decides
+//! which page a call gets and when a result expires; this module blocks and wakes the waiting coroutines.
 
 use super::lock;
 use super::timers::Timers;
@@ -12,48 +12,48 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-/// All open results.
+/// All open results of the paged REST protocol.
 pub struct ResultPages {
     open: Mutex<OpenResults>,
 }
 
 struct OpenResults {
     results: ResultStore<PageContent>,
-    /// Who waits for a page, by the index of the result.
-    waiting: HashMap<usize, Vec<Arc<Blocker>>>,
+    /// Coroutines that wait for a page, by the index of the result.
+    waiters: HashMap<usize, Vec<Arc<Blocker>>>,
 }
 
 impl OpenResults {
     fn add_waiter(&mut self, id: ResultId, blocker: &Arc<Blocker>) {
-        self.waiting.entry(id.index).or_default().push(blocker.clone());
+        self.waiters.entry(id.index).or_default().push(blocker.clone());
     }
 
     fn remove_waiter(&mut self, id: ResultId, blocker: &Arc<Blocker>) {
-        if let Some(waiting) = self.waiting.get_mut(&id.index) {
-            waiting.retain(|other| !Arc::ptr_eq(other, blocker));
-            if waiting.is_empty() {
-                self.waiting.remove(&id.index);
+        if let Some(waiters) = self.waiters.get_mut(&id.index) {
+            waiters.retain(|other| !Arc::ptr_eq(other, blocker));
+            if waiters.is_empty() {
+                self.waiters.remove(&id.index);
             }
         }
     }
 }
 
-/// What a request for a page brought within its time.
+/// Outcome of waiting for a page.
 #[derive(Debug, PartialEq)]
 pub enum AwaitedPage {
-    /// The page and, the first time that the last page is handed out, the final answer.
+    /// The page. The final answer is present when the last page is returned for the first time.
     Page(Page<PageContent>, Option<FinalAnswer>),
-    /// A page before the one that was asked for last.
+    /// The page precedes the page that was requested last and is no longer kept.
     Gone,
-    /// A page that was never announced.
+    /// The client was never given the address of this page.
     Unknown,
 }
 
 impl ResultPages {
-    /// No open results, under these bounds.
+    /// Creates a store without open results. `limits` bounds the number and the size of the results.
     pub fn new(limits: ResultLimits) -> ResultPages {
         ResultPages {
-            open: Mutex::new(OpenResults { results: ResultStore::new(limits), waiting: HashMap::new() }),
+            open: Mutex::new(OpenResults { results: ResultStore::new(limits), waiters: HashMap::new() }),
         }
     }
 
@@ -61,34 +61,34 @@
         update(&mut lock(&self.open).results)
     }
 
-    /// Updates a result and wakes whoever waits for a page of it.
+    /// Updates a result and wakes all coroutines that wait for a page of this result.
     fn update_and_wake<R>(&self, id: ResultId, update: impl FnOnce(&mut ResultStore<PageContent>) -> R) -> R {
         let mut open = lock(&self.open);
         let updated = update(&mut open.results);
-        let waiting = open.waiting.remove(&id.index).unwrap_or_default();
+        let waiters = open.waiters.remove(&id.index).unwrap_or_default();
         drop(open);
-        for blocker in waiting {
+        for blocker in waiters {
             blocker.unpark();
         }
         updated
     }
 
-    /// Opens a result; `None` when there are too many.
+    /// Opens a result; `None` if the maximum number of results is open.
     pub fn open(&self, now: Timestamp) -> Option<ResultId> {
         self.update(|results| results.open(now))
     }
 
-    /// The request that makes this result.
+    /// Sets the index of the request that produces this result.
     pub fn set_request(&self, id: ResultId, request: usize) {
         self.update(|results| results.set_request(id, request));
     }
 
-    /// Whether another page may be added now.
+    /// Returns whether the result has capacity for another page.
     pub fn has_capacity(&self, id: ResultId) -> bool {
         self.update(|results| results.has_capacity(id)).unwrap_or(false)
     }
 
-    /// Adds a page, which is the last one when it has an end; false when nobody waits for this result any more.
+    /// Adds a page, which is the last page if `end` is given. Returns false if the client no longer awaits the result.
     pub fn push(&self, id: ResultId, content: PageContent, end: Option<ResultEnd>) -> bool {
         let size = content.rows.len();
         self.update_and_wake(id, |results| {
@@ -100,12 +100,14 @@
         })
     }
 
-    /// Starts a result over; false when rows of it were handed out already.
+    /// Discards the rows of a result, which will be added again from the first row. Returns false if the client has
+    /// already received rows of the result.
     pub fn restart(&self, id: ResultId) -> bool {
         self.update(|results| results.restart(id))
     }
 
-    /// The page at this address, waited for until `timeout`; after that a page without rows.
+    /// Waits up to `timeout` for the page at this address. If the page is not ready by then, `empty_page` creates a page
+    /// without rows in its place.
     pub fn wait_for_page(
         &self,
         address: PageAddress,
@@ -135,12 +137,12 @@
         }
     }
 
-    /// The client abandons a result.
+    /// Abandons a result at its client's request.
     pub fn abandon(&self, id: ResultId) -> Option<AbandonedResult> {
         self.update_and_wake(id, |results| results.abandon(id))
     }
 
-    /// Abandons all results of which no page was asked for in time.
+    /// Abandons all results whose client did not request a page in time.
     pub fn expire(&self, now: Timestamp) -> Vec<AbandonedResult> {
         let expired = self.update(|results| results.expire(now));
         for result in &expired {
@@ -149,7 +151,7 @@
         expired
     }
 
-    /// How many results there are whose client has not had the final answer.
+    /// Number of results whose final answer has not been delivered to the client.
     pub fn undelivered(&self) -> usize {
         self.update(|results| results.undelivered())
     }
--- a/crates/gateway/src/state/settings.rs
+++ b/crates/gateway/src/state/settings.rs
@@ -1,49 +1,50 @@
-//! What the transport needs of the platform's settings, worked out once at the start.
+//! Settings of the transport, derived once at startup from the platform's settings.
 
 use larchfall_config::{Names, Settings};
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::Idempotency;
 
-/// What was routed longer ago is not sent to an engine that drains by now: its grace period runs. Nor is anything in
-/// the later part of that grace period.
+/// Upper bound of `drain_send_window`. An attempt that was routed longer ago is not sent to a draining engine, because
+/// part of the engine's grace period has already passed.
 const MAX_DRAIN_SEND_WINDOW: Duration = Duration::from_millis(600);
+/// Fraction of an engine's drain grace period in which attempts may still be sent, so that none start in its later part.
 const DRAIN_SEND_FRACTION: f64 = 0.5;
-/// Responses that wait unread for this long, and for longer than any of them is still owed, have no reader; a client
-/// that only stands still for a while is owed them.
-const UNREAD_RESPONSE_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// A response still counts as given for this long after its request's deadline.
+/// Lower bound of `unsent_response_timeout`, so that a client that pauses reading for a while still gets its responses.
+const MIN_UNSENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(10_000);
+/// Time after a request's deadline during which a response still counts as delivered.
 const LATE_RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
-/// Settings of the transport. They change with the next start only.
+/// Settings of the transport. Changes take effect only when the gateway restarts.
 pub struct TransportSettings {
-    /// Names of classes, tenants and zones, by index.
+    /// Names of request classes, tenants and zones, by index.
     pub names: Names,
-    /// Request classes, by index.
+    /// Settings of the request classes, by index.
     pub classes: Vec<ClassSettings>,
-    /// No request may have two attempts in flight.
+    /// Whether a request may have at most one attempt in flight.
     pub single_attempt: bool,
-    /// When to try again, for what the gateway itself rejects.
+    /// Retry-after time of requests that the gateway rejects by its own limits; `None` if clients get no such time.
     pub max_retry_after: Option<Duration>,
-    /// A connection to an engine that is not up by then counts as failed.
+    /// Time after which an attempt to connect to an engine counts as failed.
     pub connect_timeout: Duration,
-    /// An engine that drains by now is sent what was routed to it no longer ago than this.
+    /// Maximum time between the routing decision and the start of an attempt at an engine that has begun to drain.
     pub drain_send_window: Duration,
-    /// Responses that wait unread for this long have no reader.
+    /// Time without reads or writes after which a client with nothing but unsent responses counts as gone. It is longer
+    /// than any of these responses can still be due.
     pub unsent_response_timeout: Duration,
 }
 
-/// What the transport needs to know of a request class.
+/// Settings of a request class that the transport uses.
 pub struct ClassSettings {
-    /// The longest time that clients wait for an answer.
+    /// Maximum time that clients wait for an answer.
     pub max_deadline: Duration,
-    /// Requests of one key go one after the other.
+    /// Whether requests with the same ordering key run one after the other.
     pub in_order: bool,
-    /// Requests carry an idempotency key.
+    /// Whether each request must carry an idempotency key.
     pub requires_idempotency_key: bool,
 }
 
 impl TransportSettings {
-    /// Takes what the transport needs of all settings.
+    /// Derives the transport's settings from the platform's settings.
     pub fn new(settings: &Settings) -> TransportSettings {
         let classes: Vec<ClassSettings> = settings
             .policy
@@ -56,7 +57,7 @@
                 requires_idempotency_key: matches!(class.idempotency, Idempotency::IdempotentWithKey { .. }),
             })
             .collect();
-        let longest = settings.max_deadlines.iter().max().copied().unwrap_or_default();
+        let longest_deadline = settings.max_deadlines.iter().max().copied().unwrap_or_default();
         TransportSettings {
             names: settings.names.clone(),
             classes,
@@ -64,11 +65,11 @@
             max_retry_after: settings.policy.capabilities.max_retry_after,
             connect_timeout: settings.connect_timeout,
             drain_send_window: MAX_DRAIN_SEND_WINDOW.min(settings.drain_grace * DRAIN_SEND_FRACTION),
-            unsent_response_timeout: UNREAD_RESPONSE_TIMEOUT.max(longest + LATE_RESPONSE_GRACE),
+            unsent_response_timeout: MIN_UNSENT_RESPONSE_TIMEOUT.max(longest_deadline + LATE_RESPONSE_GRACE),
         }
     }
 
-    /// The longest time that a client of any class waits.
+    /// Returns the maximum time that clients of any request class wait for an answer.
     pub fn longest_deadline(&self) -> Duration {
         self.classes.iter().map(|class| class.max_deadline).max().unwrap_or_default()
     }
--- a/crates/gateway/src/state/shutdown.rs
+++ b/crates/gateway/src/state/shutdown.rs
@@ -1,11 +1,11 @@
-//! Whether this gateway is to end, and by when.
+//! Progress of the gateway's shutdown.
 
 use super::lock;
 use larchfall_policy::time::Timestamp;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The shutdown, from the signal that asks for it to the last answer.
+/// State of the shutdown, from the signal that requests it to the last answer.
 #[derive(Default)]
 pub struct Shutdown {
     deadline: Mutex<Option<Timestamp>>,
@@ -13,23 +13,23 @@
 }
 
 impl Shutdown {
-    /// When this gateway ends, once it was told to.
+    /// Returns the time by which the gateway stops serving; `None` before a shutdown is requested.
     pub fn deadline(&self) -> Option<Timestamp> {
         *lock(&self.deadline)
     }
 
-    /// From now on nothing is promised beyond this time.
+    /// Sets the time by which the gateway stops serving.
     pub(super) fn set_deadline(&self, deadline: Timestamp) {
         *lock(&self.deadline) = Some(deadline);
     }
 
-    /// Whether all is answered: connections may end.
+    /// Returns whether all requests are answered, so that client connections may close.
     pub fn is_complete(&self) -> bool {
         self.is_complete.load(Ordering::Relaxed)
     }
 
-    /// All is answered.
-    pub fn complete(&self) {
+    /// Records that all requests are answered.
+    pub fn mark_complete(&self) {
         self.is_complete.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/gateway/src/state/stall_detector.rs
+++ b/crates/gateway/src/state/stall_detector.rs
@@ -1,41 +1,44 @@
-//! Detects times in which this process did not run: a paused machine or a starved core. What is read right after such
-//! a stall may have waited unread for as long as the stall lasted.
+//! Detects stalls, that is, periods in which this process did not run because the machine was paused or the CPU core was
+//! busy. Data that is read right after a stall may have arrived at any time during the stall.
 
 use super::lock;
 use larchfall_policy::time::{Duration, Timestamp};
 use std::sync::Mutex;
 
-/// How often the timer thread comes by.
+/// Maximum time between two runs of the timer thread.
 pub const TIMER_PERIOD: Duration = Duration::from_millis(20);
-/// A silence longer than this is a stall rather than a late timer.
+/// A longer gap between two runs counts as a stall rather than as a late timer.
 const STALL_THRESHOLD: Duration = Duration::from_millis(35);
-/// Stalls that follow each other count as one for up to this long.
+/// Maximum length of a stall that is merged from several stalls in close succession.
 const MAX_MERGED_STALL: Duration = Duration::from_millis(2000);
-/// A stall longer than this is reported, for a line in the log.
+/// Longer stalls are reported in the log.
 const REPORTED_STALL: Duration = Duration::from_millis(250);
-/// After a stall this long, discovery events that came meanwhile may be past their grace period when they are read.
+/// Minimum length of a stall after which attempts wait for the discovery service. Watch events that arrived during such
+/// a stall may be past their grace period when they are read.
 const DISCOVERY_STALL: Duration = Duration::from_millis(1000);
-/// Time in which such events are read once the discovery service was heard after the stall.
+/// Time to read the pending watch events after the first message from the discovery service that follows a stall.
 const DISCOVERY_CATCH_UP: Duration = Duration::from_millis(60);
-/// Time in which the discovery service is heard after the stall, on a new connection if need be; else it is not there.
+/// Maximum time to wait for a message from the discovery service after a stall, which includes the time for a new
+/// connection. After this time the service counts as unavailable.
 const DISCOVERY_RECONNECT: Duration = Duration::from_millis(1000);
-/// The worker polls sockets for events only when no coroutine is ready to run. After this long without a poll, those
-/// that are always ready have to pause.
+/// Time without an event poll after which coroutines that are always ready have to pause. The worker polls the sockets
+/// for events only when no coroutine is ready to run.
 const EVENT_POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// What came during a stall is read within this long after it.
-const STALL_AFTERMATH: Duration = Duration::from_millis(200);
+/// Time after a stall within which all data that arrived during the stall is read.
+const STALL_RECOVERY: Duration = Duration::from_millis(200);
 
-/// When this process last ran, last polled its sockets, and last stalled.
+/// Tracks when this process last ran, last polled its sockets, and last stalled.
 pub struct StallDetector {
-    marks: Mutex<Marks>,
+    history: Mutex<RunHistory>,
 }
 
-struct Marks {
+struct RunHistory {
     last_running: Timestamp,
     last_event_poll: Timestamp,
     has_unreported_stall: bool,
-    /// The end of the last stall of at least `DISCOVERY_STALL`.
+    /// End of the last stall of at least `DISCOVERY_STALL`.
     last_discovery_stall_end: Timestamp,
+    /// The last stall, merged with earlier stalls that it closely followed.
     last_stall: Stall,
 }
 
@@ -45,31 +48,32 @@
     until: Timestamp,
 }
 
-impl Marks {
-    /// The process runs at `now`: what lies between this and the last mark may have been a stall.
+impl RunHistory {
+    /// Records that the process runs at `now`, and detects whether it stalled since the previous call.
     fn record_running(&mut self, now: Timestamp) {
-        let silence = now.since(self.last_running);
-        if silence > STALL_THRESHOLD {
-            // A starved core stalls again and again: what came in the first stall may still be unread.
+        let gap = now.since(self.last_running);
+        if gap > STALL_THRESHOLD {
+            // On an overloaded core, stalls follow each other closely. Data that arrived during the first stall may still
+            // be unread after the next, so such stalls are merged.
             let last = self.last_stall;
-            let is_continued = self.last_running.since(last.until) < STALL_AFTERMATH
+            let is_continued = self.last_running.since(last.until) < STALL_RECOVERY
                 && now.since(last.from) < MAX_MERGED_STALL;
             let from = if is_continued { last.from } else { self.last_running };
             self.last_stall = Stall { from, until: now };
         }
-        if silence >= DISCOVERY_STALL {
+        if gap >= DISCOVERY_STALL {
             self.last_discovery_stall_end = now;
         }
         self.last_running = now;
-        self.has_unreported_stall |= silence > REPORTED_STALL;
+        self.has_unreported_stall |= gap > REPORTED_STALL;
     }
 }
 
 impl StallDetector {
-    /// Starts with no stall seen.
+    /// Creates a detector that has recorded no stall.
     pub fn start(now: Timestamp) -> StallDetector {
         StallDetector {
-            marks: Mutex::new(Marks {
+            history: Mutex::new(RunHistory {
                 last_running: now,
                 last_event_poll: now,
                 has_unreported_stall: false,
@@ -79,45 +83,46 @@
         }
     }
 
-    /// The timer thread came by; true when there was a long stall since the last time.
+    /// Records a run of the timer thread. Returns whether the process stalled for longer than `REPORTED_STALL` since the
+    /// previous call.
     pub fn record_timer_run(&self, now: Timestamp) -> bool {
-        let mut marks = lock(&self.marks);
-        marks.record_running(now);
-        std::mem::take(&mut marks.has_unreported_stall)
+        let mut history = lock(&self.history);
+        history.record_running(now);
+        std::mem::take(&mut history.has_unreported_stall)
     }
 
-    /// The worker polled its sockets for events.
+    /// Records that the worker polled the sockets for events.
     pub fn record_event_poll(&self, now: Timestamp) {
-        lock(&self.marks).last_event_poll = now;
+        lock(&self.history).last_event_poll = now;
     }
 
-    /// Whether the worker has polled its sockets after this time.
+    /// Returns whether the worker has polled the sockets for events after `time`.
     pub fn has_polled_since(&self, time: Timestamp) -> bool {
-        lock(&self.marks).last_event_poll > time
+        lock(&self.history).last_event_poll > time
     }
 
-    /// Whether coroutines that could go on at once are to pause, so that the worker polls its sockets.
+    /// Returns whether coroutines that are ready to run should pause, so that the worker polls the sockets for events.
     pub fn is_event_poll_overdue(&self, now: Timestamp) -> bool {
-        now.since(lock(&self.marks).last_event_poll) > EVENT_POLL_INTERVAL
+        now.since(lock(&self.history).last_event_poll) > EVENT_POLL_INTERVAL
     }
 
-    /// How long nothing may be sent to engines yet: after a long stall the discovery service is to be read first, which
-    /// was last heard at `discovery_heard`.
-    pub fn discovery_catch_up(&self, now: Timestamp, discovery_heard: Timestamp) -> Duration {
-        let mut marks = lock(&self.marks);
-        marks.record_running(now);
-        let stall_end = marks.last_discovery_stall_end;
-        let time_to_read = if discovery_heard > stall_end { DISCOVERY_CATCH_UP } else { DISCOVERY_RECONNECT };
+    /// Returns how long attempts must still wait after a long stall, so that pending watch events are read first. Zero
+    /// means that attempts may start. `last_contact` is the time of the last message from the discovery service.
+    pub fn discovery_catch_up(&self, now: Timestamp, last_contact: Timestamp) -> Duration {
+        let mut history = lock(&self.history);
+        history.record_running(now);
+        let stall_end = history.last_discovery_stall_end;
+        let time_to_read = if last_contact > stall_end { DISCOVERY_CATCH_UP } else { DISCOVERY_RECONNECT };
         (stall_end + time_to_read).since(now)
     }
 
-    /// The earliest time at which something read at `now` may have been sent to a reader that has slept since
-    /// `slept_since`.
-    pub fn earliest_send_time(&self, slept_since: Timestamp, now: Timestamp) -> Timestamp {
-        let mut marks = lock(&self.marks);
-        marks.record_running(now);
-        let stall = marks.last_stall;
-        let was_sent_in_stall = slept_since <= stall.until && now.since(stall.until) < STALL_AFTERMATH;
-        if was_sent_in_stall { stall.from.max(slept_since).min(now) } else { now }
+    /// Returns the earliest time at which data that is read at `now` may have been sent. The reader has been blocked in
+    /// its read since `blocked_since`, so earlier data would have been read before.
+    pub fn earliest_send_time(&self, blocked_since: Timestamp, now: Timestamp) -> Timestamp {
+        let mut history = lock(&self.history);
+        history.record_running(now);
+        let stall = history.last_stall;
+        let may_be_sent_in_stall = blocked_since <= stall.until && now.since(stall.until) < STALL_RECOVERY;
+        if may_be_sent_in_stall { stall.from.max(blocked_since).min(now) } else { now }
     }
 }
--- a/crates/gateway/src/state/timers.rs
+++ b/crates/gateway/src/state/timers.rs
@@ -1,9 +1,10 @@
-//! Waits with a deadline: whoever waits parks here, and the timer thread wakes those that are due.
+//! Waits with a deadline. Coroutines park here, and the timer thread wakes each coroutine whose deadline has passed.
 //!
-//! The coroutine crate's own timeouts are used on sockets only, where the worker itself looks after them. Its `park`
-//! sets the time before it has put the coroutine where that time looks for it: if the worker's thread loses its core in
-//! between for longer than the wait, the coroutine is never woken. And a coroutine that the crate's timer wakes runs on
-//! that timer's thread, beside the worker, where a wait on a socket corrupts lists that only the worker may touch.
+//! The timeouts of the coroutine library are used for sockets only, where the worker itself handles them. They are unsafe
+//! for `park`, for two reasons. First, `park` starts the timeout before it registers the coroutine with the timer: if the
+//! worker's thread loses its core between the two steps for longer than the timeout, the coroutine is never woken.
+//! Second, a coroutine that the library's timer wakes runs on the timer's thread, concurrently with the worker, and a
+//! wait on a socket there corrupts lists that only the worker may access.
 
 use super::clock::Clock;
 use super::deadline_queue::DeadlineQueue;
@@ -23,22 +24,23 @@
 struct Waiters {
     deadlines: DeadlineQueue,
     blockers: Slab<Arc<Blocker>>,
-    /// The timer thread, once it has come by.
+    /// Wakes the timer thread; `None` until the timer thread has run for the first time.
     timer_thread: Option<Arc<Blocker>>,
 }
 
 impl Timers {
-    /// No waiters, on this clock.
+    /// Creates timers without waiters, whose deadlines refer to `clock`.
     pub fn new(clock: Clock) -> Timers {
         Timers { waiters: Mutex::default(), clock }
     }
 
-    /// The clock that deadlines are read on.
+    /// Returns the clock to which deadlines refer.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Parks until the blocker is woken or the deadline has passed, and goes on at the worker.
+    /// Parks the calling coroutine until `blocker` is woken or the deadline has passed. The coroutine resumes on the
+    /// worker's thread in either case.
     pub fn park_until(&self, blocker: &Arc<Blocker>, deadline: Timestamp) {
         let waiter = self.register(blocker, deadline);
         let _ = blocker.park(None);
@@ -47,7 +49,7 @@
         waiters.blockers.remove(waiter);
     }
 
-    /// Adds a waiter, and wakes the timer thread if this one comes before all others.
+    /// Adds a waiter, and wakes the timer thread if the waiter's deadline is now the earliest.
     fn register(&self, blocker: &Arc<Blocker>, deadline: Timestamp) -> usize {
         let mut waiters = lock(&self.waiters);
         let waiter = waiters.blockers.insert(blocker.clone());
@@ -59,13 +61,13 @@
         waiter
     }
 
-    /// Blocks for this long.
+    /// Blocks the calling coroutine for this long.
     pub fn sleep(&self, duration: Duration) {
         self.park_until(&Blocker::current(), self.clock.now() + duration);
     }
 
-    /// Called by the timer thread: wakes all whose deadline has passed and returns the next deadline. From now on
-    /// `timer_thread` is woken when an earlier one is added.
+    /// Wakes all waiters whose deadline has passed and returns the next deadline. Called by the timer thread, whose
+    /// blocker `timer_thread` is woken from then on when an earlier deadline is added.
     pub fn wake_due(&self, timer_thread: &Arc<Blocker>) -> Option<Timestamp> {
         let mut waiters = lock(&self.waiters);
         waiters.timer_thread = Some(timer_thread.clone());
@@ -77,7 +79,7 @@
         waiters.deadlines.earliest()
     }
 
-    /// How many wait.
+    /// Number of waiting coroutines.
     pub fn waiting(&self) -> usize {
         lock(&self.waiters).blockers.len()
     }
