--- a/crates/gateway/src/state/connection_pool.rs
+++ b/crates/gateway/src/state/connection_pool.rs
@@ -131,7 +131,7 @@
             // A connection that was in use while its engine process was replaced returns to the pool after the pool has
             // closed the idle connections to the old process.
             let is_current = connection.instance() == instance;
-            if now.since(idle_since) < self.idle_lifetime && is_current && connection.is_clean() {
+            if now.since(idle_since) < self.idle_lifetime && is_current && connection.is_reusable() {
                 return Some(ReusedConnection { connection, usable_from: idle_since + REUSE_DELAY });
             }
         }
--- a/crates/gateway/src/state/engine_table.rs
+++ b/crates/gateway/src/state/engine_table.rs
@@ -184,7 +184,7 @@
         for entry in &event.entries {
             self.apply_entry(entry, &mut changes);
         }
-        if event.full_list {
+        if event.is_full_list {
             self.mark_unlisted_gone(&mut changes);
         }
         changes
@@ -238,6 +238,6 @@
         kind: entry.kind,
         cell: entry.cell,
         state: entry.state,
-        started: (entry.started_ms > 0).then(|| Timestamp::from_micros(entry.started_ms * 1000)),
+        start_time: (entry.started_ms > 0).then(|| Timestamp::from_micros(entry.started_ms * 1000)),
     }
 }
--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -26,7 +26,7 @@
 pub use capacity::QuotaEngine;
 pub use engines::{EndpointSummary, EngineStatus};
 pub use in_flight::{AdmissionError, DisconnectAction};
-pub use larchfall_policy::policy::TICK;
+pub use larchfall_policy::policy::TICK_INTERVAL;
 
 /// Thread-safe handle to the policy and to the state that must stay consistent with the policy.
 pub struct PolicyHandle {
@@ -76,7 +76,7 @@
                 state.engines.remove(engine);
             }
         }
-        state.policy.health_checks()
+        state.policy.draw_health_checks()
     }
 
     /// Takes the events that the policy has emitted for the log since the last call.
--- a/crates/gateway/src/state/policy_handle/capacity.rs
+++ b/crates/gateway/src/state/policy_handle/capacity.rs
@@ -2,7 +2,7 @@
 //! gateways.
 
 use super::{PolicyHandle, PolicyState};
-use larchfall_policy::types::{Engine, SlowStartPolicy};
+use larchfall_policy::types::{Engine, SlowStartConfig};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::Arrivals;
 use std::collections::{BTreeMap, BTreeSet};
@@ -107,14 +107,14 @@
     }
 
     /// Returns the ready engines that this gateway uses, and whether each is in slow start according to `slow_start`.
-    pub fn quota_engines(&self, slow_start: &SlowStartPolicy) -> Vec<QuotaEngine> {
+    pub fn quota_engines(&self, slow_start: &SlowStartConfig) -> Vec<QuotaEngine> {
         let state = self.lock();
         let now = self.clock.now();
         let used = state.engines.ready().into_iter().filter(|ready| state.capacity.uses_engine(ready.id));
         used.map(|ready| QuotaEngine {
             id: ready.id,
             engine: ready.engine,
-            in_slow_start: slow_start.capacity_factor(ready.engine.started, now) < 1.0,
+            in_slow_start: slow_start.warm_up_factor(ready.engine.start_time, now) < 1.0,
         })
         .collect()
     }
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -6,7 +6,7 @@
 use larchfall_health_gossip::EngineProcess;
 use larchfall_health_gossip::counts::ProcessCounts;
 use larchfall_health_gossip::observations::{Observation, Observations, Report};
-use larchfall_policy::event::Evidence;
+use larchfall_policy::event::HealthEvidence;
 use larchfall_policy::types::Outcome;
 
 impl PolicyHandle {
@@ -49,7 +49,12 @@
     pub fn record_peer_outcome(&self, process: EngineProcess, is_failure: bool) {
         let mut state = self.lock();
         if let Some(engine) = state.engines.index_of_process(process) {
-            state.policy.record_engine_outcome(self.clock.now(), engine, is_failure, Evidence::Gossip);
+            state.policy.record_engine_outcome(
+                self.clock.now(),
+                engine,
+                is_failure,
+                HealthEvidence::Gossip,
+            );
         }
     }
 
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -33,7 +33,7 @@
     pub fn wait_for_change(&self, request: usize) {
         let blocker = Blocker::current();
         let mut state = self.lock();
-        let deadline = state.policy.next_check(self.clock.now(), request);
+        let deadline = state.policy.next_route_time(self.clock.now(), request);
         let in_flight = state.in_flight.get_mut(request);
         let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnect_action.is_none()) else {
             return;
@@ -57,7 +57,7 @@
     ) -> bool {
         let state = self.lock();
         state.engines.accepts_attempt(instance, is_recently_routed)
-            && state.policy.may_begin(self.clock.now(), request, attempt)
+            && state.policy.may_start_attempt(self.clock.now(), request, attempt)
     }
 
     /// Passes a progress update of an attempt to the policy.
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -4,7 +4,7 @@
 use crate::attempt_ledger::proves_end;
 use crate::class_state::ClassTable;
 use crate::engine_record::EngineRecord;
-use crate::event::Evidence;
+use crate::event::HealthEvidence;
 use crate::load_report::MeanLoad;
 use crate::request_record::{AttemptInFlight, RequestRecord};
 use crate::time::{Duration, Timestamp};
@@ -37,17 +37,17 @@
         }
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return AfterAttempt::Finished };
         if !never_ran(result) {
-            record.record_possible_run(engine.listed, attempt.sent_time);
+            record.record_possible_run(engine.entry, attempt.sent_time);
         }
         release(engine, record, &self.classes, now);
-        let bad = engine.judge(result.outcome, attempt.sent_time);
+        let bad = engine.classify_outcome(result.outcome, attempt.sent_time);
         learn(engine, record, &attempt, result, &mut self.classes, &mut self.mean_slowdown, now);
         engine.record_contact(result.outcome, now);
         let finished = record.finished;
         if let Some(bad) = bad {
-            self.record_engine_outcome(now, attempt.engine, bad, Evidence::Outcomes);
+            self.record_engine_outcome(now, attempt.engine, bad, HealthEvidence::Outcomes);
         }
-        self.on_load_report(now, attempt.engine, result.report);
+        self.on_load_report(now, attempt.engine, result.load_report);
         self.remove_if_over(request);
         if finished { AfterAttempt::Finished } else { AfterAttempt::RouteAgain }
     }
@@ -56,7 +56,7 @@
     pub fn abandon(&mut self, now: Timestamp, request: usize) {
         self.finish(request);
         let evidence = AttemptEvidence { last: LastObservation::Lost, same_process: false };
-        let lost = AttemptResult::bare(Outcome::Cancelled, evidence);
+        let lost = AttemptResult::from_outcome(Outcome::Cancelled, evidence);
         while let Some(number) = self.first_in_flight(request) {
             self.on_attempt_finished(now, request, number, &lost);
         }
@@ -84,9 +84,9 @@
     let class = record.request.class;
     engine.limit.finish_attempt(class, classes.threads(class));
     if classes.settings(class).locks_data_set {
-        engine.locks.release(record.request.data_set);
+        engine.data_set_locks.release(record.request.data_set);
     }
-    engine.locks.remove_expired(now);
+    engine.data_set_locks.remove_expired(now);
 }
 
 fn learn(
@@ -100,23 +100,23 @@
 ) {
     let class = record.request.class;
     let returned = result.outcome == Outcome::Returned;
-    if attempt.memory_mb.is_some() && (attempt.spilled || returned) {
-        classes.memory_mut(class).record(attempt.spilled);
+    if attempt.memory_grant_mb.is_some() && (attempt.spilled || returned) {
+        classes.memory_grant_mut(class).record(attempt.spilled);
     }
     match result.outcome {
         Outcome::Returned => {
-            let work = result.work.map(Duration::secs).or(record.work);
-            let late = result.took > classes.settings(class).objective_for(work);
+            let work = result.reported_work.map(Duration::secs).or(record.work);
+            let late = result.duration > classes.settings(class).latency_objective_for(work);
             let excused = attempt.waited_for_lock || attempt.connection_lost;
             engine.limit.signal.record_answer(late && !excused);
             let observed = ObservedWork {
-                hint: record.request.work,
+                hint: record.request.work_hint,
                 estimate: record.work,
-                reported: result.work,
-                thread_seconds: result.took.secs() * classes.threads(class),
+                reported: result.reported_work,
+                thread_seconds: result.duration.secs() * classes.threads(class),
             };
             record_slowdown(engine, attempt, result, &observed, mean_slowdown, now);
-            classes.work_mut(class).record_answer(&observed);
+            classes.work_estimate_mut(class).record_answer(&observed);
         }
         Outcome::Rejected => engine.limit.signal.record_rejection(),
         Outcome::TimedOut if !attempt.waited_for_lock => engine.limit.signal.record_rejection(),
@@ -139,9 +139,9 @@
     now: Timestamp,
 ) {
     let Some(work) = observed.reported else { return };
-    if attempt.waited_for_lock || result.report.in_flight.is_some() {
+    if attempt.waited_for_lock || result.load_report.in_flight.is_some() {
         return;
     }
     let slowdown = observed.thread_seconds / work.secs().max(0.001);
-    engine.load.record(slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN), mean_slowdown, now);
+    engine.relative_load.record(slowdown.clamp(MIN_SLOWDOWN, MAX_SLOWDOWN), mean_slowdown, now);
 }
