--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,5 +1,5 @@
-//! The one way in for a request, whichever protocol its client speaks: it is checked against the settings, admitted by
-//! the policy and routed for the first time.
+//! Admission of requests of all client protocols. A request is validated against the settings, admitted by the policy
+//! and routed for the first time.
 
 use crate::codec::client_request::ClientRequest;
 use crate::codec::statement::data_set;
@@ -12,53 +12,55 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Time for the way of a request to here and of its answer back, in a busy moment: answers leave this much before the
-/// client stops waiting.
+/// Time from the client to the gateway and back under load. A request's deadline is this much earlier than the end of
+/// the client's timeout, so that the answer arrives in time.
 const ROUND_TRIP_TIME: Duration = Duration::from_millis(60);
-/// Clients send requests of one key apart from each other, up to this much after one that came on a new connection, and
-/// the time of a request that they hold back runs meanwhile.
+/// Maximum time for which a client holds back a request to keep a distance to the previous request with the same ordering
+/// key. The client's timeout already runs during this time, which the gateway can't observe, so the deadline of every
+/// request with an ordering key is earlier by this much. The longest distance follows a request on a new connection.
 const KEY_SPACING: Duration = Duration::from_millis(250);
 
 /// Why a request was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The request itself is wrong.
+    /// The request does not match the settings, or its id is in use.
     #[error(transparent)]
     Invalid(#[from] InvalidRequest),
-    /// As many requests are in flight as there is memory for.
+    /// The limit of requests in flight, which follows from the machine's memory, is reached.
     #[error("too many requests in flight")]
     TooManyInFlight,
 }
 
-/// What is wrong with a request, in the terms of MessagePack-RPC.
+/// Why a request is invalid. The messages go to clients and use the field names of MessagePack-RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidRequest {
-    /// The settings name no such request class.
+    /// The settings have no request class with this name.
     #[error("unknown service group")]
     UnknownClass,
-    /// The settings name tenants, and none by this name.
+    /// The settings list tenants, but none with this name.
     #[error("unknown customer")]
     UnknownTenant,
-    /// Requests of its class carry an idempotency key.
+    /// The request class requires an idempotency key.
     #[error("opkey is missing")]
     MissingIdempotencyKey,
-    /// Requests of its class go in the order of a key.
+    /// The request class runs requests in the order of an ordering key, and the request has none.
     #[error("subject is missing")]
-    MissingOrderKey,
+    MissingOrderingKey,
     /// Another request with the same id is in flight.
     #[error("this id is in hand already")]
     DuplicateId,
 }
 
-/// The policy's request for a client's request, which was sent at `sent`. What the settings do not name is refused here:
-/// an engine could not use it either, and would be blamed for the error.
+/// Validates a client's request, which was sent at `sent_at`, and converts it to a request of the policy. Names that the
+/// settings do not know are refused here, because an engine would fail the query and the policy would count the failure
+/// against the engine.
 fn policy_request(
     state: &State,
     client_request: &ClientRequest,
-    sent: Timestamp,
+    sent_at: Timestamp,
 ) -> Result<Request, InvalidRequest> {
     let settings = &state.settings;
-    let index_of = |names: &[String], name: &str| names.iter().position(|known| known == name);
+    let index_of = |names: &[String], name: &str| names.iter().position(|candidate| candidate == name);
     let class = index_of(&settings.names.classes, client_request.class);
     let class = class.ok_or(InvalidRequest::UnknownClass)?;
     let class_settings = &settings.classes[class];
@@ -70,12 +72,12 @@
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
     if class_settings.in_order && client_request.ordering_key.is_none() {
-        return Err(InvalidRequest::MissingOrderKey);
+        return Err(InvalidRequest::MissingOrderingKey);
     }
     let key_spacing = if client_request.ordering_key.is_some() { KEY_SPACING } else { Duration::ZERO };
-    let longest_wait = class_settings.max_deadline;
-    let client_wait = client_request.timeout.unwrap_or(longest_wait).min(longest_wait);
-    let deadline = (sent + client_wait - ROUND_TRIP_TIME - key_spacing).max(sent);
+    let max_timeout = class_settings.max_deadline;
+    let client_timeout = client_request.timeout.unwrap_or(max_timeout).min(max_timeout);
+    let deadline = (sent_at + client_timeout - ROUND_TRIP_TIME - key_spacing).max(sent_at);
     Ok(Request {
         class,
         tenant,
@@ -87,19 +89,21 @@
     })
 }
 
-/// Admits a request and makes its reader once it has an index. It is routed here, in the order in which requests were
-/// read, so that those of one key keep their order.
+/// Admits and starts a request that was sent at `sent_at`. `make_reader` creates the reader of the result from the
+/// request's index. The first routing decision is made before this function returns, so that requests with the same
+/// ordering key are routed in the order in which they were read from the connection.
 pub fn admit(
     state: &Arc<State>,
     client_request: &ClientRequest,
-    sent: Timestamp,
+    sent_at: Timestamp,
     make_reader: impl FnOnce(usize) -> Arc<dyn ResultReader>,
 ) -> Result<(), RequestError> {
-    let request = policy_request(state, client_request, sent).map_err(|invalid| refuse(state, invalid))?;
+    let request =
+        policy_request(state, client_request, sent_at).map_err(|invalid| count_invalid(state, invalid))?;
     let Request { class, deadline, .. } = request;
     state.counters.update_class(class, |counters| counters.admitted += 1);
     let index = state.policy.admit(client_request.id_number, request).map_err(|error| match error {
-        AdmissionError::DuplicateId => refuse(state, InvalidRequest::DuplicateId),
+        AdmissionError::DuplicateId => count_invalid(state, InvalidRequest::DuplicateId),
         AdmissionError::TooManyInFlight => {
             state.counters.update_class(class, |counters| counters.rejected += 1);
             RequestError::TooManyInFlight
@@ -118,13 +122,14 @@
     Ok(())
 }
 
-/// Counts an invalid request.
-fn refuse(state: &State, invalid: InvalidRequest) -> RequestError {
+/// Counts an invalid request and converts the reason to the error of [`admit`].
+fn count_invalid(state: &State, invalid: InvalidRequest) -> RequestError {
     state.counters.update_gateway(|counters| counters.invalid_requests += 1);
     invalid.into()
 }
 
-/// Routes an admitted request for the first time and runs it, on a coroutine of its own unless it ends at once.
+/// Routes an admitted request for the first time and runs the request on a new coroutine. A request that ends with the
+/// first decision is answered on the calling coroutine.
 fn start(state: &Arc<State>, context: RequestContext, request: usize) {
     let decision = state.policy.route(request);
     match decision {
--- a/crates/gateway/src/client/paged_rest/request_fields.rs
+++ b/crates/gateway/src/client/paged_rest/request_fields.rs
@@ -17,7 +17,7 @@
 pub(super) fn invalid_request_text(invalid: InvalidRequest) -> String {
     match invalid {
         InvalidRequest::MissingIdempotencyKey => FieldError::Missing { field: "reference" }.to_string(),
-        InvalidRequest::MissingOrderKey => FieldError::Missing { field: "key" }.to_string(),
+        InvalidRequest::MissingOrderingKey => FieldError::Missing { field: "key" }.to_string(),
         other => other.to_string(),
     }
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,5 +1,5 @@
-//! SIGHUP: both files are read again while the gateway serves on. What they say of the discovery service, membership and
-//! leases takes effect; the rest is how this gateway was started, and changes with the next start.
+//! Reload of the configuration files on SIGHUP, without interrupting service. Settings of the discovery service, the paged
+//! REST protocol, membership and leases take effect at once; all other changes take effect when the gateway restarts.
 
 use crate::client::paged_rest::RestService;
 use crate::cluster::Cluster;
@@ -14,22 +14,24 @@
 use std::io;
 use std::sync::Arc;
 
-/// Whoever replaces the file may still be writing it: it is read this often before the old one is kept.
-const TRIES: usize = 5;
-const PAUSE: Duration = Duration::from_millis(100);
+/// Number of times to read the files before the reload is given up and the current configuration stays in effect. The
+/// files may be read while they are still being written.
+const MAX_READ_ATTEMPTS: usize = 5;
+/// Pause after a failed attempt to read the files.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The files that a gateway was started with.
+/// Paths of the configuration files with which the gateway was started.
 #[derive(Clone)]
 pub struct ConfigFiles {
-    /// The configuration.
+    /// Path of the platform's configuration.
     pub config: String,
-    /// The operator's own settings.
+    /// Path of the operator's configuration; `None` if there is none.
     pub operator_config: Option<String>,
 }
 
-/// Both files as they were read. They and the error are on the heap: a channel reserves space for many results at once,
-/// on a coroutine's small stack.
-struct ReadFiles {
+/// Contents of both files. The contents and the error are boxed, because a channel reserves space for many messages at
+/// once on the small stack of a coroutine.
+struct LoadedConfig {
     config: Box<Config>,
     operator_config: Box<OperatorConfig>,
 }
@@ -40,52 +42,52 @@
     Config(#[from] ConfigFileError),
     #[error(transparent)]
     OperatorConfig(#[from] larchfall_operator_config::ReadError),
-    #[error("{0}")]
-    Thread(io::Error),
-    #[error("the thread that reads it panicked")]
-    Panicked,
+    #[error("cannot start the thread that reads the configuration files: {0}")]
+    ThreadStart(io::Error),
+    #[error("the thread that reads the configuration files panicked")]
+    ThreadPanicked,
 }
 
-/// What a reload changes.
+/// Reloads the configuration files and applies the changes to the running gateway.
 pub struct Reloader {
-    /// The gateway itself.
+    /// State of the gateway.
     pub state: Arc<State>,
-    /// The paged REST protocol, where it is on.
+    /// The paged REST protocol; `None` if it is disabled.
     pub service: Option<Arc<RestService>>,
-    /// Membership and leases, where they are on.
+    /// Membership and leases; `None` if they are disabled.
     pub cluster: Option<Arc<Cluster>>,
-    /// What is read again.
+    /// Paths of the files to read.
     pub files: ConfigFiles,
-    /// Seed of the discovery client's pauses.
+    /// Random seed of the discovery client's reconnect delays.
     pub seed: u64,
 }
 
 impl Reloader {
-    /// Reloads at each SIGHUP, for as long as the gateway runs.
+    /// Reloads the files on each SIGHUP until no more signals can arrive.
     pub fn run(&self, mut signal: SignalStream) {
         while signal.wait() {
-            // Both files or neither: each is checked against the other.
-            if let Some(read) = self.read_with_retries() {
-                self.apply(read);
+            // The files are validated against each other, so either both take effect or neither.
+            if let Some(loaded) = self.load_with_retries() {
+                self.apply(loaded);
             }
         }
     }
 
-    fn read_with_retries(&self) -> Option<ReadFiles> {
-        for attempt in 1..=TRIES {
-            match read_on_own_thread(&self.files) {
-                Ok(read) => return Some(read),
+    fn load_with_retries(&self) -> Option<LoadedConfig> {
+        for attempt in 1..=MAX_READ_ATTEMPTS {
+            match load_on_separate_thread(&self.files) {
+                Ok(loaded) => return Some(loaded),
                 Err(error) => {
                     warn!(self.state.log, "configuration rejected"; "try" => attempt, "reason" => error.to_string());
                 }
             }
-            self.state.sleep(PAUSE);
+            self.state.sleep(READ_RETRY_DELAY);
         }
         None
     }
 
-    fn apply(&self, read: ReadFiles) {
-        let ReadFiles { config, operator_config } = read;
+    fn apply(&self, loaded: LoadedConfig) {
+        let LoadedConfig { config, operator_config } = loaded;
         let OperatorConfig { paged_rest, membership, leases, .. } = *operator_config;
         if let Some((service, paged_rest)) = self.service.as_ref().zip(paged_rest) {
             service.reload(paged_rest);
@@ -97,28 +99,30 @@
             discovery::apply_event(&self.state, event);
         }
         info!(self.state.log, "configuration reloaded"; "discovery" => config.discovery.to_string());
-        // A client of its own, at once: the old discovery service may stay silent and hold its connection open.
+        // A new discovery client is started at once instead of redirecting the current client, because the old service may
+        // keep the current client's connection open without sending anything.
         discovery::start_client(&self.state, config.discovery, self.seed);
     }
 }
 
-/// Neither the disk nor a long list may hold up the one worker.
-fn read_on_own_thread(files: &ConfigFiles) -> Result<ReadFiles, Box<ReloadError>> {
-    let (done, result) = mpsc::channel();
+/// Loads the files on a separate thread, so that neither disk I/O nor the parsing of a long endpoint list blocks the only
+/// worker thread.
+fn load_on_separate_thread(files: &ConfigFiles) -> Result<LoadedConfig, Box<ReloadError>> {
+    let (sender, receiver) = mpsc::channel();
     let files = files.clone();
     std::thread::Builder::new()
         .spawn(move || {
-            let _ = done.send(read(&files).map_err(Box::new));
+            let _ = sender.send(load(&files).map_err(Box::new));
         })
-        .map_err(|error| Box::new(ReloadError::Thread(error)))?;
-    result.recv().unwrap_or_else(|_| Err(Box::new(ReloadError::Panicked)))
+        .map_err(|error| Box::new(ReloadError::ThreadStart(error)))?;
+    receiver.recv().unwrap_or_else(|_| Err(Box::new(ReloadError::ThreadPanicked)))
 }
 
-fn read(files: &ConfigFiles) -> Result<ReadFiles, ReloadError> {
+fn load(files: &ConfigFiles) -> Result<LoadedConfig, ReloadError> {
     let config = Box::new(config::read(&files.config)?);
     let operator_config = match &files.operator_config {
         Some(path) => larchfall_operator_config::read(path, &config.settings.names)?,
         None => OperatorConfig::default(),
     };
-    Ok(ReadFiles { config, operator_config: Box::new(operator_config) })
+    Ok(LoadedConfig { config, operator_config: Box::new(operator_config) })
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,5 +1,5 @@
-//! A request in flight. Its coroutine asks the policy where to go, makes one attempt after the other and records each
-//! outcome, until the request is over.
+//! The life of a request in flight. The request's coroutine asks the policy for routing decisions, runs one attempt after
+//! another and records their outcomes until the request is finished.
 
 use crate::engine::attempt::{Attempt, AttemptEnd};
 use crate::request_context::{FinalAnswer, RequestContext};
@@ -9,7 +9,7 @@
 use slog::warn;
 use std::sync::Arc;
 
-/// Answers and releases a request however its coroutine ends.
+/// Releases a request when its coroutine ends. If the coroutine panics, the request is also answered with an error.
 struct ReleaseOnDrop<'a> {
     state: &'a State,
     context: &'a RequestContext,
@@ -19,7 +19,8 @@
 impl Drop for ReleaseOnDrop<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // Else the request would have no answer, and its key would wait for good for an end that nobody sees.
+            // Without this, the client would get no answer, and later requests with the same ordering key would wait
+            // forever for the end of the attempt.
             answer(self.state, self.context, FinalAnswer::Errored("internal error"));
             self.state.policy.abandon(self.request);
         }
@@ -27,19 +28,19 @@
     }
 }
 
-/// Runs a request to its end, beginning with the first routing decision.
+/// Runs a request until it is finished, starting with `first_decision`.
 pub fn run(state: &Arc<State>, context: &RequestContext, request: usize, first_decision: RoutingDecision) {
     let _release = ReleaseOnDrop { state, context, request };
     let mut decision = first_decision;
-    let mut number = 0;
+    let mut attempt_number = 0;
     loop {
         match decision {
             RoutingDecision::Send(parameters) => {
-                let next = run_attempt(state, context, request, number, parameters);
+                let next = run_attempt(state, context, request, attempt_number, parameters);
                 if next == AfterAttempt::Finished {
                     return;
                 }
-                number += 1;
+                attempt_number += 1;
             }
             RoutingDecision::Wait | RoutingDecision::CancelAttempt(_) => {
                 state.policy.wait_for_change(request);
@@ -55,19 +56,20 @@
     }
 }
 
-/// Makes one attempt and records its outcome; returns what the policy has next for the request.
+/// Runs one attempt and records its outcome; returns whether the request continues.
 fn run_attempt(
     state: &Arc<State>,
     context: &RequestContext,
     request: usize,
-    number: u8,
+    attempt_number: u8,
     parameters: AttemptParameters,
 ) -> AfterAttempt {
-    let attempt = Attempt::new(state, context, request, number, parameters);
+    let attempt = Attempt::new(state, context, request, attempt_number, parameters);
     let mut end = attempt.as_ref().map_or_else(|| AttemptEnd::not_sent(Outcome::NotSent), Attempt::run);
-    let took = attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.started));
+    let duration =
+        attempt.as_ref().map_or(Duration::ZERO, |attempt| state.clock.now().since(attempt.started));
     if let Some(attempt) = attempt.as_ref().filter(|_| end.is_cancel_pending) {
-        // The answer is due now; the end of what is in flight may come later.
+        // The request's deadline has passed, so the client is answered before the end of the attempt is known.
         answer_decision(state, context, state.policy.finish_unanswered(request));
         end.evidence = attempt.cancel_timed_out();
     }
@@ -81,19 +83,19 @@
     } else if end.is_truncated {
         answer(state, context, FinalAnswer::Errored("the result broke off"));
     }
-    let is_over = is_returned || end.is_truncated || state.policy.disconnect_action(request).is_some();
+    let is_finished = is_returned || end.is_truncated || state.policy.disconnect_action(request).is_some();
     let result = AttemptResult {
         outcome: end.outcome,
-        duration: took,
-        request_finished: is_over,
+        duration,
+        request_finished: is_finished,
         evidence: end.evidence,
         reported_work: None,
         load_report: end.load_report,
     };
-    state.policy.record_outcome(request, number, &result)
+    state.policy.record_outcome(request, attempt_number, &result)
 }
 
-/// Answers a request that the policy rejects or gives up on.
+/// Answers a request if the decision ends the request; does nothing for other decisions.
 fn answer_decision(state: &State, context: &RequestContext, decision: RoutingDecision) {
     match decision {
         RoutingDecision::Reject(retry_after) => answer(state, context, FinalAnswer::Rejected(retry_after)),
@@ -102,15 +104,15 @@
     }
 }
 
-/// Gives the one final answer, and counts it where somebody still waits for it.
+/// Delivers the final answer of a request. Answers that no client awaits any more are neither counted nor logged.
 fn answer(state: &State, context: &RequestContext, final_answer: FinalAnswer) {
     if !context.reader.finish(final_answer) {
         return;
     }
     let now = state.clock.now();
     if now > context.deadline {
-        let late = now.since(context.deadline);
-        warn!(state.log, "answered late"; "id" => &context.id, "late_ms" => late.micros() / 1000,
+        let delay = now.since(context.deadline);
+        warn!(state.log, "answered late"; "id" => &context.id, "late_ms" => delay.micros() / 1000,
             "class" => &state.settings.names.classes[context.class], "answer" => final_answer.label());
     }
     state.counters.record_answer(context.class, final_answer);
--- a/crates/gateway/src/request_context.rs
+++ b/crates/gateway/src/request_context.rs
@@ -1,39 +1,40 @@
-//! A request in no protocol's terms: what is sent to engines, who reads its rows, and how it ends.
+//! Protocol-independent view of a client's request: the data sent to engines, the reader of the result, and the final
+//! answer.
 
 use larchfall_policy::time::{Duration, Timestamp};
 use std::sync::Arc;
 
-/// What a request needs to be sent, and who reads its result.
+/// Data of an admitted request that its attempts need.
 pub struct RequestContext {
-    /// The id under which engines know it.
+    /// Id under which engines know the request's query.
     pub id: String,
-    /// The index of its request class.
+    /// Index of the request class.
     pub class: usize,
-    /// Whether requests of its key go one after the other.
+    /// Whether requests with the same ordering key run one after the other.
     pub in_order: bool,
-    /// When its client stops waiting.
+    /// Time by which the final answer must leave the gateway.
     pub deadline: Timestamp,
-    /// Its idempotency key.
+    /// Key by which engines detect repeated requests; `None` if the client sent no key.
     pub idempotency_key: Option<String>,
-    /// What the engine is to run.
+    /// The statement that the engine runs.
     pub statement: Vec<u8>,
-    /// Who reads its rows and has its final answer.
+    /// Receiver of the rows and of the final answer.
     pub reader: Arc<dyn ResultReader>,
 }
 
-/// The one final answer of a request.
+/// The final answer of a request. Each request gets exactly one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer<'a> {
-    /// All rows have come.
+    /// The result is complete; all its rows were passed to the reader before.
     Returned,
-    /// Trying again is harmless, best after the time given.
+    /// The request can safely be retried, preferably after the given time.
     Rejected(Option<Duration>),
-    /// Nothing is promised about what the request did; the text says why.
+    /// The request failed for the given reason. It is unknown whether the request had an effect.
     Errored(&'a str),
 }
 
 impl FinalAnswer<'_> {
-    /// The answer's word in the log.
+    /// Name of the answer in log lines.
     pub fn label(self) -> &'static str {
         match self {
             FinalAnswer::Returned => "returned",
@@ -43,15 +44,15 @@
     }
 }
 
-/// Reads a result. Rows come in order, and nothing comes after the final answer.
+/// Receiver of a request's result. Rows arrive in order, and none follow the final answer.
 pub trait ResultReader: Send + Sync {
-    /// Whether more rows may be fetched now.
+    /// Returns whether the reader can take more rows now.
     fn has_capacity(&self) -> bool;
-    /// Takes complete rows as text: a tab between columns, a line feed after each row.
+    /// Passes complete rows as text, with tabs between columns and a line feed after each row.
     fn push_rows(&self, rows: Vec<u8>);
-    /// The engine lost the rest of the result: whether all rows may come again from the first one on. Rows that were
-    /// handed to the client may not.
+    /// Discards the rows received so far after the engine lost the rest of the result, so that all rows can be passed
+    /// again. Returns false if the client has already received rows, which can't be taken back.
     fn restart(&self) -> bool;
-    /// Takes the final answer; false when nobody waits for it any more.
+    /// Passes the final answer. Returns false if the client no longer awaits the answer.
     fn finish(&self, answer: FinalAnswer) -> bool;
 }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of a gateway: after SIGTERM it goes on serving for as long as clients may still come, answers the requests
-//! that it has admitted, and ends before it can be killed.
+//! Graceful shutdown. After SIGTERM the gateway keeps serving for as long as clients may still connect, answers all
+//! admitted requests, and exits before the platform can send SIGKILL.
 
 use crate::client::paged_rest::RestService;
 use crate::cluster::Cluster;
@@ -9,18 +9,22 @@
 use slog::info;
 use std::sync::Arc;
 
-/// New connections come for 0.4 s after SIGTERM, requests on open ones for 0.2 s more.
-const CLIENTS_COME: Duration = Duration::from_millis(800);
-/// SIGKILL comes no sooner than the longest deadline of a request, or this, and `KILL_AFTER` more.
-const LONGEST_DEADLINE: Duration = Duration::from_millis(3000);
-const KILL_AFTER: Duration = Duration::from_millis(700);
-/// How long what is unanswered at the end has to get its answer.
-const LAST_ANSWERS: Duration = Duration::from_millis(400);
-/// How long open connections have to log their own last line.
-const LAST_LOG_LINES: Duration = Duration::from_millis(200);
+/// Time after SIGTERM until which the gateway waits for further requests. Clients open new connections for up to 0.4 s
+/// after SIGTERM, and send requests on open connections for 0.2 s more.
+const CLIENT_ARRIVAL_WINDOW: Duration = Duration::from_millis(800);
+/// Upper bound of the longest request deadline that counts towards the time of SIGKILL. SIGKILL comes no sooner after
+/// SIGTERM than the sum of the longest request deadline, up to this bound, and `KILL_DELAY`.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3000);
+/// Minimum time between the longest request deadline and SIGKILL.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Time before SIGKILL that remains for answering requests that reach the shutdown deadline unanswered.
+const FINAL_ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Time for open connections to write their last log line.
+const LAST_LOG_TIME: Duration = Duration::from_millis(200);
+/// Interval between two checks of whether all requests are answered or all connections are closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for SIGTERM, then for the gateway to end.
+/// Waits for SIGTERM and then shuts the gateway down; returns when the process can exit.
 pub fn wait_and_shut_down(
     state: &Arc<State>,
     mut terminate: SignalStream,
@@ -28,58 +32,61 @@
     cluster: Option<&Cluster>,
 ) {
     terminate.wait();
-    let requested = state.clock.now();
+    let requested_at = state.clock.now();
     if let Some(cluster) = cluster {
         cluster.leave(state);
     }
-    let ends = end_of_service(state, requested);
-    state.begin_shutdown(ends);
+    let deadline = shutdown_deadline(state, requested_at);
+    state.begin_shutdown(deadline);
     info!(state.log, "shutdown requested"; "in_flight" => state.policy.in_flight(), "clients" => state.client_connections.len());
-    let killed = ends + LAST_ANSWERS;
-    wait_until_all_answered(state, service, requested, killed);
+    let kill_time = deadline + FINAL_ANSWER_TIME;
+    wait_until_all_answered(state, service, requested_at, kill_time);
     info!(state.log, "shutdown complete"; "in_flight" => state.policy.in_flight(), "clients" => state.client_connections.len());
-    close_connections(state, service, killed);
+    close_connections(state, service, kill_time);
 }
 
-/// When what is still unanswered has to be answered, before SIGKILL.
-fn end_of_service(state: &State, requested: Timestamp) -> Timestamp {
-    let longest = state.settings.longest_deadline().min(LONGEST_DEADLINE);
-    requested + (longest + KILL_AFTER).saturating_sub(LAST_ANSWERS)
+/// Returns the time by which the policy ends all requests, early enough to send their answers before SIGKILL.
+fn shutdown_deadline(state: &State, requested_at: Timestamp) -> Timestamp {
+    let longest_deadline = state.settings.longest_deadline().min(MAX_COUNTED_DEADLINE);
+    requested_at + (longest_deadline + KILL_DELAY).saturating_sub(FINAL_ANSWER_TIME)
 }
 
 fn wait_until_all_answered(
     state: &State,
     service: Option<&Arc<RestService>>,
-    requested: Timestamp,
-    killed: Timestamp,
+    requested_at: Timestamp,
+    kill_time: Timestamp,
 ) {
     loop {
         state.sleep(POLL_INTERVAL);
         let now = state.clock.now();
-        // Half-read results go on until then.
-        let results_are_read = service.is_none_or(|service| service.pages.undelivered() == 0);
-        // After a stall the sockets may not have been read since SIGTERM: what clients wrote meanwhile is unread.
-        let sockets_are_read = state.stall_detector.has_polled_since(requested + CLIENTS_COME);
-        if (!owes_answers(state) && results_are_read && sockets_are_read) || now >= killed {
+        // Clients can read the remaining pages of their results until `kill_time`.
+        let results_are_delivered = service.is_none_or(|service| service.pages.undelivered() == 0);
+        // After a stall the sockets may not have been polled since SIGTERM, so requests may still be unread.
+        let sockets_are_polled = state.stall_detector.has_polled_since(requested_at + CLIENT_ARRIVAL_WINDOW);
+        if (!has_pending_answers(state) && results_are_delivered && sockets_are_polled) || now >= kill_time {
             return;
         }
     }
 }
 
-/// Lets each connection that is still open log its own last line.
-fn close_connections(state: &State, service: Option<&Arc<RestService>>, killed: Timestamp) {
+/// Closes all open connections and gives each time to write its last log line.
+fn close_connections(state: &State, service: Option<&Arc<RestService>>, kill_time: Timestamp) {
     state.shutdown.mark_complete();
     state.client_connections.wake_overdue(state.clock.now(), state.clock.now());
-    let until = state.clock.now() + LAST_LOG_LINES;
+    let log_deadline = state.clock.now() + LAST_LOG_TIME;
     let open_connections =
         || state.client_connections.len() + service.map_or(0, |service| service.open_connections());
-    // A request that was read between the last poll and here was admitted, and gets its answer as all others did.
-    let goes_on = |now| (owes_answers(state) && now < killed) || (open_connections() > 0 && now < until);
-    while goes_on(state.clock.now()) {
+    // A request that was read after the last check was admitted, and must be answered like all others.
+    let must_wait = |now| {
+        (has_pending_answers(state) && now < kill_time) || (open_connections() > 0 && now < log_deadline)
+    };
+    while must_wait(state.clock.now()) {
         state.sleep(POLL_INTERVAL);
     }
 }
 
-fn owes_answers(state: &State) -> bool {
+/// Returns whether requests are in flight or responses are not yet sent.
+fn has_pending_answers(state: &State) -> bool {
     state.policy.in_flight() > 0 || !state.client_connections.all_idle()
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,4 +1,5 @@
-//! The signals that a gateway acts on: SIGTERM ends it, SIGUSR1 has it log its counters, SIGHUP has it reload its files.
+//! Unix signals that a gateway handles: SIGTERM shuts it down, SIGUSR1 logs its counters, and SIGHUP reloads its
+//! configuration files.
 
 use may::io::CoIo;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
@@ -6,8 +7,8 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// Signals caught as bytes that wait to be read. Registered before anything else: a signal that comes before the
-/// gateway is ready must not end it by the system's default.
+/// Sockets on which each received signal is readable as one byte. Signals must be registered before anything else,
+/// because the system's default action for a signal that arrives before its registration terminates the process.
 pub struct RegisteredSignals {
     terminate: UnixStream,
     log_counters: UnixStream,
@@ -15,7 +16,7 @@
 }
 
 impl RegisteredSignals {
-    /// Catches the signals from now on.
+    /// Registers the handlers of all signals.
     pub fn register() -> io::Result<RegisteredSignals> {
         Ok(RegisteredSignals {
             terminate: register(SIGTERM)?,
@@ -24,7 +25,7 @@
         })
     }
 
-    /// Makes them something that coroutines can wait on.
+    /// Converts the sockets to streams that coroutines can wait on.
     pub fn into_streams(self) -> io::Result<Signals> {
         Ok(Signals {
             terminate: SignalStream(CoIo::new(self.terminate)?),
@@ -34,29 +35,30 @@
     }
 }
 
-/// Only the reading end will be known to the coroutine crate, and its descriptor is never duplicated: a duplicate
-/// keeps what was closed registered for events, which then reach memory that is free already.
+/// Registers a handler that writes a byte to a socket for each signal; returns the reading end of the socket. Only the
+/// reading end is passed to the coroutine library, and its descriptor is never duplicated: a duplicate would keep a closed
+/// descriptor registered for events, whose handling would then access freed memory.
 fn register(signal: i32) -> io::Result<UnixStream> {
     let (write, read) = UnixStream::pair()?;
     pipe::register(signal, write)?;
     Ok(read)
 }
 
-/// One stream for each signal.
+/// Streams of all handled signals.
 pub struct Signals {
-    /// SIGTERM.
+    /// SIGTERM, which shuts the gateway down.
     pub terminate: SignalStream,
-    /// SIGUSR1.
+    /// SIGUSR1, which logs all counters.
     pub log_counters: SignalStream,
-    /// SIGHUP.
+    /// SIGHUP, which reloads the configuration files.
     pub reload: SignalStream,
 }
 
-/// One signal, for a coroutine to wait on.
+/// Stream of the occurrences of one signal, on which a coroutine can wait.
 pub struct SignalStream(CoIo<UnixStream>);
 
 impl SignalStream {
-    /// Waits for the signal to come once more; false when none can come any more.
+    /// Waits for the next occurrence of the signal. Returns false if no more signals can be received.
     pub fn wait(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(1))
     }
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -49,12 +49,7 @@
     pub fn record_peer_outcome(&self, process: EngineProcess, is_failure: bool) {
         let mut state = self.lock();
         if let Some(engine) = state.engines.index_of_process(process) {
-            state.policy.record_engine_outcome(
-                self.clock.now(),
-                engine,
-                is_failure,
-                HealthEvidence::Gossip,
-            );
+            state.policy.record_engine_outcome(self.clock.now(), engine, is_failure, HealthEvidence::Gossip);
         }
     }
 
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -1,5 +1,5 @@
-//! The timer thread: the policy's periodic work, waits that are due, and what is checked at each tick. It is a thread
-//! of its own and waits on no socket, so it comes by on time however much there is to run.
+//! The timer thread. It wakes coroutines whose deadline has passed and does the gateway's periodic work. As a separate
+//! thread that never waits on a socket, it runs on time even while the worker is busy.
 
 use crate::client::message_pack::{IDLE_TIMEOUT, MESSAGE_TIMEOUT};
 use crate::client::paged_rest::{self, RestService};
@@ -15,7 +15,7 @@
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
 
-/// Runs until the process ends.
+/// Runs the timer loop until the process exits.
 pub fn run(state: &Arc<State>, service: Option<&Arc<RestService>>) {
     let blocker = Blocker::current();
     let mut next_tick = state.clock.now() + TICK_INTERVAL;
@@ -27,15 +27,15 @@
         }
         if now >= next_tick {
             tick(state, service, now);
-            // Ticks that fell into a stall are not made up for.
+            // Ticks that were missed during a stall are skipped.
             next_tick = (next_tick + TICK_INTERVAL).max(now + Duration::from_millis(1));
         }
-        let until =
+        let wake_time =
             next_deadline.map_or(next_tick, |deadline| deadline.min(next_tick)).min(now + TIMER_PERIOD);
-        let remaining = state.clock.remaining(until);
+        let remaining = state.clock.remaining(wake_time);
         if !remaining.is_zero() {
             let _ = blocker.park(Some(remaining));
-            let lag_ms = state.clock.now().since(until).micros() / 1000;
+            let lag_ms = state.clock.now().since(wake_time).micros() / 1000;
             state
                 .counters
                 .update_gateway(|counters| counters.max_timer_lag_ms = counters.max_timer_lag_ms.max(lag_ms));
@@ -43,6 +43,7 @@
     }
 }
 
+/// Runs the policy's tick, starts due health checks, logs policy events, and closes expired connections and results.
 fn tick(state: &Arc<State>, service: Option<&Arc<RestService>>, now: Timestamp) {
     for engine in state.policy.tick() {
         if state.needs_load_report(engine) {
@@ -53,7 +54,7 @@
     for event in state.policy.take_events() {
         info!(state.log, "{}", event);
     }
-    close_unused(state);
+    close_expired_connections(state);
     if let Some(service) = service {
         for abandoned in service.pages.expire(now) {
             paged_rest::abandon_request(state, abandoned.request);
@@ -61,32 +62,34 @@
     }
 }
 
-/// Closes idle connections to engines, and has client connections end on which nothing came for too long.
-fn close_unused(state: &State) {
+/// Closes engine connections that were idle for too long, and wakes client connections whose timeout has passed, so that
+/// they close.
+fn close_expired_connections(state: &State) {
     let now = state.clock.now();
     state.engine_connections.close_expired(now);
     state.client_connections.wake_overdue(now - IDLE_TIMEOUT, now - MESSAGE_TIMEOUT);
 }
 
-/// A pair of sockets on which nothing is ever sent: a wait there ends only when the worker polls for events.
+/// A socket pair without traffic that detects when the worker polls the sockets for events. A read on the pair can only
+/// time out, and the worker handles socket timeouts only when it polls.
 pub struct EventPollProbe {
-    waiting_end: UnixStream,
-    /// Stays open, so that a wait on the other end only ever ends by its timeout.
-    _silent_end: UnixStream,
+    read_end: UnixStream,
+    /// Kept open and unused, so that reads on the other end only ever end by their timeout.
+    _idle_end: UnixStream,
 }
 
 impl EventPollProbe {
-    /// Opens the pair.
+    /// Opens the socket pair and sets the read timeout.
     pub fn open() -> io::Result<EventPollProbe> {
-        let (waiting_end, silent_end) = UnixStream::pair()?;
-        waiting_end.set_read_timeout(Some(to_std_timeout(TIMER_PERIOD)))?;
-        Ok(EventPollProbe { waiting_end, _silent_end: silent_end })
+        let (read_end, idle_end) = UnixStream::pair()?;
+        read_end.set_read_timeout(Some(to_std_timeout(TIMER_PERIOD)))?;
+        Ok(EventPollProbe { read_end, _idle_end: idle_end })
     }
 }
 
-/// Records for good when the worker last polled for events.
+/// Records each event poll of the worker in the stall detector. Returns only if the socket pair fails.
 pub fn record_event_polls(state: &Arc<State>, mut probe: EventPollProbe) {
-    while matches!(probe.waiting_end.read(&mut [0]), Err(e) if e.kind() != ErrorKind::NotConnected) {
+    while matches!(probe.read_end.read(&mut [0]), Err(e) if e.kind() != ErrorKind::NotConnected) {
         state.stall_detector.record_event_poll(state.clock.now());
     }
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -297,7 +297,8 @@
             target.sent_in_slow_start.record(self.classes.work_estimate(class).mean_secs(), now);
         }
         let memory_estimate = record.request.memory_hint_mb.filter(|_| self.capabilities.sets_memory_grant);
-        let memory_grant_mb = memory_estimate.map(|estimate| self.classes.memory_grant(class).grant_mb(estimate));
+        let memory_grant_mb =
+            memory_estimate.map(|estimate| self.classes.memory_grant(class).grant_mb(estimate));
         record.in_flight.push(AttemptInFlight {
             number,
             engine,
--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -46,7 +46,11 @@
             let mut config = typical_config();
             (config.topology.gateway_count, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
-            gateway.policy.update_engine(at_ms(0), 0, Engine { start_time: Some(at_ms(0)), ..ready_engine() });
+            gateway.policy.update_engine(
+                at_ms(0),
+                0,
+                Engine { start_time: Some(at_ms(0)), ..ready_engine() },
+            );
             let one = Request { work_hint: Some(Duration::from_millis(work)), ..request(LOOKUP) };
             (0..30).for_each(|_| gateway.policy.admit(at_ms(0), 9, one.clone()));
             // Turns go on within the rule's window, and all of them count against its budget.
