--- a/crates/gateway/src/cluster/event_loop.rs
+++ b/crates/gateway/src/cluster/event_loop.rs
@@ -1,4 +1,5 @@
-//! The coroutine that serves the socket between gateways: datagrams as they come, timers as they are due.
+//! The event loop of the cluster socket: one coroutine receives datagrams and runs the timers of membership, leases
+//! and health gossip.
 
 use super::Cluster;
 use super::counters::increment;
@@ -11,96 +12,102 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// So many datagrams are received within each window; more wait in the socket, or are lost there. A flood costs what
-/// that many cost, and no request's share of the core.
-const DATAGRAMS_PER_WINDOW: usize = 100;
-const WINDOW: Duration = Duration::from_millis(100);
-/// The longest wait for a datagram where no timer is due before.
-const LONGEST_WAIT: Duration = Duration::from_millis(60_000);
-/// A wait of zero would be one without end.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(5);
+/// Maximum number of datagrams that are received in each receive window. Further datagrams wait in the socket buffer
+/// or are dropped there, so that a flood of datagrams takes no more processor time than this number and leaves the
+/// core to requests.
+const MAX_DATAGRAMS_PER_WINDOW: usize = 100;
+const RECEIVE_WINDOW: Duration = Duration::from_millis(100);
+/// Longest wait for a datagram if no timer is due earlier.
+const MAX_WAIT: Duration = Duration::from_millis(60_000);
+/// Shortest wait: the coroutine library takes a timeout of zero for no timeout.
+const MIN_WAIT: Duration = Duration::from_millis(1);
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// Datagrams received in the present window.
-struct DatagramBudget {
+/// Limits how many datagrams are received in each receive window.
+struct ReceiveBudget {
     window_start: Timestamp,
     received: usize,
 }
 
-impl DatagramBudget {
-    /// How long to wait until the next window, where this one's datagrams are used up.
-    fn exhausted_for(&mut self, now: Timestamp) -> Option<Duration> {
-        if now.since(self.window_start) >= WINDOW {
-            *self = DatagramBudget { window_start: now, received: 0 };
+impl ReceiveBudget {
+    /// Time until the next window starts, or `None` if the current window still has budget.
+    fn time_to_next_window(&mut self, now: Timestamp) -> Option<Duration> {
+        if now.since(self.window_start) >= RECEIVE_WINDOW {
+            *self = ReceiveBudget { window_start: now, received: 0 };
         }
-        (self.received >= DATAGRAMS_PER_WINDOW)
-            .then(|| (self.window_start + WINDOW).since(now).max(SHORTEST_WAIT))
+        (self.received >= MAX_DATAGRAMS_PER_WINDOW)
+            .then(|| (self.window_start + RECEIVE_WINDOW).since(now).max(MIN_WAIT))
     }
 }
 
 impl Cluster {
-    /// Receives and sends until this gateway has left.
+    /// Receives datagrams and runs timers until this gateway has left the cluster and released its leases. Returns
+    /// early if the read timeout of the socket can't be set.
     pub fn run(self: &Arc<Cluster>, state: &Arc<State>) {
-        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        let mut budget = DatagramBudget { window_start: state.clock.now(), received: 0 };
-        while !self.is_done() {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+        let mut budget = ReceiveBudget { window_start: state.clock.now(), received: 0 };
+        while !self.is_finished() {
             let now = state.clock.now();
-            let membership_due = self.run_timers(state, now);
-            if let Some(pause) = budget.exhausted_for(now) {
-                increment(&self.counters.over_budget);
+            let next_membership_timer = self.run_timers(state, now);
+            if let Some(pause) = budget.time_to_next_window(now) {
+                increment(&self.counters.budget_exhausted);
                 state.sleep(pause);
                 continue;
             }
-            let due_in = self.time_to_next_timer(state, membership_due);
-            if self.socket.set_read_timeout(Some(timeout(due_in))).is_err() {
+            let wait = self.time_to_next_timer(state, next_membership_timer);
+            if self.socket.set_read_timeout(Some(timeout(wait))).is_err() {
                 return;
             }
-            match self.socket.recv_from(&mut bytes) {
-                Ok((length, SocketAddr::V4(from))) => {
+            match self.socket.recv_from(&mut buffer) {
+                Ok((length, SocketAddr::V4(sender))) => {
                     budget.received += 1;
-                    self.on_datagram(state, &bytes[..length], from);
+                    self.on_datagram(state, &buffer[..length], sender);
                 }
-                // The socket is one of IPv4.
+                // Unreachable: the socket is bound to an IPv4 address.
                 Ok(_) => {}
                 Err(error) if matches!(error.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {}
-                // Where a member's port is closed the next receive says so: that is one more lost datagram.
-                Err(_) => state.sleep(PAUSE_AFTER_ERROR),
+                // A datagram that was sent to a closed port makes the next receive fail. The failure means a lost
+                // datagram, which the protocols tolerate.
+                Err(_) => state.sleep(RECEIVE_ERROR_PAUSE),
             }
         }
     }
 
-    fn is_done(&self) -> bool {
-        self.has_left.load(Ordering::Relaxed) && self.leases.as_ref().is_none_or(|leases| leases.is_done())
+    fn is_finished(&self) -> bool {
+        self.has_left.load(Ordering::Relaxed)
+            && self.leases.as_ref().is_none_or(|leases| leases.is_finished())
     }
 
-    /// Runs what is due now; the time at which membership is due next.
+    /// Runs all timers that are due and returns when the next membership timer is due.
     fn run_timers(self: &Arc<Cluster>, state: &Arc<State>, now: Timestamp) -> Timestamp {
-        let mut members = lock(&self.members);
-        let effects = (members.next_timer() <= now).then(|| members.on_timer(now));
-        let due = members.next_timer();
-        drop(members);
-        if let Some(effects) = effects {
-            self.apply_membership(state, effects);
+        let mut membership = lock(&self.membership);
+        let output = (membership.next_timer() <= now).then(|| membership.on_timer(now));
+        let next_membership_timer = membership.next_timer();
+        drop(membership);
+        if let Some(output) = output {
+            self.apply_membership_output(state, output);
             self.update_gateway_count(state, now);
         }
-        if let Some(leases) = self.leases.as_ref().filter(|leases| leases.due_in() == Duration::ZERO) {
+        if let Some(leases) =
+            self.leases.as_ref().filter(|leases| leases.time_to_next_timer() == Duration::ZERO)
+        {
             leases.on_timer(state, self);
         }
         if let Some(gossip) = &self.health_gossip {
             gossip.on_timer(state, self);
         }
-        due
+        next_membership_timer
     }
 
-    fn time_to_next_timer(&self, state: &State, membership_due: Timestamp) -> Duration {
-        let leases = self.leases.as_ref().map(|leases| leases.due_in());
+    fn time_to_next_timer(&self, state: &State, next_membership_timer: Timestamp) -> Duration {
+        let leases = self.leases.as_ref().map(|leases| leases.time_to_next_timer());
         let now = state.clock.now();
-        let gossip = self.health_gossip.as_ref().map(|gossip| gossip.due_in(now));
+        let gossip = self.health_gossip.as_ref().map(|gossip| gossip.time_to_next_round(now));
         [leases, gossip]
             .into_iter()
             .flatten()
-            .fold(LONGEST_WAIT, Duration::min)
-            .min(membership_due.since(now))
-            .max(SHORTEST_WAIT)
+            .fold(MAX_WAIT, Duration::min)
+            .min(next_membership_timer.since(now))
+            .max(MIN_WAIT)
     }
 }
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -1,8 +1,9 @@
-//! Observations of engines, shared between gateways: what this gateway observed goes to some others, and what they
-//! observed comes in. The package decides what of it counts, the policy judges.
+//! Health gossip: each gateway sends what it observed of engines to some other members and evaluates what they send.
+//! The `larchfall-health-gossip` crate decides which outcomes of peers count, and the policy judges the engines by
+//! them.
 
 use super::Cluster;
-use super::counters::{count, increment};
+use super::counters::{counter_value, increment};
 use crate::state::{State, lock};
 use larchfall_health_gossip::EngineProcess;
 use larchfall_health_gossip::datagram::{Datagram, MAX_ENTRIES};
@@ -17,149 +18,164 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU64;
 
-/// How many gateways and engine processes observations are kept of.
-const LIMITS: StoreLimits = StoreLimits { gateways: 1024, processes: 1024 };
+/// Maximum number of gateways, and of engine processes for each gateway, whose observations are stored.
+const STORE_LIMITS: StoreLimits = StoreLimits { gateways: 1024, processes: 1024 };
 
-struct Inner {
+struct GossipState {
     gossip: HealthGossip,
-    due: Timestamp,
-    random: WyRand,
+    next_round: Timestamp,
+    rng: WyRand,
 }
 
 #[derive(Default)]
 struct Counters {
+    /// Datagrams that were sent, one for each receiver.
     sent: AtomicU64,
     received: AtomicU64,
+    /// Received datagrams that are invalid, or that come from an unknown or outdated process.
     ignored: AtomicU64,
-    /// Outcomes of others that counted beside this gateway's own.
-    counted: AtomicU64,
+    /// Outcomes of peers that were passed to the policy.
+    peer_outcomes: AtomicU64,
 }
 
-/// This gateway's part in sharing observations of engines.
+/// Exchanges observations of engines with other members.
 pub struct HealthGossipService {
     settings: HealthGossipConfig,
-    inner: Mutex<Inner>,
+    gossip_state: Mutex<GossipState>,
     counters: Counters,
 }
 
 impl HealthGossipService {
-    /// Has the policy note from now on what it observes.
+    /// Creates the service, whose first round is due at `now`, and makes the policy keep observations from now on.
+    /// `seed` seeds the random choice of the members that receive a report.
     pub fn new(
         state: &State,
         settings: HealthGossipConfig,
         seed: u64,
         now: Timestamp,
     ) -> HealthGossipService {
-        state.policy.enable_observations(LIMITS.processes);
-        let inner = Inner {
-            gossip: HealthGossip::new(LIMITS, settings.aggregation, settings.probe_slot),
-            due: now,
-            random: WyRand::new_seed(seed),
+        state.policy.enable_observations(STORE_LIMITS.processes);
+        let gossip_state = GossipState {
+            gossip: HealthGossip::new(STORE_LIMITS, settings.aggregation, settings.probe_slot),
+            next_round: now,
+            rng: WyRand::new_seed(seed),
         };
-        HealthGossipService { settings, inner: Mutex::new(inner), counters: Counters::default() }
+        HealthGossipService {
+            settings,
+            gossip_state: Mutex::new(gossip_state),
+            counters: Counters::default(),
+        }
     }
 
-    pub(super) fn due_in(&self, now: Timestamp) -> Duration {
-        lock(&self.inner).due.since(now)
+    pub(super) fn time_to_next_round(&self, now: Timestamp) -> Duration {
+        lock(&self.gossip_state).next_round.since(now)
     }
 
-    /// Where it is time: sends what is new to some others, and counts what others sent.
+    /// Runs a round if one is due: sends new observations to some members and applies the outcomes that peers
+    /// reported.
     pub(super) fn on_timer(&self, state: &State, cluster: &Cluster) {
         let now = state.clock.now();
         {
-            let mut inner = lock(&self.inner);
-            if now < inner.due {
+            let mut gossip_state = lock(&self.gossip_state);
+            if now < gossip_state.next_round {
                 return;
             }
-            inner.due = now + self.settings.interval;
+            gossip_state.next_round = now + self.settings.interval;
         }
-        self.send_observations(state, cluster);
-        self.count_observations(state, cluster, now);
+        self.send_report(state, cluster);
+        self.apply_peer_outcomes(state, cluster, now);
     }
 
-    fn send_observations(&self, state: &State, cluster: &Cluster) {
+    fn send_report(&self, state: &State, cluster: &Cluster) {
         let Some(report) = state.policy.next_observation_report(MAX_ENTRIES) else { return };
-        let (generation, mut others) = {
-            let members = lock(&cluster.members);
-            let others: Vec<SocketAddrV4> = members
+        let (generation, mut peers) = {
+            let membership = lock(&cluster.membership);
+            let peers: Vec<SocketAddrV4> = membership
                 .live()
                 .filter(|(name, _)| **name != cluster.member_name)
                 .map(|(_, member)| member.info.address)
                 .collect();
-            (members.myself().status.generation, others)
+            (membership.myself().status.generation, peers)
         };
-        lock(&self.inner).random.shuffle(&mut others);
+        lock(&self.gossip_state).rng.shuffle(&mut peers);
         let datagram = Datagram::new(&cluster.cluster_name, &cluster.member_name, generation, report);
         let bytes = datagram.encode();
-        for to in others.into_iter().take(self.settings.fanout) {
-            if cluster.socket.inner().send_to(&bytes, to).is_ok() {
+        for peer in peers.into_iter().take(self.settings.fanout) {
+            if cluster.socket.inner().send_to(&bytes, peer).is_ok() {
                 increment(&self.counters.sent);
             }
         }
     }
 
-    fn count_observations(&self, state: &State, cluster: &Cluster, now: Timestamp) {
+    fn apply_peer_outcomes(&self, state: &State, cluster: &Cluster, now: Timestamp) {
         let listed: HashSet<EngineProcess> = state.policy.processes().into_iter().collect();
-        let alive = cluster.live_member_zones();
+        let live_members = cluster.live_member_zones();
         let is_listed = |process: EngineProcess| listed.contains(&process);
-        let own = state.policy.own_observations();
-        let outcomes = lock(&self.inner).gossip.take_outcomes(&own, &alive, is_listed, now);
+        let own_observations = state.policy.own_observations();
+        let outcomes =
+            lock(&self.gossip_state).gossip.take_outcomes(&own_observations, &live_members, is_listed, now);
         for PeerOutcome { process, bad } in outcomes {
-            increment(&self.counters.counted);
+            increment(&self.counters.peer_outcomes);
             state.policy.record_peer_outcome(process, bad);
         }
-        // After the outcomes: an engine that they had ejected just now waits for its probe slot from the start.
+        // Probe slots are set after the outcomes, so that they also cover the engines that these outcomes ejected: no
+        // such engine is probed before its probe slot.
         for process in state.policy.ejected_processes() {
-            let is_own_slot = lock(&self.inner).gossip.may_probe(&cluster.member_name, process, &alive, now);
-            state.policy.set_probe_slot(process, is_own_slot);
+            let may_probe =
+                lock(&self.gossip_state).gossip.may_probe(&cluster.member_name, process, &live_members, now);
+            state.policy.set_probe_slot(process, may_probe);
         }
     }
 
-    pub(super) fn on_datagram(&self, state: &State, cluster: &Cluster, bytes: &[u8], from: SocketAddrV4) {
+    pub(super) fn on_datagram(&self, state: &State, cluster: &Cluster, bytes: &[u8], sender: SocketAddrV4) {
         increment(&self.counters.received);
         let datagram = Datagram::decode(bytes, &cluster.cluster_name).ok();
-        let known = datagram.and_then(|datagram| {
-            let members = lock(&cluster.members);
-            let sender =
-                members.members().get(&datagram.gateway).filter(|member| member.info.address == from)?;
-            // One that was declared dead for a while goes on under a later generation; an older one is another process.
-            let is_current = !sender.status.is_final() && datagram.generation >= sender.status.generation;
-            is_current.then(|| (sender.info.zone.clone(), datagram))
+        let accepted = datagram.and_then(|datagram| {
+            let membership = lock(&cluster.membership);
+            let member =
+                membership.members().get(&datagram.gateway).filter(|member| member.info.address == sender)?;
+            // A process that was declared dead by mistake continues under a later generation, which the datagram may
+            // show before membership does. An earlier generation is another process.
+            let is_current = !member.status.is_final() && datagram.generation >= member.status.generation;
+            is_current.then(|| (member.info.zone.clone(), datagram))
         });
-        let Some((zone, datagram)) = known else {
+        let Some((zone, datagram)) = accepted else {
             return increment(&self.counters.ignored);
         };
         let reporter = Reporter { gateway: &datagram.gateway, generation: datagram.generation, zone: &zone };
-        let mut inner = lock(&self.inner);
-        inner.gossip.on_report(reporter, datagram.number, &datagram.entries, state.clock.now());
+        let mut gossip_state = lock(&self.gossip_state);
+        gossip_state.gossip.on_report(reporter, datagram.number, &datagram.entries, state.clock.now());
     }
 
-    /// Cells on one engine process: responses and failures here; gateways that reported, their responses and failures, the
-    /// age of the newest report in seconds; and whose probe slot it is.
-    pub(super) fn row(
+    /// Status cells of one engine process: responses and failures that this gateway observed, number of gateways that
+    /// reported the process, responses and failures that those gateways observed, age of the newest report in seconds
+    /// (empty without a report), and which gateway may probe the process in the current probe slot (`mine` or
+    /// `another's`).
+    pub(super) fn status_cells(
         &self,
         member_name: &str,
-        alive: &BTreeMap<String, String>,
+        live_members: &BTreeMap<String, String>,
         process: EngineProcess,
         now: Timestamp,
     ) -> [String; 7] {
-        let inner = lock(&self.inner);
-        let ProcessSummary { peers: others, own } = inner.gossip.summary(process);
-        let is_own_slot = inner.gossip.may_probe(member_name, process, alive, now);
+        let gossip_state = lock(&self.gossip_state);
+        let ProcessSummary { peers, own } = gossip_state.gossip.summary(process);
+        let may_probe = gossip_state.gossip.may_probe(member_name, process, live_members, now);
         [
             own.answered.to_string(),
             own.failed.to_string(),
-            others.gateways.to_string(),
-            others.answered.to_string(),
-            others.failed.to_string(),
-            others.heard_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs())),
-            if is_own_slot { "mine" } else { "another's" }.to_owned(),
+            peers.gateways.to_string(),
+            peers.answered.to_string(),
+            peers.failed.to_string(),
+            peers.heard_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs())),
+            if may_probe { "mine" } else { "another's" }.to_owned(),
         ]
     }
 
     pub(super) fn log_counters(&self, state: &State) {
-        info!(state.log, "health gossip counters"; "sent" => count(&self.counters.sent),
-            "received" => count(&self.counters.received), "ignored" => count(&self.counters.ignored),
-            "counted" => count(&self.counters.counted));
+        info!(state.log, "health gossip counters"; "sent" => counter_value(&self.counters.sent),
+            "received" => counter_value(&self.counters.received),
+            "ignored" => counter_value(&self.counters.ignored),
+            "counted" => counter_value(&self.counters.peer_outcomes));
     }
 }
--- a/crates/gateway/src/cluster/leases/load_reports.rs
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -1,7 +1,7 @@
-//! Load reports, shared between gateways: the holder of a health-checking lease asks its engines for their load, and
-//! sends what they say to all members.
+//! Shared load reports: the holder of a health-check lease requests load reports from its engines and sends them to
+//! all members.
 
-use super::{LIST_BYTES, LeaseService};
+use super::{LeaseService, MAX_LIST_BYTES};
 use crate::cluster::Cluster;
 use crate::cluster::counters::increment;
 use crate::engine::load_report;
@@ -16,68 +16,71 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 impl LeaseService {
-    /// Where it is time, asks the engines of each lease held here for their load, and sends the reports to all members once
-    /// the last engine has answered.
+    /// Starts a round of health checks if one is due: requests load reports from the engines of each health-check
+    /// lease that this gateway holds, and sends the reports of a lease to all members once its last health check has
+    /// ended.
     pub(super) fn request_load_reports(
         &self,
         state: &Arc<State>,
         cluster: &Arc<Cluster>,
-        ready: &[ReadyEngine],
+        ready_engines: &[ReadyEngine],
     ) {
         let Some(sharing) = &state.shared_load_reports else { return };
-        let roles = {
+        let role_count = {
             let mut sharing = lock(sharing);
             if sharing.start_round(state.clock.now()) { sharing.roles() } else { 0 }
         };
-        for number in 0..roles {
-            let engines: Vec<ReadyEngine> = ready
+        for index in 0..role_count {
+            let engines: Vec<ReadyEngine> = ready_engines
                 .iter()
                 .copied()
-                .filter(|engine| role_index(u64::from(engine.id), roles) == number)
+                .filter(|engine| role_index(u64::from(engine.id), role_count) == index)
                 .collect();
-            let outstanding = Arc::new(AtomicUsize::new(engines.len()));
-            for ReadyEngine { index, id, .. } in engines {
-                let permit = lock(&self.leases)
-                    .permit(&health_check_role(number), self.now())
-                    .map(|permit| permit.allow(HealthCheck { engine: index }));
+            let pending_checks = Arc::new(AtomicUsize::new(engines.len()));
+            for ReadyEngine { index: engine, id, .. } in engines {
+                let permit = lock(&self.manager)
+                    .permit(&health_check_role(index), self.now())
+                    .map(|permit| permit.allow(HealthCheck { engine }));
                 let Some(allowed) = permit else { break };
                 let state = state.clone();
                 let cluster = cluster.clone();
-                let outstanding = outstanding.clone();
+                let pending_checks = pending_checks.clone();
                 may::go!(move || {
                     let report = load_report::fetch(&state, allowed.into_action().engine);
                     if let (Some(report), Some(sharing)) = (report, &state.shared_load_reports) {
-                        lock(sharing).record_own(encode_report(id, report), state.clock.now());
+                        lock(sharing).record_own(to_shared_report(id, report), state.clock.now());
                     }
-                    let is_last = outstanding.fetch_sub(1, Ordering::Relaxed) == 1;
+                    let is_last = pending_checks.fetch_sub(1, Ordering::Relaxed) == 1;
                     if let Some(leases) = cluster.leases.as_ref().filter(|_| is_last) {
-                        leases.send_load_reports(&state, &cluster, number);
+                        leases.send_load_reports(&state, &cluster, index);
                     }
                 });
             }
         }
     }
 
-    /// Sends what was reported under a lease to all members, with its token, while it still lasts.
-    fn send_load_reports(&self, state: &State, cluster: &Cluster, number: usize) {
+    /// Sends the unsent reports of one health-check role to all other members, fenced by the token of its lease.
+    /// Stops when the lease is no longer held.
+    fn send_load_reports(&self, state: &State, cluster: &Cluster, index: usize) {
         let Some(sharing) = &state.shared_load_reports else { return };
-        let reports = lock(sharing).take_unsent(number, state.clock.now());
-        let lease = health_check_role(number);
-        for page in paginate(reports, LIST_BYTES) {
-            let fenced = lock(&self.leases).permit(&lease, self.now()).map(|permit| permit.fence(page));
+        let reports = lock(sharing).take_unsent(index, state.clock.now());
+        let role = health_check_role(index);
+        for page in paginate(reports, MAX_LIST_BYTES) {
+            let fenced = lock(&self.manager).permit(&role, self.now()).map(|permit| permit.fence(page));
             let Some(fenced) = fenced else { return };
-            let others: Vec<String> = lock(&cluster.members)
+            let peers: Vec<String> = lock(&cluster.membership)
                 .live()
                 .map(|(name, _)| name)
-                .filter(|name| **name != self.me.name)
+                .filter(|name| **name != self.member_id.name)
                 .cloned()
                 .collect();
-            for to in others {
-                self.send(cluster, &to, Payload::LoadReports(fenced.clone()));
+            for peer in peers {
+                self.send(cluster, &peer, Payload::LoadReports(fenced.clone()));
             }
         }
     }
 
+    /// Passes the accepted reports of a lease holder to the policy; reports with an outdated token are rejected.
     pub(super) fn on_load_reports(&self, state: &State, reports: &Fenced<Vec<SharedLoadReport>>) {
         let Some(sharing) = &state.shared_load_reports else { return };
         let accepted: Option<Vec<SharedLoadReport>> = lock(sharing)
@@ -87,21 +90,22 @@
             warn!(state.log, "load reports rejected"; "token" => reports.token, "lease" => &reports.role);
             return;
         };
-        for reading in accepted {
+        for shared in accepted {
             increment(&self.counters.load_reports);
             let report =
-                LoadReport { in_flight: reading.in_flight.map(f64::from), busy: reading.busy.map(f64::from) };
-            state.policy.record_shared_load_report(reading.engine, report);
+                LoadReport { in_flight: shared.in_flight.map(f64::from), busy: shared.busy.map(f64::from) };
+            state.policy.record_shared_load_report(shared.engine, report);
         }
     }
 }
 
-fn encode_report(engine: u32, report: LoadReport) -> SharedLoadReport {
-    let narrow = |value: Option<f64>| value.map(|value| value as f32);
+/// Converts a report that was just received from an engine; its age is set when it is sent.
+fn to_shared_report(engine_id: u32, report: LoadReport) -> SharedLoadReport {
+    let to_f32 = |value: Option<f64>| value.map(|value| value as f32);
     SharedLoadReport {
-        engine: u64::from(engine),
+        engine: u64::from(engine_id),
         age_us: 0,
-        in_flight: narrow(report.in_flight),
-        busy: narrow(report.busy),
+        in_flight: to_f32(report.in_flight),
+        busy: to_f32(report.busy),
     }
 }
--- a/crates/gateway/src/cluster/leases/messages.rs
+++ b/crates/gateway/src/cluster/leases/messages.rs
@@ -1,4 +1,4 @@
-//! Lease messages on the socket, and what comes of them.
+//! Receives lease messages, and sends, stores and logs the output of the lease manager.
 
 use super::LeaseService;
 use crate::cluster::Cluster;
@@ -16,14 +16,14 @@
         state: &State,
         cluster: &Cluster,
         bytes: &[u8],
-        from: SocketAddrV4,
+        sender: SocketAddrV4,
     ) {
         increment(&self.counters.received);
         let Ok(datagram) = Datagram::decode(bytes, &self.cluster_name) else {
             return increment(&self.counters.corrupt);
         };
-        if !is_known(cluster, &datagram.sender, from) {
-            return increment(&self.counters.unknown);
+        if !is_known_member(cluster, &datagram.sender, sender) {
+            return increment(&self.counters.unknown_members);
         }
         match &datagram.payload {
             Payload::LoadReports(reports) => self.on_load_reports(state, reports),
@@ -31,70 +31,73 @@
                 self.on_quota_message(state, cluster, &datagram.sender, payload);
             }
             payload => {
-                let effects = lock(&self.leases).on_message(&datagram.sender, payload, self.now());
-                self.apply(state, cluster, effects);
+                let output = lock(&self.manager).on_message(&datagram.sender, payload, self.now());
+                self.apply_output(state, cluster, output);
             }
         }
     }
 
+    /// Sends a message to the member `to`. A message to an unknown member is dropped and counted.
     pub(super) fn send(&self, cluster: &Cluster, to: &str, payload: Payload) {
-        let address = lock(&cluster.members).members().get(to).map(|member| member.info.address);
+        let address = lock(&cluster.membership).members().get(to).map(|member| member.info.address);
         let Some(address) = address else {
-            return increment(&self.counters.unknown);
+            return increment(&self.counters.unknown_members);
         };
-        let bytes = Datagram::new(&self.cluster_name, &self.me, payload).encode();
+        let bytes = Datagram::new(&self.cluster_name, &self.member_id, payload).encode();
         if cluster.socket.inner().send_to(&bytes, address).is_ok() {
             increment(&self.counters.sent);
         }
     }
 
-    /// Sends, logs and carries out what came of a call. No lock is held here.
-    pub(super) fn apply(&self, state: &State, cluster: &Cluster, effects: Output) {
-        for message in effects.messages {
+    /// Sends the messages, queues the voter record and handles the events that a call to the lease manager returned.
+    /// The caller holds no lock.
+    pub(super) fn apply_output(&self, state: &State, cluster: &Cluster, output: Output) {
+        for message in output.messages {
             self.send(cluster, &message.to, message.payload);
         }
-        if let (Some(record), Some(records)) = (effects.record_to_write, &self.records) {
-            // One is written at a time, so there is room.
-            let _ = records.try_send(record);
+        if let (Some(record), Some(sender)) = (output.record_to_write, &self.record_sender) {
+            // The channel has room: the manager waits for each write before it returns the next record.
+            let _ = sender.try_send(record);
         }
-        self.has_changed.fetch_or(!effects.events.is_empty(), Ordering::Relaxed);
-        for event in effects.events {
+        self.has_pending_events.fetch_or(!output.events.is_empty(), Ordering::Relaxed);
+        for event in output.events {
             self.on_lease_event(state, cluster, event);
         }
     }
 
     fn on_lease_event(&self, state: &State, cluster: &Cluster, event: LeaseEvent) {
-        let LeaseEvent { role: lease, kind } = event;
+        let LeaseEvent { role, kind } = event;
         match kind {
             LeaseEventKind::Acquired { token } => {
-                info!(state.log, "lease acquired"; "token" => token, "lease" => lease);
+                info!(state.log, "lease acquired"; "token" => token, "lease" => role);
             }
             LeaseEventKind::Ending { token, reason, successor } => {
                 info!(state.log, "lease ending"; "successor" => successor.unwrap_or_default(),
-                    "reason" => format!("{reason:?}"), "token" => token, "lease" => &lease);
-                self.supervisor.end(&lease);
-                if !self.supervisor.is_running(&lease) {
-                    let effects = lock(&self.leases).on_work_stopped(&lease, self.now());
-                    self.apply(state, cluster, effects);
+                    "reason" => format!("{reason:?}"), "token" => token, "lease" => &role);
+                self.supervisor.request_stop(&role);
+                if !self.supervisor.is_running(&role) {
+                    let output = lock(&self.manager).on_work_stopped(&role, self.now());
+                    self.apply_output(state, cluster, output);
                 }
             }
             LeaseEventKind::Lost { token, reason } => {
-                warn!(state.log, "lease lost"; "reason" => format!("{reason:?}"), "token" => token, "lease" => &lease);
-                self.supervisor.end(&lease);
+                warn!(state.log, "lease lost"; "reason" => format!("{reason:?}"), "token" => token, "lease" => &role);
+                self.supervisor.request_stop(&role);
             }
             LeaseEventKind::Released { token, successor } => {
                 info!(state.log, "lease released"; "successor" => successor.unwrap_or_default(), "token" => token,
-                    "lease" => lease);
+                    "lease" => role);
             }
         }
     }
 }
 
-/// Whether membership knows the sender, at the address that it knows it by. A process that was declared dead for a
-/// while goes on there under a later generation, and here under that of its start: it is the same one.
-fn is_known(cluster: &Cluster, sender: &MemberId, from: SocketAddrV4) -> bool {
-    lock(&cluster.members)
+/// Returns whether membership knows the sender at this address. A process that was declared dead by mistake raises
+/// its generation in membership, while its lease messages keep the generation of its start, so a lower generation in
+/// a message from the known address is accepted as the same process.
+fn is_known_member(cluster: &Cluster, sender: &MemberId, address: SocketAddrV4) -> bool {
+    lock(&cluster.membership)
         .members()
         .get(&sender.name)
-        .is_some_and(|member| member.info.address == from && member.status.generation >= sender.generation)
+        .is_some_and(|member| member.info.address == address && member.status.generation >= sender.generation)
 }
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -1,5 +1,5 @@
-//! Leased roles on this gateway: what the package decides, brought to the socket, the disk, the operator's programs and
-//! the log.
+//! Leased roles of this gateway: connects the lease manager to the cluster socket, the disk, the operator's programs
+//! and the log.
 
 mod load_reports;
 mod messages;
@@ -30,190 +30,204 @@
 use std::sync::mpsc::SyncSender;
 use std::sync::{Arc, Mutex};
 
-/// Bytes that load reports and quotas take in a datagram.
-const LIST_BYTES: usize = 1000;
-/// While a program is to end, its end is looked for this often.
+/// Maximum size, in bytes, of an encoded list of load reports, quota demands or quota grants in one datagram.
+const MAX_LIST_BYTES: usize = 1000;
+/// Time between two timer runs while a program runs or a lease event is pending.
 const PROGRAM_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Default)]
 struct Counters {
+    /// Received datagrams.
     received: AtomicU64,
+    /// Sent datagrams.
     sent: AtomicU64,
-    unknown: AtomicU64,
+    /// Messages from or to a process that membership does not know.
+    unknown_members: AtomicU64,
+    /// Received datagrams that can't be decoded.
     corrupt: AtomicU64,
-    records: AtomicU64,
-    records_failed: AtomicU64,
+    /// Attempts to write the voter record, failed ones among them.
+    record_writes: AtomicU64,
+    failed_record_writes: AtomicU64,
+    /// Load reports of other members that were accepted.
     load_reports: AtomicU64,
-    quotas: AtomicU64,
+    /// Quota grants that were accepted.
+    quota_grants: AtomicU64,
 }
 
-/// Leased roles, and what this gateway does while it holds some.
+/// Runs the lease manager of this gateway and the work under the leases that it holds.
 pub struct LeaseService {
-    leases: Mutex<LeaseManager>,
-    me: MemberId,
+    manager: Mutex<LeaseManager>,
+    member_id: MemberId,
     cluster_name: String,
     platform: Platform,
     fitness_thresholds: Mutex<FitnessThresholds>,
     fitness: Mutex<Fitness>,
-    /// To the thread that writes the voter record, where there is a disk for it.
-    records: Option<SyncSender<VoterRecord>>,
+    /// Sends records to the thread of [`VoterRecordWriter`]; `None` without a folder for the voter record.
+    record_sender: Option<SyncSender<VoterRecord>>,
     supervisor: Supervisor,
-    /// Quotas that are allocated by lease holders, where the operator's file has them.
-    quotas: Option<QuotaExchange>,
+    /// `None` if the operator's file configures no quotas.
+    quota_exchange: Option<QuotaExchange>,
     last_timer: Mutex<Timestamp>,
-    /// A lease was acquired or is ending since the last timer: programs are looked after soon.
-    has_changed: AtomicBool,
+    /// Whether a lease event occurred since the last timer run, so that programs must be updated soon.
+    has_pending_events: AtomicBool,
     counters: Counters,
 }
 
-/// What the service is made of.
+/// Parameters of [`LeaseService::open`].
 pub struct LeaseSetup {
-    /// The operator's settings.
+    /// Lease settings from the operator's file.
     pub settings: LeaseConfig,
-    /// This process.
+    /// Name and generation of this process.
     pub member_id: MemberId,
-    /// Seed of the package's random choices.
+    /// Seed of the lease manager's random choices.
     pub seed: u64,
     /// Clocks and the disk.
     pub platform: Platform,
-    /// What quotas are worked out from.
+    /// Platform settings that quotas are computed from.
     pub quota_inputs: QuotaInputs,
 }
 
-/// The service, and the writer of the voter record where there is a disk for it.
+/// Result of [`LeaseService::open`].
 pub struct OpenedLeases {
-    /// The service.
+    /// The service, for the cluster.
     pub service: Arc<LeaseService>,
-    /// To be started once the socket is open.
+    /// Must be started once the cluster socket is open; `None` without a folder for the voter record.
     pub record_writer: Option<VoterRecordWriter>,
 }
 
 impl LeaseService {
-    /// Reads the voter record, before anything is requested or granted.
+    /// Loads the voter record, creates the lease manager and starts the supervisor of programs. No lease is requested
+    /// or granted before the voter record is loaded. Fails if the thread of the supervisor can't be started.
     pub fn open(state: &State, setup: LeaseSetup) -> io::Result<OpenedLeases> {
-        let LeaseSetup { settings: config, member_id: me, seed, platform, quota_inputs } = setup;
+        let LeaseSetup { settings: config, member_id, seed, platform, quota_inputs } = setup;
         let now = (platform.steady_clock)();
-        // One that is no voter now may become one, when the file is read again.
+        // The disk is opened on gateways that are not voters too, since a reload of the settings may make them
+        // voters.
         let mut disk = config.record_folder.as_ref().map(|folder| (platform.open_disk)(folder));
-        let is_voter = config.settings.voters.contains(&me.name);
-        let record = read_record(state, disk.as_mut(), is_voter);
+        let is_voter = config.settings.voters.contains(&member_id.name);
+        let record = load_voter_record(state, disk.as_mut(), is_voter);
         let settings = config.settings;
-        let quotas = config.quotas.map(|quotas| {
+        let quota_exchange = config.quotas.map(|quotas| {
             QuotaExchange::new(state, quotas, settings.terms.drift_margin_per_mille, quota_inputs, now)
         });
         let cluster_name = settings.cluster.clone();
-        let unix_time = (platform.unix_clock)().micros();
-        let leases = LeaseManager::new(me.clone(), settings, record.as_ref(), unix_time, seed, now);
-        let (records, record_writer) = disk.map(VoterRecordWriter::new).unzip();
+        let unix_time_us = (platform.unix_clock)().micros();
+        let manager =
+            LeaseManager::new(member_id.clone(), settings, record.as_ref(), unix_time_us, seed, now);
+        let (record_sender, record_writer) = disk.map(VoterRecordWriter::new).unzip();
         let service = LeaseService {
-            leases: Mutex::new(leases),
-            me,
+            manager: Mutex::new(manager),
+            member_id,
             cluster_name,
             platform,
             fitness_thresholds: Mutex::new(config.fitness),
             fitness: Mutex::default(),
-            records,
+            record_sender,
             supervisor: Supervisor::start(config.programs)?,
-            quotas,
+            quota_exchange,
             last_timer: Mutex::new(now),
-            has_changed: AtomicBool::new(false),
+            has_pending_events: AtomicBool::new(false),
             counters: Counters::default(),
         };
         Ok(OpenedLeases { service: Arc::new(service), record_writer })
     }
 
+    /// Reads the steady clock, which all times of leases refer to.
     fn now(&self) -> Timestamp {
         (self.platform.steady_clock)()
     }
 
-    /// Takes over a file that was read again, or rejects it whole where the change can't be made safely.
-    pub(super) fn reload(&self, state: &State, cluster: &Cluster, settings: LeaseConfig) {
-        // Whether there is a disk was settled at the start.
+    /// Applies reloaded lease settings, or rejects all of them if the voters can't be changed safely.
+    pub(super) fn reload(&self, state: &State, cluster: &Cluster, config: LeaseConfig) {
+        // Whether the voter record is kept on disk is fixed at startup.
         let voter_limits =
-            VoterLimits { persistent: self.records.is_some(), ..settings.settings.voter_limits };
-        let leases = LeaseSettings { voter_limits, ..settings.settings };
+            VoterLimits { persistent: self.record_sender.is_some(), ..config.settings.voter_limits };
+        let settings = LeaseSettings { voter_limits, ..config.settings };
         let result =
-            lock(&self.leases).update_settings(leases, (self.platform.unix_clock)().micros(), self.now());
+            lock(&self.manager).update_settings(settings, (self.platform.unix_clock)().micros(), self.now());
         match result {
-            Ok(effects) => {
-                self.supervisor.reload(settings.programs);
-                *lock(&self.fitness_thresholds) = settings.fitness;
-                self.apply(state, cluster, effects);
+            Ok(output) => {
+                self.supervisor.reload(config.programs);
+                *lock(&self.fitness_thresholds) = config.fitness;
+                self.apply_output(state, cluster, output);
             }
             Err(error) => warn!(state.log, "lease settings rejected"; "reason" => error.to_string()),
         }
     }
 
-    pub(super) fn due_in(&self) -> Duration {
+    pub(super) fn time_to_next_timer(&self) -> Duration {
         let now = self.now();
-        let quotas_due = self.quotas.as_ref().map_or(quota_exchange::IDLE, |quotas| quotas.due_in(now));
-        let due = lock(&self.leases).next_timer().since(now).min(quotas_due);
-        // Programs end by themselves, and a lease just acquired is to be acted on: both are looked for in between.
-        let poll = (*lock(&self.last_timer) + PROGRAM_POLL_INTERVAL).since(now);
-        let is_to_poll = self.has_changed.load(Ordering::Relaxed) || self.supervisor.is_running_any();
-        if is_to_poll { due.min(poll) } else { due }
+        let time_to_quota_request = self
+            .quota_exchange
+            .as_ref()
+            .map_or(quota_exchange::DEFAULT_TIMER_INTERVAL, |exchange| exchange.time_to_next_request(now));
+        let time_to_timer = lock(&self.manager).next_timer().since(now).min(time_to_quota_request);
+        // Programs can exit at any time, and a new lease must be acted on soon: both are polled between the timers.
+        let time_to_poll = (*lock(&self.last_timer) + PROGRAM_POLL_INTERVAL).since(now);
+        let must_poll = self.has_pending_events.load(Ordering::Relaxed) || self.supervisor.is_any_running();
+        if must_poll { time_to_timer.min(time_to_poll) } else { time_to_timer }
     }
 
-    /// Gives all leases to others.
+    /// Hands over all leases, on shutdown.
     pub(super) fn leave(&self, state: &State, cluster: &Cluster) {
-        let effects = lock(&self.leases).leave(self.now());
-        self.apply(state, cluster, effects);
+        let output = lock(&self.manager).leave(self.now());
+        self.apply_output(state, cluster, output);
     }
 
-    /// Whether no lease is held any more and no program runs.
-    pub(super) fn is_done(&self) -> bool {
-        !self.supervisor.is_running_any() && !lock(&self.leases).holds_any()
+    /// Returns whether no lease is held and no program runs, so that the gateway may end.
+    pub(super) fn is_finished(&self) -> bool {
+        !self.supervisor.is_any_running() && !lock(&self.manager).holds_any()
     }
 
     pub(super) fn on_name_taken(&self, state: &State, cluster: &Cluster) {
-        let effects = lock(&self.leases).on_name_taken(self.now());
-        self.apply(state, cluster, effects);
+        let output = lock(&self.manager).on_name_taken(self.now());
+        self.apply_output(state, cluster, output);
     }
 
     pub(super) fn on_timer(&self, state: &Arc<State>, cluster: &Arc<Cluster>) {
         let now = self.now();
         *lock(&self.last_timer) = now;
-        self.has_changed.store(false, Ordering::Relaxed);
+        self.has_pending_events.store(false, Ordering::Relaxed);
         let state_now = state.clock.now();
-        let members = lock(&cluster.members);
-        let own_health = members.health().score();
-        // Membership goes by the state's clock, leases by the steady one.
-        let since = |member: &Member| now - state_now.since(member.since);
-        let alive_since: BTreeMap<String, Timestamp> =
-            members.live().map(|(name, member)| (name.clone(), since(member))).collect();
-        drop(members);
+        let membership = lock(&cluster.membership);
+        let health_score = membership.health().score();
+        // Membership uses the clock of the gateway's state, leases use the steady clock.
+        let to_steady_time = |member: &Member| now - state_now.since(member.since);
+        let live_members: BTreeMap<String, Timestamp> =
+            membership.live().map(|(name, member)| (name.clone(), to_steady_time(member))).collect();
+        drop(membership);
         let endpoints = state.policy.endpoints();
         let inputs = FitnessInputs {
             listed_engines: endpoints.present,
             ready_engines: endpoints.ready.len(),
             discovery_silence: state_now.since(state.discovery.last_heard()),
-            health_score: own_health,
+            health_score,
         };
         let thresholds = *lock(&self.fitness_thresholds);
         let is_fit = lock(&self.fitness).update(thresholds, inputs);
-        let effects = {
-            let mut leases = lock(&self.leases);
-            leases.set_live_members(alive_since);
-            leases.set_fit(is_fit);
-            leases.on_timer(now)
+        let output = {
+            let mut manager = lock(&self.manager);
+            manager.set_live_members(live_members);
+            manager.set_fit(is_fit);
+            manager.on_timer(now)
         };
-        self.apply(state, cluster, effects);
+        self.apply_output(state, cluster, output);
         self.update_programs(state, cluster);
         self.request_load_reports(state, cluster, &endpoints.ready);
         self.request_quotas(state, cluster);
     }
 }
 
-/// The voter record as it is on disk, if there is one.
-fn read_record(state: &State, disk: Option<&mut Box<dyn Disk>>, is_voter: bool) -> Option<VoterRecord> {
-    let has_disk = disk.is_some();
-    let found = disk.map(|disk| load(disk.as_mut())).unwrap_or_default();
-    for DamagedFile { file, reason } in &found.damaged {
+/// Loads the voter record from disk, if there is one, and logs each record file that is damaged.
+fn load_voter_record(state: &State, disk: Option<&mut Box<dyn Disk>>, is_voter: bool) -> Option<VoterRecord> {
+    let is_persistent = disk.is_some();
+    let loaded = disk.map(|disk| load(disk.as_mut())).unwrap_or_default();
+    for DamagedFile { file, reason } in &loaded.damaged {
         warn!(state.log, "voter record damaged"; "reason" => reason, "file" => file);
     }
     if is_voter {
-        let version = found.record.as_ref().map_or(0, |record| record.version);
-        info!(state.log, "voter started"; "persistent" => has_disk, "record_version" => version);
+        let version = loaded.record.as_ref().map_or(0, |record| record.version);
+        info!(state.log, "voter started"; "persistent" => is_persistent, "record_version" => version);
     }
-    found.record
+    loaded.record
 }
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -1,7 +1,7 @@
-//! Quotas, exchanged between gateways: each asks the holders of the allocating leases for its part of each capacity, and
-//! answers those that ask it where it holds such a lease itself.
+//! Exchanges quotas with other gateways: each gateway requests its quotas of all capacities from the holders of the
+//! quota-allocator leases, and answers requests while it holds such a lease itself.
 
-use super::{LIST_BYTES, LeaseService};
+use super::{LeaseService, MAX_LIST_BYTES};
 use crate::cluster::Cluster;
 use crate::state::{State, lock};
 use larchfall_config::Settings;
@@ -19,14 +19,14 @@
 use std::sync::Mutex;
 use std::sync::atomic::Ordering;
 
-/// Of more capacities than this gateways use their own fraction only.
+/// Maximum number of capacities with quotas. A gateway uses its default fraction of any further capacity.
 const MAX_CAPACITIES: usize = 4096;
-/// When to look again where no quotas are exchanged.
-pub(super) const IDLE: Duration = Duration::from_millis(1000);
+/// Longest time between two timer runs of the lease service if no quotas are exchanged.
+pub(super) const DEFAULT_TIMER_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What of the platform's settings quotas are worked out from.
+/// Platform settings that quotas are computed from.
 pub struct QuotaInputs {
-    /// How many gateways there are at most.
+    /// Maximum number of gateways that run at the same time.
     pub max_gateways: usize,
     slow_start: SlowStartPolicy,
     classes: Vec<RequestClass>,
@@ -39,7 +39,7 @@
 }
 
 impl QuotaInputs {
-    /// From the platform's settings.
+    /// Copies the inputs from the platform's settings.
     pub fn new(platform: &Settings) -> QuotaInputs {
         let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
         QuotaInputs {
@@ -51,10 +51,10 @@
     }
 }
 
-/// This gateway's quotas, and those that it allocates.
+/// Quotas that this gateway has, and quotas that it allocates to others.
 pub(super) struct QuotaExchange {
-    pub(super) quotas: Mutex<QuotaManager>,
-    /// Which kinds of capacity are allocated, by the operator's file.
+    pub(super) manager: Mutex<QuotaManager>,
+    /// Kinds of capacities with quotas, from the operator's file.
     kinds: QuotaKinds,
     inputs: QuotaInputs,
 }
@@ -63,7 +63,7 @@
     pub(super) fn new(
         state: &State,
         config: QuotaConfig,
-        margin: u32,
+        drift_margin_per_mille: u32,
         inputs: QuotaInputs,
         now: Timestamp,
     ) -> QuotaExchange {
@@ -71,55 +71,56 @@
         let strict = QuotaTerms {
             max_gateways: inputs.max_gateways,
             length: lifetime,
-            drift_margin_per_mille: margin,
+            drift_margin_per_mille,
             usage_window: inputs.slow_start.window,
             strict: true,
         };
         let soft = QuotaTerms { usage_window: Duration::ZERO, strict: false, ..strict };
         let settings = QuotaSettings { strict, soft, allocators, max_capacities: MAX_CAPACITIES };
-        let quotas = QuotaManager::new(settings, now);
+        let manager = QuotaManager::new(settings, now);
         if kinds.slow_start {
-            state.policy.enable_quotas(quotas.strict_default_fraction());
+            state.policy.enable_quotas(manager.strict_default_fraction());
         }
-        QuotaExchange { quotas: Mutex::new(quotas), kinds, inputs }
+        QuotaExchange { manager: Mutex::new(manager), kinds, inputs }
     }
 
-    pub(super) fn due_in(&self, now: Timestamp) -> Duration {
-        lock(&self.quotas).next_request().since(now)
+    pub(super) fn time_to_next_request(&self, now: Timestamp) -> Duration {
+        lock(&self.manager).next_request().since(now)
     }
 
-    /// How much this gateway wants of each capacity that is allocated.
-    fn wanted(&self, state: &State, demand: &Demand) -> Vec<CapacityDemand> {
-        let mut wanted = Vec::new();
+    /// Returns this gateway's demand for each capacity with quotas.
+    fn capacity_demands(&self, state: &State, demand: &Demand) -> Vec<CapacityDemand> {
+        let mut demands = Vec::new();
         for ready in state.policy.ready_for_quotas(&self.inputs.slow_start) {
             let weight = demand.of_engine(&ready.engine, &self.inputs.classes);
             if self.kinds.slow_start && ready.in_slow_start {
-                wanted.push(CapacityDemand { capacity: Capacity::SlowStart(ready.id), weight });
+                demands.push(CapacityDemand { capacity: Capacity::SlowStart(ready.id), weight });
             }
             if self.kinds.threads {
-                wanted.push(CapacityDemand { capacity: Capacity::Threads(ready.id), weight });
+                demands.push(CapacityDemand { capacity: Capacity::Threads(ready.id), weight });
             }
         }
         if self.kinds.tenants {
             let tenants = self.inputs.tenants.iter().enumerate();
-            wanted.extend(tenants.map(|(index, tenant)| CapacityDemand {
+            demands.extend(tenants.map(|(index, tenant)| CapacityDemand {
                 capacity: tenant.capacity,
                 weight: demand.of_tenant(index),
             }));
         }
-        wanted
+        demands
     }
 
-    /// Tells the policy what this gateway may use.
-    fn apply(&self, state: &State, now: Timestamp) {
-        let fraction = |quota: QuotaStatus| Some((Capacity::from_key(quota.capacity)?, quota.fraction));
+    /// Passes this gateway's current quota fractions to the policy.
+    fn apply_quotas(&self, state: &State, now: Timestamp) {
+        let to_entry = |quota: QuotaStatus| Some((Capacity::from_key(quota.capacity)?, quota.fraction));
         let fractions: BTreeMap<Capacity, f64> =
-            lock(&self.quotas).quotas(now).filter_map(fraction).collect();
+            lock(&self.manager).quotas(now).filter_map(to_entry).collect();
         let tenants: Vec<Capacity> = self.inputs.tenants.iter().map(|tenant| tenant.capacity).collect();
         state.policy.set_quotas(&tenants, &fractions);
     }
 
-    /// What a capacity is called in the log and by `larchfall quotas`.
+    /// Name of a capacity in the log and in the output of `larchfall quotas`. Operators' scripts parse the prefixes,
+    /// so they must not change.
     pub(super) fn capacity_name(&self, key: u64) -> String {
         match Capacity::from_key(key) {
             Some(Capacity::SlowStart(id)) => format!("cold/{id:08x}"),
@@ -134,26 +135,26 @@
 }
 
 impl LeaseService {
-    /// Asks for this gateway's quotas where it is time, and tells the policy what it may use now.
+    /// Requests this gateway's quotas if a request is due, and passes the current quotas to the policy.
     pub(super) fn request_quotas(&self, state: &State, cluster: &Cluster) {
-        let Some(exchange) = &self.quotas else { return };
+        let Some(exchange) = &self.quota_exchange else { return };
         let now = self.now();
         let (requests, terms) = {
-            let mut quotas = lock(&exchange.quotas);
-            let allocators = quotas.allocators();
-            let wanted = |demand: &Demand| exchange.wanted(state, demand);
+            let mut manager = lock(&exchange.manager);
+            let allocators = manager.allocators();
+            let demands = |demand: &Demand| exchange.capacity_demands(state, demand);
             let allocator_of = |capacity| role_index(capacity, allocators);
-            let requests = quotas.requests(|| state.policy.arrivals(), wanted, allocator_of, now);
-            (requests, quotas.request_terms())
+            let requests = manager.requests(|| state.policy.arrivals(), demands, allocator_of, now);
+            (requests, manager.request_terms())
         };
-        exchange.apply(state, now);
+        exchange.apply_quotas(state, now);
         for request in requests {
-            let lease = quota_allocator_role(request.allocator);
-            let holder = lock(&self.leases).holder(&lease, now).map(str::to_owned);
+            let role = quota_allocator_role(request.allocator);
+            let holder = lock(&self.manager).holder(&role, now).map(str::to_owned);
             let Some(holder) = holder else { continue };
-            for demands in paginate(request.demands, LIST_BYTES) {
+            for demands in paginate(request.demands, MAX_LIST_BYTES) {
                 let message = Payload::RequestQuotas {
-                    role: lease.clone(),
+                    role: role.clone(),
                     round: request.round,
                     gateways: terms.max_gateways as u32,
                     length_us: terms.length.micros(),
@@ -164,10 +165,10 @@
         }
     }
 
-    /// To a member, which may be this gateway itself.
+    /// Sends a quota message to the member `to`; a message to this gateway itself is handled without the network.
     fn send_quota_message(&self, state: &State, cluster: &Cluster, to: &str, message: Payload) {
-        if to == self.me.name {
-            self.on_quota_message(state, cluster, &self.me, &message);
+        if to == self.member_id.name {
+            self.on_quota_message(state, cluster, &self.member_id, &message);
         } else {
             self.send(cluster, to, message);
         }
@@ -177,49 +178,52 @@
         &self,
         state: &State,
         cluster: &Cluster,
-        from: &MemberId,
+        sender: &MemberId,
         message: &Payload,
     ) {
-        let Some(exchange) = &self.quotas else { return };
+        let Some(exchange) = &self.quota_exchange else { return };
         match message {
-            Payload::RequestQuotas { role: lease, round, gateways, length_us, demands } => {
+            Payload::RequestQuotas { role, round, gateways, length_us, demands } => {
                 let terms = RequestTerms {
                     max_gateways: *gateways as usize,
                     length: Duration::from_micros(*length_us),
                 };
-                let Some(granted) = self.allocate(exchange, lease, &from.name, terms, demands) else {
+                let Some(fenced) = self.allocate_quotas(exchange, role, &sender.name, terms, demands) else {
                     return;
                 };
-                for page in paginate(granted.content, LIST_BYTES) {
-                    let grants = Fenced { role: granted.role.clone(), token: granted.token, content: page };
+                for page in paginate(fenced.content, MAX_LIST_BYTES) {
+                    let grants = Fenced { role: fenced.role.clone(), token: fenced.token, content: page };
                     let message = Payload::Quotas { round: *round, grants };
-                    self.send_quota_message(state, cluster, &from.name, message);
+                    self.send_quota_message(state, cluster, &sender.name, message);
                 }
             }
             Payload::Quotas { round, grants } => {
                 let now = self.now();
-                let accepted = lock(&exchange.quotas).on_grants(*round, grants.token, &grants.content, now);
-                self.counters.quotas.fetch_add(accepted as u64, Ordering::Relaxed);
-                exchange.apply(state, now);
+                let accepted = lock(&exchange.manager).on_grants(*round, grants.token, &grants.content, now);
+                self.counters.quota_grants.fetch_add(accepted as u64, Ordering::Relaxed);
+                exchange.apply_quotas(state, now);
             }
             _ => {}
         }
     }
 
-    /// Quotas for a gateway that asked, where this one holds the lease that allocates them.
-    fn allocate(
+    /// Allocates quotas to the gateway `requester`; `None` if this gateway does not hold the allocator lease of
+    /// `role`.
+    fn allocate_quotas(
         &self,
         exchange: &QuotaExchange,
-        lease: &str,
+        role: &str,
         requester: &str,
         terms: RequestTerms,
         demands: &[QuotaDemand],
     ) -> Option<Fenced<Vec<QuotaGrant>>> {
         let now = self.now();
-        // Held until the quotas are stamped: none is allocated that the next holder may not know to be over in time.
-        let leases = lock(&self.leases);
-        let permit = leases.permit(lease, now)?;
-        let grants = lock(&exchange.quotas).on_request(permit.token, requester, terms, demands, now);
+        // The lock on the lease manager is held until the grants carry the fencing token, so that no quota is
+        // allocated after the lease has ended. The next lease holder waits until all quotas that were allocated under
+        // the lease have expired, and would not wait for such a late quota.
+        let manager = lock(&self.manager);
+        let permit = manager.permit(role, now)?;
+        let grants = lock(&exchange.manager).on_request(permit.token, requester, terms, demands, now);
         Some(permit.fence(grants))
     }
 }
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on the socket: what the package decides is sent, logged, and counted for the policy.
+//! Connects the membership protocol to the cluster socket, the log and the gateway count of the policy.
 
 use super::Cluster;
 use super::counters::increment;
@@ -10,8 +10,8 @@
 use slog::{info, warn};
 use std::net::SocketAddrV4;
 
-/// A member's state in the words of the log and of the status pages.
-pub(super) fn state_word(state: MemberState) -> &'static str {
+/// Name of a member's state in log lines and on status pages.
+pub(super) fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
         MemberState::Suspected => "suspected",
@@ -21,35 +21,38 @@
 }
 
 impl Cluster {
-    /// Sends and logs what came of a call to membership. No lock is held here.
-    pub(super) fn apply_membership(&self, state: &State, effects: Output) {
-        for change in effects.changes {
-            let before = change.from.map_or("unknown", state_word);
+    /// Logs the changes of members and sends the datagrams that a call to membership returned. The caller holds no
+    /// lock.
+    pub(super) fn apply_membership_output(&self, state: &State, output: Output) {
+        for change in output.changes {
+            let previous_state = change.from.map_or("unknown", state_name);
             info!(state.log, "member changed"; "generation" => change.generation,
-                "reason" => format!("{:?}", change.reason), "was" => before, "state" => state_word(change.to),
-                "name" => change.name);
+                "reason" => format!("{:?}", change.reason), "was" => previous_state,
+                "state" => state_name(change.to), "name" => change.name);
         }
-        for OutgoingDatagram { to, datagram } in effects.datagrams {
-            // Straight to the socket: a full buffer loses a datagram, as the network may, and holds nobody up.
-            let sent = self.socket.inner().send_to(&datagram.encode(), to);
-            increment(if sent.is_ok() { &self.counters.sent } else { &self.counters.unsent });
+        for OutgoingDatagram { to, datagram } in output.datagrams {
+            // The inner socket does not block the coroutine: a datagram that meets a full send buffer is dropped,
+            // which the protocol tolerates like a loss in the network.
+            let result = self.socket.inner().send_to(&datagram.encode(), to);
+            increment(if result.is_ok() { &self.counters.sent } else { &self.counters.send_failed });
         }
     }
 
-    /// Tells the policy when another number of gateways is to be counted.
+    /// Updates the policy if the number of gateways to count changed.
     pub(super) fn update_gateway_count(&self, state: &State, now: Timestamp) {
         let Some(gateway_count) = &self.gateway_count else { return };
-        let fleet = lock(&self.members).fleet_view();
+        let fleet_view = lock(&self.membership).fleet_view();
         let mut gateway_count = lock(gateway_count);
-        let count = gateway_count.fleet_size.observe(fleet, now);
-        if count != std::mem::replace(&mut gateway_count.reported, count) {
+        let count = gateway_count.fleet_size.observe(fleet_view, now);
+        if count != std::mem::replace(&mut gateway_count.last_reported, count) {
             drop(gateway_count);
             state.policy.set_gateway_count(count);
-            info!(state.log, "gateways counted"; "silent" => fleet.silent, "alive" => fleet.live, "count" => count);
+            info!(state.log, "gateways counted"; "silent" => fleet_view.silent, "alive" => fleet_view.live,
+                "count" => count);
         }
     }
 
-    pub(super) fn on_membership_datagram(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
+    pub(super) fn on_membership_datagram(&self, state: &State, bytes: &[u8], sender: SocketAddrV4) {
         let datagram = match Datagram::decode(bytes, &self.cluster_name) {
             Ok(datagram) => datagram,
             Err(error) => {
@@ -62,9 +65,9 @@
                 });
             }
         };
-        let result = lock(&self.members).on_datagram(from, &datagram, state.clock.now());
+        let result = lock(&self.membership).on_datagram(sender, &datagram, state.clock.now());
         match result {
-            Ok(effects) => self.apply_membership(state, effects),
+            Ok(output) => self.apply_membership_output(state, output),
             Err(Rejection::UnknownSender) => increment(&self.counters.unknown_senders),
             Err(Rejection::NameTaken) => {
                 warn!(state.log, "membership ended, another process has this name and was started later");
@@ -75,21 +78,23 @@
         }
     }
 
-    /// One line for membership as a whole, one for each member: its state, since when, and when it was heard.
+    /// Logs one line for membership as a whole and one line for each known member.
     pub(super) fn log_members(&self, state: &State) {
         let now = state.clock.now();
-        // Logged without the lock.
-        let (table, health, version) = {
-            let members = lock(&self.members);
-            (members.members().clone(), members.health().score(), members.version())
+        // The members are copied so that no lock is held while the lines are logged.
+        let (members, own_health_score, version) = {
+            let membership = lock(&self.membership);
+            (membership.members().clone(), membership.health().score(), membership.version())
         };
-        info!(state.log, "membership"; "known" => table.len(), "version" => version, "own_health" => health);
-        for (name, member) in &table {
-            let heard = member.heard_at.map_or(-1.0, |time| now.since(time).secs());
-            info!(state.log, "member"; "name" => name, "state" => state_word(member.status.state),
+        info!(state.log, "membership"; "known" => members.len(), "version" => version,
+            "own_health" => own_health_score);
+        for (name, member) in &members {
+            // -1 stands for a member that never sent a datagram to this gateway.
+            let seconds_since_heard = member.heard_at.map_or(-1.0, |time| now.since(time).secs());
+            info!(state.log, "member"; "name" => name, "state" => state_name(member.status.state),
                 "generation" => member.status.generation, "incarnation" => member.status.incarnation,
                 "address" => member.info.address.to_string(), "zone" => &member.info.zone,
-                "since_s" => now.since(member.since).secs(), "heard_s_ago" => heard);
+                "since_s" => now.since(member.since).secs(), "heard_s_ago" => seconds_since_heard);
         }
     }
 }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,5 +1,6 @@
-//! The gateways among themselves, where the operator's file has a `[fronts]` table: one UDP socket, served by one
-//! coroutine. No request waits for it, and it waits for none.
+//! The cluster: how gateways exchange membership, leases, quotas, load reports and health gossip. The cluster is
+//! enabled by the `[fronts]` table of the operator's file. All messages use one UDP socket, which one coroutine
+//! serves, so requests and cluster messages never wait for each other.
 
 mod counters;
 mod event_loop;
@@ -27,57 +28,57 @@
 
 /// This gateway as a member of its cluster.
 pub struct Cluster {
-    members: Mutex<Membership>,
-    /// How many gateways the policy is to count, where that follows those that are alive.
+    membership: Mutex<Membership>,
+    /// Number of gateways for the policy; `None` if the policy uses the fixed number from the platform's settings.
     gateway_count: Option<Mutex<GatewayCount>>,
     socket: UdpSocket,
-    /// Datagrams of other clusters are ignored.
+    /// Datagrams that name another cluster are ignored.
     cluster_name: String,
-    /// This gateway's own.
+    /// This gateway's own name.
     member_name: String,
     counters: DatagramCounters,
-    /// This gateway has told the others that it leaves.
+    /// Set when this gateway has told the other members that it leaves.
     has_left: AtomicBool,
-    /// Roles of which each is held by one gateway at a time, where the operator's file has them.
+    /// `None` if the operator's file configures no leases.
     leases: Option<Arc<LeaseService>>,
-    /// What gateways observed of engines, where the operator's file has it.
+    /// `None` if the operator's file configures no health gossip.
     health_gossip: Option<HealthGossipService>,
 }
 
-/// The number of gateways to count.
 struct GatewayCount {
     fleet_size: FleetSize,
-    /// The number that the policy was told last.
-    reported: usize,
+    /// Number that the policy was last given; 0 at first.
+    last_reported: usize,
 }
 
-/// What a member is made of.
+/// Parts of a [`Cluster`].
 pub struct ClusterSetup {
-    /// Address to bind.
+    /// Address that the cluster socket is bound to.
     pub listen_address: SocketAddrV4,
-    /// Membership, in which this gateway knows itself only.
+    /// Membership that knows only this gateway.
     pub membership: Membership,
-    /// Name of the cluster, as datagrams carry it.
+    /// Name of the cluster in datagrams.
     pub cluster_name: String,
     /// This gateway's own name.
     pub member_name: String,
-    /// Bounds of the number of gateways, where it follows those that are alive.
+    /// Computes the number of gateways for the policy from the live members; `None` keeps the number from the
+    /// platform's settings.
     pub fleet_size: Option<FleetSize>,
-    /// Leased roles, where they are on.
+    /// Leased roles; `None` if they are disabled.
     pub leases: Option<Arc<LeaseService>>,
-    /// Observations of engines shared with others, where that is on.
+    /// Health gossip; `None` if it is disabled.
     pub health_gossip: Option<HealthGossipService>,
 }
 
 impl Cluster {
-    /// Opens the socket; nothing is sent or received yet.
+    /// Binds the socket. Nothing is sent or received before [`Cluster::run`].
     pub fn open(setup: ClusterSetup) -> io::Result<Arc<Cluster>> {
         Ok(Arc::new(Cluster {
             socket: UdpSocket::bind(setup.listen_address)?,
-            members: Mutex::new(setup.membership),
+            membership: Mutex::new(setup.membership),
             gateway_count: setup
                 .fleet_size
-                .map(|fleet_size| Mutex::new(GatewayCount { fleet_size, reported: 0 })),
+                .map(|fleet_size| Mutex::new(GatewayCount { fleet_size, last_reported: 0 })),
             cluster_name: setup.cluster_name,
             member_name: setup.member_name,
             counters: DatagramCounters::default(),
@@ -87,9 +88,10 @@
         }))
     }
 
-    /// Where other members are told that this gateway listens.
+    /// Address at which other members send datagrams to this gateway; it may differ from the address that the socket
+    /// is bound to.
     pub fn advertised_address(&self) -> SocketAddrV4 {
-        lock(&self.members).myself().info.address
+        lock(&self.membership).myself().info.address
     }
 
     /// This gateway's own name.
@@ -97,16 +99,17 @@
         &self.member_name
     }
 
-    /// Zones by the names of the members that are alive, this gateway among them.
+    /// Zones of the members that are alive or suspected, by member name, including this gateway.
     pub fn live_member_zones(&self) -> BTreeMap<String, String> {
-        lock(&self.members).live().map(|(name, member)| (name.clone(), member.info.zone.clone())).collect()
+        lock(&self.membership).live().map(|(name, member)| (name.clone(), member.info.zone.clone())).collect()
     }
 
-    /// Takes over seeds, periods and leases from a file that was read again.
+    /// Applies reloaded settings of membership and leases. Leases that were enabled or disabled in the file keep
+    /// their state until the next start, which a warning reports.
     pub fn reload(&self, state: &State, settings: MembershipSettings, leases: Option<LeaseConfig>) {
-        // Which cluster it belongs to changes with the next start only.
+        // The cluster name changes only with the next start.
         let settings = MembershipSettings { cluster: self.cluster_name.clone(), ..settings };
-        lock(&self.members).update_settings(settings);
+        lock(&self.membership).update_settings(settings);
         match (&self.leases, leases) {
             (Some(service), Some(leases)) => service.reload(state, self, leases),
             (Some(_), None) | (None, Some(_)) => {
@@ -116,17 +119,18 @@
         }
     }
 
-    /// Tells the other members that this gateway leaves, before it stops listening for clients.
+    /// Hands over all leases and tells the other members that this gateway leaves. Called on shutdown, before the
+    /// gateway stops listening for clients.
     pub fn leave(&self, state: &State) {
         if let Some(leases) = &self.leases {
             leases.leave(state, self);
         }
-        let effects = lock(&self.members).leave(state.clock.now());
+        let output = lock(&self.membership).leave(state.clock.now());
         self.has_left.store(true, Ordering::Relaxed);
-        self.apply_membership(state, effects);
+        self.apply_membership_output(state, output);
     }
 
-    /// Logs counters and members, leases and gossip.
+    /// Logs the counters and the state of the cluster socket, leases, health gossip and members.
     pub fn log_status(&self, state: &State) {
         self.counters.log(&state.log);
         if let Some(leases) = &self.leases {
@@ -138,22 +142,23 @@
         self.log_members(state);
     }
 
-    /// Each kind of datagram begins with a version of its own.
-    fn on_datagram(&self, state: &State, bytes: &[u8], from: SocketAddrV4) {
+    /// Dispatches a datagram by its first byte, the protocol version: each protocol on the socket has versions of its
+    /// own.
+    fn on_datagram(&self, state: &State, bytes: &[u8], sender: SocketAddrV4) {
         increment(&self.counters.received);
         let version = bytes.first();
         if let Some(gossip) = &self.health_gossip
             && version == Some(&larchfall_health_gossip::datagram::VERSION)
         {
-            gossip.on_datagram(state, self, bytes, from);
+            gossip.on_datagram(state, self, bytes, sender);
         } else if let Some(leases) = &self.leases
             && version == Some(&larchfall_leases::messages::VERSION)
         {
-            leases.on_datagram(state, self, bytes, from);
+            leases.on_datagram(state, self, bytes, sender);
         } else if version == Some(&status_query::VERSION) {
-            self.answer_status_query(state, bytes, from);
+            self.answer_status_query(state, bytes, sender);
         } else {
-            self.on_membership_datagram(state, bytes, from);
+            self.on_membership_datagram(state, bytes, sender);
         }
     }
 }
--- a/crates/gateway/src/cluster/status_query.rs
+++ b/crates/gateway/src/cluster/status_query.rs
@@ -1,6 +1,6 @@
-//! Status queries: `larchfall members`, `leases`, `quotas` and `engines` ask a running gateway on the UDP address that it
-//! has for other gateways. It answers only what comes from its own machine. Each query is for one page, so no answer is
-//! longer than a datagram.
+//! Status queries: `larchfall members`, `leases`, `quotas` and `engines` query a running gateway at the UDP address
+//! of its cluster socket. A gateway answers only queries from its own machine. Each query asks for one page, so that
+//! each answer fits into a datagram.
 
 use crc::{CRC_32_ISCSI, Crc};
 use serde::{Deserialize, Serialize};
@@ -8,48 +8,51 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::time::Duration;
 
-/// First byte of queries and pages.
+/// First byte of queries and pages; it differs from the versions of the other protocols on the cluster socket.
 pub const VERSION: u8 = 3;
 const MAX_DATAGRAM_BYTES: usize = 1200;
 const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
-const TRIES: usize = 5;
-const TIMEOUT: Duration = Duration::from_millis(300);
+/// Number of times that a query is sent before it fails.
+const MAX_ATTEMPTS: usize = 5;
+/// Wait for an answer after each attempt.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a gateway is asked about. On the wire the place of a variant counts: new ones go to the end.
+/// Subject of a status query. The wire format encodes the index of the variant, so new variants are appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Topic {
-    /// The members that it knows.
+    /// Members that the gateway knows.
     Members,
-    /// Who holds each lease.
+    /// Holder of each lease.
     Leases,
-    /// Its quotas, and those that it allocates.
+    /// Quotas that the gateway has, and quotas that it allocates.
     Quotas,
     /// Health of each engine.
     Engines,
 }
 
-/// A request for one page of rows.
+/// A request for one page of rows. Encoded by position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusQuery {
     version: u8,
     cluster: String,
-    /// What is asked about.
+    /// Subject of the rows.
     pub topic: Topic,
-    /// Rows are wanted from after the one with this name.
-    after: Option<String>,
+    /// Only rows whose name sorts after this name are requested; `None` requests the first page.
+    after_name: Option<String>,
 }
 
-/// Rows by name, which is their first cell.
+/// Rows in the order of their names; the name of a row is its first cell. Encoded by position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct StatusPage {
     version: u8,
-    after: Option<String>,
+    /// As in the query.
+    after_name: Option<String>,
     rows: Vec<Vec<String>>,
     is_last: bool,
 }
 
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Into a vector, of plain structures: this has no way to fail.
+    // Postcard can't fail here: it writes plain structures into a growing vector.
     postcard::to_allocvec_crc32(value, CHECKSUM.digest()).unwrap_or_default()
 }
 
@@ -57,17 +60,19 @@
     postcard::from_bytes_crc32(bytes, CHECKSUM.digest()).ok()
 }
 
-/// The query in these bytes, where they are one to this cluster.
+/// Decodes a query; `None` if the bytes are invalid, of another version or for another cluster.
 pub fn decode_query(bytes: &[u8], cluster: &str) -> Option<StatusQuery> {
     decode::<StatusQuery>(bytes).filter(|query| query.version == VERSION && query.cluster == cluster)
 }
 
-/// As many of the rows that were asked for as a datagram holds. Rows come in the order of their names.
+/// Encodes a page with as many of the requested rows as fit into a datagram. `rows` must be sorted by name.
 pub fn encode_page(query: &StatusQuery, rows: Vec<Vec<String>>) -> Vec<u8> {
-    let after = query.after.clone();
-    let mut page = StatusPage { version: VERSION, after, rows: Vec::new(), is_last: true };
-    let name = |row: &Vec<String>| row.first().cloned().unwrap_or_default();
-    for row in rows.into_iter().filter(|row| query.after.as_ref().is_none_or(|after| name(row) > *after)) {
+    let after_name = query.after_name.clone();
+    let mut page = StatusPage { version: VERSION, after_name, rows: Vec::new(), is_last: true };
+    let row_name = |row: &Vec<String>| row.first().cloned().unwrap_or_default();
+    let is_requested =
+        |row: &Vec<String>| query.after_name.as_ref().is_none_or(|after_name| row_name(row) > *after_name);
+    for row in rows.into_iter().filter(is_requested) {
         page.rows.push(row);
         if encode(&page).len() > MAX_DATAGRAM_BYTES {
             page.rows.pop();
@@ -78,35 +83,38 @@
     encode(&page)
 }
 
-/// All rows that the gateway at this address has.
+/// Fetches all rows on a topic from the gateway at `address`, page by page. Fails with [`io::ErrorKind::TimedOut`] if
+/// a query stays unanswered.
 pub fn fetch_rows(address: SocketAddrV4, cluster: &str, topic: Topic) -> io::Result<Vec<Vec<String>>> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
-    socket.set_read_timeout(Some(TIMEOUT))?;
+    socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     let mut rows = Vec::new();
-    let mut after = None;
+    let mut after_name = None;
     loop {
-        let query = StatusQuery { version: VERSION, cluster: cluster.to_owned(), topic, after };
-        let page = request_page(&socket, address, &query)?;
+        let query = StatusQuery { version: VERSION, cluster: cluster.to_owned(), topic, after_name };
+        let page = fetch_page(&socket, address, &query)?;
         let last_name = page.rows.last().and_then(|row| row.first()).cloned();
         rows.extend(page.rows);
         if page.is_last || last_name.is_none() {
             return Ok(rows);
         }
-        after = last_name;
+        after_name = last_name;
     }
 }
 
-fn request_page(socket: &UdpSocket, address: SocketAddrV4, query: &StatusQuery) -> io::Result<StatusPage> {
-    let mut bytes = [0; MAX_DATAGRAM_BYTES];
-    for _ in 0..TRIES {
+fn fetch_page(socket: &UdpSocket, address: SocketAddrV4, query: &StatusQuery) -> io::Result<StatusPage> {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    for _ in 0..MAX_ATTEMPTS {
         socket.send_to(&encode(query), address)?;
-        while let Ok((length, _)) = socket.recv_from(&mut bytes) {
-            // A late answer to the query before is another page.
-            let page = decode::<StatusPage>(&bytes[..length]).filter(|page| page.after == query.after);
+        while let Ok((length, _)) = socket.recv_from(&mut buffer) {
+            // A late answer to an earlier query holds another page and is skipped.
+            let page =
+                decode::<StatusPage>(&buffer[..length]).filter(|page| page.after_name == query.after_name);
             if let Some(page) = page {
                 return Ok(page);
             }
         }
     }
-    Err(io::Error::new(io::ErrorKind::TimedOut, format!("no front answers at {address}")))
+    let message = format!("no gateway answered at {address}: sent {MAX_ATTEMPTS} status queries");
+    Err(io::Error::new(io::ErrorKind::TimedOut, message))
 }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -1,6 +1,6 @@
-//! The engines that this gateway uses, where the operator's file has a `[subsets]` table: one coroutine looks at steady
-//! times at which members are alive and which engines are ready, and tells the policy. However many changes there were
-//! in between, they are handled at once.
+//! Subsetting: which engines this gateway uses, if the operator's file has a `[subsets]` table. One coroutine checks
+//! at a fixed interval which members are alive and which engines are ready, and gives the policy the resulting
+//! subset. All changes within an interval are handled together.
 
 use crate::cluster::Cluster;
 use crate::state::State;
@@ -16,55 +16,55 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Engines that one log line names at most.
-const LOGGED_ENGINES: usize = 64;
-/// What counts of an engine that is no longer listed.
-const UNKNOWN: EngineHealth = EngineHealth { ejected: true, congested: false };
+/// Maximum number of engine ids in one log line.
+const MAX_LOGGED_ENGINES: usize = 64;
+/// Health of an engine in the subset that is no longer in the endpoint list.
+const UNLISTED_ENGINE_HEALTH: EngineHealth = EngineHealth { ejected: true, congested: false };
 
-/// What an assignment is worked out from, but for members and engines.
+/// Settings from which an assignment is computed, together with the members and the engines.
 pub struct SubsettingInputs {
     settings: SubsettingConfig,
     classes: Vec<RequestClass>,
-    /// How many gateways the platform's settings name and which is this one: what counts without membership.
+    /// Number of gateways and index of this gateway, from the platform's settings; used without membership.
     topology: Topology,
 }
 
 impl SubsettingInputs {
-    /// With the operator's settings and the platform's.
+    /// Combines the operator's settings with the request classes and the topology of the platform's settings.
     pub fn new(settings: SubsettingConfig, platform: &Settings) -> SubsettingInputs {
         let policy = &platform.policy;
         SubsettingInputs { settings, classes: policy.classes.clone(), topology: policy.topology.clone() }
     }
 
-    fn members(&self, state: &State, cluster: Option<&Cluster>) -> Members {
+    fn live_gateways(&self, state: &State, cluster: Option<&Cluster>) -> LiveGateways {
         let Some(cluster) = cluster else {
-            // The platform's settings say nothing of zones.
-            let numbered = |number: usize| Gateway { key: number as u64, zone: None };
-            return Members {
-                me: numbered(self.topology.gateway_index),
-                alive: (0..self.topology.gateways.max(1)).map(numbered).collect(),
+            // The platform's settings name no zones of gateways.
+            let by_index = |index: usize| Gateway { key: index as u64, zone: None };
+            return LiveGateways {
+                own: by_index(self.topology.gateway_index),
+                all: (0..self.topology.gateways.max(1)).map(by_index).collect(),
             };
         };
         let zone_index = |zone: &str| state.settings.names.zones.iter().position(|known| known == zone);
-        let alive_zones = cluster.live_member_zones();
-        let named = |name: &str, zone: Option<&String>| Gateway {
+        let member_zones = cluster.live_member_zones();
+        let by_name = |name: &str, zone: Option<&String>| Gateway {
             key: xxh3_64(name.as_bytes()),
             zone: zone.and_then(|zone| zone_index(zone)),
         };
-        Members {
-            me: named(cluster.member_name(), alive_zones.get(cluster.member_name())),
-            alive: alive_zones.iter().map(|(name, zone)| named(name, Some(zone))).collect(),
+        LiveGateways {
+            own: by_name(cluster.member_name(), member_zones.get(cluster.member_name())),
+            all: member_zones.iter().map(|(name, zone)| by_name(name, Some(zone))).collect(),
         }
     }
 }
 
-/// This gateway and all that are alive.
-struct Members {
-    me: Gateway,
-    alive: BTreeSet<Gateway>,
+/// This gateway and all gateways that are alive.
+struct LiveGateways {
+    own: Gateway,
+    all: BTreeSet<Gateway>,
 }
 
-/// An assignment of engines to gateways, and what it was worked out from.
+/// A plan that assigns engines to gateways, and the gateways and engines that it was computed from.
 #[derive(Default)]
 struct Assignment {
     gateways: BTreeSet<Gateway>,
@@ -73,16 +73,16 @@
 }
 
 /// Starts the coroutine. Until its first pass the policy uses the engines that are known now.
-pub fn start(state: &Arc<State>, cluster: Option<Arc<Cluster>>, subsetting: SubsettingInputs) {
+pub fn start(state: &Arc<State>, cluster: Option<Arc<Cluster>>, inputs: SubsettingInputs) {
     let state = state.clone();
     state.policy.enable_subset();
-    may::go!(move || run(&state, cluster.as_deref(), &subsetting));
+    may::go!(move || run(&state, cluster.as_deref(), &inputs));
 }
 
-fn run(state: &State, cluster: Option<&Cluster>, subsetting: &SubsettingInputs) {
-    let mut aperture = Aperture::new(subsetting.settings.aperture, state.clock.now());
+fn run(state: &State, cluster: Option<&Cluster>, inputs: &SubsettingInputs) {
+    let mut aperture = Aperture::new(inputs.settings.aperture, state.clock.now());
     let mut assignment = Assignment::default();
-    let mut used = BTreeSet::new();
+    let mut subset = BTreeSet::new();
     while !state.shutdown.is_complete() {
         let engines: Vec<ReadyEngine> = state
             .policy
@@ -90,58 +90,58 @@
             .into_iter()
             .map(|ready| ReadyEngine { id: ready.id, engine: ready.engine })
             .collect();
-        let Members { me, alive } = subsetting.members(state, cluster);
-        if alive != assignment.gateways || engines != assignment.engines {
-            let requirements = requirements(&engines, &subsetting.classes);
-            let plan = SubsetPlan::compute(subsetting.settings.plan, &alive, &engines, &requirements);
-            assignment = Assignment { gateways: alive, engines, plan };
+        let LiveGateways { own, all } = inputs.live_gateways(state, cluster);
+        if all != assignment.gateways || engines != assignment.engines {
+            let requirements = requirements(&engines, &inputs.classes);
+            let plan = SubsetPlan::compute(inputs.settings.plan, &all, &engines, &requirements);
+            assignment = Assignment { gateways: all, engines, plan };
         }
         let now = state.clock.now();
-        if !used.is_empty() {
-            observe_used(state, &mut aperture, &assignment, me, &used, now);
+        if !subset.is_empty() {
+            update_aperture(state, &mut aperture, &assignment, own, &subset, now);
         }
-        let now_used = aperture.engines_in_use(&assignment.plan, me, &assignment.engines);
-        if now_used != used {
-            log_change(state, &assignment, &aperture, &used, &now_used);
-            used = now_used;
+        let new_subset = aperture.engines_in_use(&assignment.plan, own, &assignment.engines);
+        if new_subset != subset {
+            log_subset_change(state, &assignment, &aperture, &subset, &new_subset);
+            subset = new_subset;
         }
         let fractions: BTreeMap<u32, f64> =
-            used.iter().filter_map(|id| Some((*id, assignment.plan.fraction(*id)?))).collect();
-        state.policy.set_subset(&used, &fractions);
-        state.sleep(subsetting.settings.check_interval);
+            subset.iter().filter_map(|id| Some((*id, assignment.plan.fraction(*id)?))).collect();
+        state.policy.set_subset(&subset, &fractions);
+        state.sleep(inputs.settings.check_interval);
     }
 }
 
-/// Has the aperture widen or narrow by how the engines in use are.
-fn observe_used(
+/// Widens or narrows the aperture by the health of the engines in the subset.
+fn update_aperture(
     state: &State,
     aperture: &mut Aperture,
     assignment: &Assignment,
-    me: Gateway,
-    used: &BTreeSet<u32>,
+    own: Gateway,
+    subset: &BTreeSet<u32>,
     now: Timestamp,
 ) {
     let ready: BTreeSet<u32> = assignment.engines.iter().map(|engine| engine.id).collect();
-    let mut subset_health = SubsetHealth { used: used.len(), ..SubsetHealth::default() };
-    for id in used {
-        let health = state.policy.engine_health(*id).unwrap_or(UNKNOWN);
+    let mut subset_health = SubsetHealth { used: subset.len(), ..SubsetHealth::default() };
+    for id in subset {
+        let health = state.policy.engine_health(*id).unwrap_or(UNLISTED_ENGINE_HEALTH);
         subset_health.unhealthy += usize::from(health.ejected || !ready.contains(id));
         subset_health.congested += usize::from(health.congested);
     }
-    let assigned = assignment.plan.subsets.get(&me.key).map_or(0, BTreeSet::len);
+    let assigned = assignment.plan.subsets.get(&own.key).map_or(0, BTreeSet::len);
     aperture.observe(subset_health, assignment.engines.len().saturating_sub(assigned), now);
 }
 
-fn log_change(
+fn log_subset_change(
     state: &State,
     assignment: &Assignment,
     aperture: &Aperture,
-    before: &BTreeSet<u32>,
-    now: &BTreeSet<u32>,
+    old_subset: &BTreeSet<u32>,
+    new_subset: &BTreeSet<u32>,
 ) {
-    let ids: Vec<String> = now.iter().take(LOGGED_ENGINES).map(|id| format!("{id:08x}")).collect();
-    info!(state.log, "subset changed"; "added" => now.difference(before).count(),
-        "removed" => before.difference(now).count(), "gateways" => assignment.gateways.len(),
+    let ids: Vec<String> = new_subset.iter().take(MAX_LOGGED_ENGINES).map(|id| format!("{id:08x}")).collect();
+    info!(state.log, "subset changed"; "added" => new_subset.difference(old_subset).count(),
+        "removed" => old_subset.difference(new_subset).count(), "gateways" => assignment.gateways.len(),
         "beyond_assignment" => aperture.extra_engines(), "ids" => ids.join(" "),
-        "engines" => assignment.engines.len(), "used" => now.len());
+        "engines" => assignment.engines.len(), "used" => new_subset.len());
 }
--- a/crates/gateway/tests/gateway/cluster.rs
+++ b/crates/gateway/tests/gateway/cluster.rs
@@ -287,7 +287,7 @@
                 let unanswered = ask(gateway, verb, true);
                 assert_eq!(unanswered.status.code(), Some(1), "{verb}: {unanswered:?}");
                 let error = String::from_utf8_lossy(&unanswered.stderr).into_owned();
-                assert!(error.starts_with("larchfall: no front answers at "), "{verb}: {error}");
+                assert!(error.starts_with("larchfall: no gateway answered at "), "{verb}: {error}");
             });
         }
     });
