--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -75,7 +75,7 @@
     fn candidate_rules(&self, engines: &BTreeMap<usize, EngineRecord>) -> CandidateRules {
         let subset_has_engine =
             engines.values().any(|engine| self.accepts_class(engine) && !engine.outside_subset);
-        let include_outside_subset = self.record.first_run.is_some() || !subset_has_engine;
+        let include_outside_subset = self.record.first_possible_run.is_some() || !subset_has_engine;
         let mut rules = CandidateRules { include_outside_subset, trust_ejections: false };
         let candidates = || engines.values().filter(|engine| self.is_candidate(engine, &rules));
         let ejected = candidates().filter(|engine| engine.outlier_detector.is_ejected()).count();
@@ -113,10 +113,10 @@
         if !engine.limit.admits(class, self.class.threads, self.record.within_quota, pool) {
             return false;
         }
-        let first_run = self.record.first_run;
+        let first_possible_run = self.record.first_possible_run;
         if !idempotency::allows_attempt(
             self.class.idempotency,
-            first_run,
+            first_possible_run,
             &engine.entry,
             self.now,
             self.capabilities.clock_resolution,
