--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -127,7 +127,8 @@
     }
 
     /// Whether an attempt of `class` that uses `threads` threads may start. `pool` is the capacity pool of
-    /// the engine's kind.
+    /// the engine's kind. A request beyond the quota of its tenant is admitted only while the engine is not
+    /// congested and has spare capacity.
     pub(crate) fn admits(&self, class: usize, threads: f64, within_quota: bool, pool: &CapacityPool) -> bool {
         let congested = self.signal.is_congested();
         if !within_quota && (congested || self.is_saturated(threads, pool, BEYOND_QUOTA_CAPACITY_FRACTION)) {
@@ -144,8 +145,9 @@
     }
 
     /// Whether the threads in use have reached `fraction` of the observed capacity. If the observed capacity
-    /// is smaller than one request of `threads` threads, the use of the whole pool decides too. Waiting for
-    /// late answers would react only after the latency objective, when the engine is already overloaded.
+    /// is smaller than one request of `threads` threads, the use of the whole pool decides too. Late
+    /// answers alone would show an overload only after the latency objective, when the engine already has too
+    /// many requests.
     pub(crate) fn is_saturated(&self, threads: f64, pool: &CapacityPool, fraction: f64) -> bool {
         self.threads_in_use() >= self.observed_capacity * fraction
             || self.observed_capacity < threads && pool.threads_in_use >= pool.observed_capacity * fraction
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Rule 3: requests are sent to engines only while the endpoint list is recent enough.
+//! Age of the endpoint list: requests are sent to engines only while the list is recent enough.
 
 use crate::time::{Duration, Timestamp};
 
--- a/crates/policy/src/engine_record.rs
+++ b/crates/policy/src/engine_record.rs
@@ -18,12 +18,12 @@
 pub(crate) struct EngineRecord {
     /// The engine's newest entry of the endpoint list.
     pub entry: Engine,
-    /// Time of the last change of `entry`.
+    /// Time at which `entry` was last updated.
     entry_time: Timestamp,
     pub limit: ConcurrencyLimit,
     pub sent_in_slow_start: SentWorkWindow,
     pub outlier_detector: OutlierDetector,
-    /// Time of the engine's last answer or progress update.
+    /// Time of the engine's last answer, progress update or connection error.
     pub heard_time: Timestamp,
     /// Number of attempts in flight whose progress updates are overdue in this tick.
     pub overdue_updates: usize,
--- a/crates/policy/src/engine_selection.rs
+++ b/crates/policy/src/engine_selection.rs
@@ -21,7 +21,7 @@
 /// request. The bonus scales with the configured connection cost.
 const IDLE_CONNECTION_BONUS: f64 = 10.0;
 /// Score bonus, in threads, for each second that a probe of an ejected engine is overdue. Without the bonus
-/// an ejected engine would never be probed at a low request rate.
+/// an ejected engine might get no probe at a low request rate.
 const OVERDUE_PROBE_BONUS_PER_SECOND: f64 = 1.0;
 /// Score penalty, in threads, that ranks an engine below all engines without the penalty.
 const LAST_RESORT_PENALTY: f64 = 1e6;
--- a/crates/policy/src/load_report.rs
+++ b/crates/policy/src/load_report.rs
@@ -2,7 +2,7 @@
 //! than their work answers arrive.
 //!
 //! With many gateways the attempts that one gateway has in flight at an engine say almost nothing about the
-//! load of that engine.
+//! load of that engine, so the gateway must not take its own count for the load.
 
 use crate::time::{Duration, Timestamp};
 
--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -29,8 +29,8 @@
 fn load_reports_and_slow_answers_move_requests_to_the_less_loaded_engine() {
     // (gateways, duration in ms of attempts at engine 0, busy fraction that engine 0 reports, delay in ms
     // before the measured requests, whether all of them go to engine 1). Attempts at engine 1 take 100 ms,
-    // and where engine 0 reports a busy fraction, engine 1 reports 0.5. The reported work is 100 ms. After 5
-    // s no report counts.
+    // and where engine 0 reports a busy fraction, engine 1 reports 0.5. The reported work is 100 ms. Reports
+    // that are 5 s old no longer count.
     for (gateways, duration_ms, busy_fraction, delay_ms, all_to_engine_1) in [
         (60, 800, None, 0, true),
         (60, 100, Some(1.0), 0, true),
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Rule 4: all gateways together stay within the budget of an engine in slow start, although each gateway
+//! All gateways together stay within the budget of an engine in slow start, although each gateway
 //! decides alone.
 //!
 //! Each simulated gateway runs the real policy with a seed of its own, under the traffic patterns that come
@@ -97,7 +97,8 @@
                 let mut config = self.config();
                 config.topology.gateway_index = gateway_index;
                 let mut gateway = config.start(0);
-                // The first endpoint update sets the time at which this gateway joined.
+                // The first update of any engine, here of one that is gone, sets the time at which this
+                // gateway joined.
                 gateway.policy.update_engine(
                     at_ms(process_start_ms),
                     9,
