--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -14,7 +14,7 @@
         config.classes[REPORT].allowed_kinds = Some(vec![1]);
         let mut gateway = config.start(8);
         (8..16).for_each(|engine| {
-            gateway.policy.update_engine(at_ms(0), engine, Engine { kind: 1, ..ready_engine() })
+            gateway.policy.update_engine(at_ms(0), engine, Engine { kind: 1, ..ready_engine() });
         });
         assert!(reports == 0 || gateway.count_sent(reports, REPORT) < reports, "kind 1 is not full");
         let engines: Vec<_> =
