--- a/crates/policy/src/attempt_ledger.rs
+++ b/crates/policy/src/attempt_ledger.rs
@@ -1,13 +1,13 @@
-//! Attempt ledger of one ordering key: the attempts that may be running at an engine. An attempt is listed from before its
-//! first byte is sent until there is proof that it neither runs nor can start, or until it can no longer run.
+//! Attempt ledger of one ordering key: the attempts that may be running at an engine. An attempt is listed from before
+//! its first byte is sent until there is proof that it neither runs nor can start, or until it can no longer run.
 
 use crate::time::Timestamp;
 use crate::types::{AttemptEvidence, LastObservation};
 
 /// Whether the evidence proves that an attempt neither runs nor can start.
 ///
-/// A reply proves this only when it came from the process that has the attempt. A call on a broken connection may still
-/// arrive late, and another process may listen at the address of a draining engine that still runs its attempts.
+/// A reply proves this only when it came from the process that has the attempt. A call on a broken connection may
+/// still arrive late, and another process may listen at the address of a draining engine that still runs its attempts.
 pub fn proves_end(evidence: AttemptEvidence) -> bool {
     match evidence.last {
         LastObservation::NotSent => true,
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -1,7 +1,7 @@
 //! Cancellation of attempts in flight, where finishing an attempt would cost more than a new attempt or none.
 //!
-//! Cancelled are attempts at silent ejected engines, attempts much slower than estimated because of a bad query plan or a
-//! slow engine, and attempts that hold memory while they wait for a data lock.
+//! Cancelled are attempts at silent ejected engines, attempts much slower than estimated because of a bad query plan
+//! or a slow engine, and attempts that hold memory while they wait for a data lock.
 
 use crate::engine_record::EngineRecord;
 use crate::request_record::RequestRecord;
@@ -17,7 +17,8 @@
     capabilities.progress_interval.map(|interval| interval * OVERDUE_INTERVALS)
 }
 
-/// Marks at most one attempt of a request as cancelled, and returns its number. Only idempotent requests are cancelled.
+/// Marks at most one attempt of a request as cancelled, and returns its number. Only idempotent requests are
+/// cancelled.
 pub(crate) fn cancel_one_attempt(
     record: &mut RequestRecord,
     class: &RequestClass,
@@ -30,8 +31,8 @@
         return None;
     }
     let objective = class.latency_objective_for(record.work_estimate);
-    // A request is cancelled for its pace only once: if the next attempt is as slow, the estimate was wrong, and another
-    // cancellation would waste more work.
+    // A request is cancelled for its pace only once: if the next attempt is as slow, the estimate was wrong, and
+    // another cancellation would waste more work.
     let checks_pace = !record.went_off_estimate;
     for attempt in record.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
         let ejected = engines.get(&attempt.engine).is_some_and(|engine| engine.outlier_detector.is_ejected());
--- a/crates/policy/src/deadline.rs
+++ b/crates/policy/src/deadline.rs
@@ -3,11 +3,11 @@
 
 use crate::time::{Duration, Timestamp};
 
-/// Time between the latest time to answer and the deadline, in multiples of the clock resolution. A timer fires only at the
-/// next reading of the clock.
+/// Time between the latest time to answer and the deadline, in multiples of the clock resolution. A timer fires only
+/// at the next reading of the clock.
 const ANSWER_MARGIN_STEPS: f64 = 3.0;
-/// Time between the timeout of an attempt and the deadline, in multiples of the clock resolution, so that the answer sent
-/// after the timeout is in time.
+/// Time between the timeout of an attempt and the deadline, in multiples of the clock resolution, so that the answer
+/// sent after the timeout is in time.
 const ATTEMPT_MARGIN_STEPS: f64 = 2.0;
 
 /// The latest time at which a request may be answered.
--- a/crates/policy/src/health_check.rs
+++ b/crates/policy/src/health_check.rs
@@ -2,8 +2,8 @@
 
 use nanorand::{Rng, WyRand};
 
-/// Maximum health checks per admitted request. The maximum applies where other gateways cause nearly all of the engines'
-/// load, so that the gateway's own counts show little of the load.
+/// Maximum health checks per admitted request. The maximum applies where other gateways cause nearly all of the
+/// engines' load, so that the gateway's own counts show little of the load.
 const MAX_CHECKS_PER_REQUEST: f64 = 0.5;
 /// Maximum cost of the health checks per admitted request, as a fraction of the request's priority weight.
 const MAX_COST_PER_REQUEST: f64 = 0.0055;
@@ -28,9 +28,9 @@
         self.requests_since_check += 1.0;
     }
 
-    /// Draws the engines to check now at random; an engine may occur more than once. The larger the fraction of the load
-    /// that other gateways cause, the more checks are drawn. `cost` is that of one check, as a fraction of a request's
-    /// priority weight.
+    /// Draws the engines to check now at random; an engine may occur more than once. The larger the fraction of the
+    /// load that other gateways cause, the more checks are drawn. `cost` is that of one check, as a fraction of a
+    /// request's priority weight.
     pub(crate) fn draw(
         &mut self,
         cost: f64,
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -11,8 +11,8 @@
     pub sent_time: Timestamp,
 }
 
-/// Whether an attempt may be sent to `engine` now. The deduplication window is taken to end one `clock_resolution` early,
-/// since the clock may be behind by that much.
+/// Whether an attempt may be sent to `engine` now. The deduplication window is taken to end one `clock_resolution`
+/// early, since the clock may be behind by that much.
 pub(crate) fn allows_attempt(
     idempotency: Idempotency,
     first_possible_run: Option<PossibleRun>,
--- a/crates/policy/src/key_order.rs
+++ b/crates/policy/src/key_order.rs
@@ -1,7 +1,7 @@
 //! Key order: requests of one ordering key run one after the other, in the order in which they were admitted.
 //!
-//! The next request of a key is sent only when no earlier attempt of the key can be running any more. The outcome of the
-//! earlier attempt alone is not enough: a call on a broken connection can reach its engine late.
+//! The next request of a key is sent only when no earlier attempt of the key can be running any more. The outcome of
+//! the earlier attempt alone is not enough: a call on a broken connection can reach its engine late.
 
 use crate::attempt_ledger::{AttemptLedger, proves_end};
 use crate::time::{Duration, Timestamp};
@@ -37,8 +37,8 @@
         self.keys.entry(key).or_default().admitted.push_back(request);
     }
 
-    /// Whether a request is the first in the queue of its key and no attempt of another request of the key may be running.
-    /// Attempts of the request itself do not count. True for an unknown key.
+    /// Whether a request is the first in the queue of its key and no attempt of another request of the key may be
+    /// running. Attempts of the request itself do not count. True for an unknown key.
     pub fn is_next(&self, key: u64, request: usize, now: Timestamp) -> bool {
         let Some(queue) = self.keys.get(&key) else { return true };
         queue.admitted.front() == Some(&request) && queue.attempts.allows_request(request, now)
@@ -49,8 +49,8 @@
         self.keys.entry(key).or_default().attempts.record_start(request, attempt, engine);
     }
 
-    /// Records the end of an attempt. `uncertain` requests the cooldown whatever the evidence says, for an attempt that the
-    /// gateway gave up on: a timeout, a reset or a cancellation.
+    /// Records the end of an attempt. `uncertain` requests the cooldown whatever the evidence says, for an attempt
+    /// that the gateway gave up on: a timeout, a reset or a cancellation.
     pub fn on_attempt_finished(
         &mut self,
         key: u64,
@@ -70,8 +70,8 @@
         queue.attempts.remove_ended(now);
     }
 
-    /// Keeps keys blocked at least until `until` by attempts at draining engines whose end is unproven: such an attempt may
-    /// run until its engine is gone.
+    /// Keeps keys blocked at least until `until` by attempts at draining engines whose end is unproven: such an
+    /// attempt may run until its engine is gone.
     pub fn extend_unproven(&mut self, until: Timestamp, is_draining: impl Fn(usize) -> bool) {
         for queue in self.keys.values_mut() {
             queue.attempts.extend_unproven(until, &is_draining);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,10 @@
-//! The routing policy of larchfall, without input or output: to which engine each client request is sent, or whether it
-//! waits or is rejected.
+//! The routing policy of larchfall, without input or output: to which engine each client request is sent, or whether
+//! it waits or is rejected.
 //!
-//! The caller drives one [`policy::Policy`]: it admits each request, routes the request until the decision is final, and
-//! reports the end of each attempt. It also passes in the endpoint list, progress updates and load reports, and calls a
-//! periodic tick. [`types`] has the input and output values, [`time`] the time types. Every other module makes one kind of
-//! decision and holds the state for it.
+//! The caller drives one [`policy::Policy`]: it admits each request, routes the request until the decision is final,
+//! and reports the end of each attempt. It also passes in the endpoint list, progress updates and load reports, and
+//! calls a periodic tick. [`types`] has the input and output values, [`time`] the time types. Every other module makes
+//! one kind of decision and holds the state for it.
 
 #![deny(missing_docs)]
 
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: an engine that fails clearly more of its attempts than all engines do is ejected, probed and restored.
+//! Outlier detection: an engine that fails clearly more of its attempts than all engines do is ejected, probed and
+//! restored.
 //!
 //! A sequential test adds up the log-likelihood ratio of "unhealthy" over "healthy" over the outcomes of an engine. It
-//! finds engines that answer quickly with errors and would look idle. Failures that all engines share eject none of them,
-//! since the failure fraction of a healthy engine follows the baseline over all engines.
+//! finds engines that answer quickly with errors and would look idle. Failures that all engines share eject none of
+//! them, since the failure fraction of a healthy engine follows the baseline over all engines.
 
 use crate::time::{Duration, Timestamp};
 
@@ -20,7 +21,8 @@
 const BASELINE_DECAY: f64 = 0.997;
 /// Log-likelihood ratio at which an engine is ejected.
 const EJECTION_THRESHOLD: f64 = 4.0;
-/// Fraction of the ejection threshold to which successful probes must lower the ratio of an ejected engine to restore it.
+/// Fraction of the ejection threshold to which successful probes must lower the ratio of an ejected engine to restore
+/// it.
 const RESTORE_THRESHOLD_FRACTION: f64 = 0.5;
 /// Fraction of ejected engines above which ejections are ignored: a failure of so many engines has another cause.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
@@ -111,8 +113,8 @@
         self.ejected.then_some(HealthChange::Ejected)
     }
 
-    /// Records the outcome of a probe. The same test restores an ejected engine, over several successive probes: a single
-    /// successful probe is not enough, or an engine that fails every other request would be restored.
+    /// Records the outcome of a probe. The same test restores an ejected engine, over several successive probes: a
+    /// single successful probe is not enough, or an engine that fails every other request would be restored.
     fn record_probe(&mut self, failed: bool, now: Timestamp) -> Option<HealthChange> {
         let backoff = if failed { 2.0 } else { 1.0 };
         self.probe_interval = (self.probe_interval * backoff).min(MAX_PROBE_INTERVAL);
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,8 +1,8 @@
 //! [`Policy`]: the routing decisions of one gateway, from the admission of a request to its final answer.
 //!
-//! A request is sent to the ready engine with the most headroom for its class. Each engine has a limit of running threads
-//! for each class. Every tick adjusts the limits by asymmetric AIMD on one congestion signal, and they bind only while
-//! the engine's last tick found it congested. When no engine has headroom, the request is rejected at once.
+//! A request is sent to the ready engine with the most headroom for its class. Each engine has a limit of running
+//! threads for each class. Every tick adjusts the limits by asymmetric AIMD on one congestion signal, and they bind
+//! only while the engine's last tick found it congested. When no engine has headroom, the request is rejected at once.
 
 mod attempt_end;
 mod engines;
@@ -34,13 +34,14 @@
 
 pub use crate::concurrency_limit::TICK_INTERVAL;
 
-/// Time between two routings of a request that waits for its ordering key. A request with an attempt in flight is routed
-/// every [`TICK_INTERVAL`].
+/// Time between two routings of a request that waits for its ordering key. A request with an attempt in flight is
+/// routed every [`TICK_INTERVAL`].
 const KEY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum retries of one request, even where `Capabilities::max_attempts` allows more.
 const MAX_RETRIES: usize = 2;
 
-/// The routing policy of one gateway: its engines, the requests in flight and what has been learned from their results.
+/// The routing policy of one gateway: its engines, the requests in flight and what has been learned from their
+/// results.
 pub struct Policy {
     topology: Topology,
     capabilities: Capabilities,
@@ -101,8 +102,8 @@
         self.endpoint_list.confirm(time);
     }
 
-    /// Whether discovery confirmed the endpoint list recently enough. While it is not current, no attempt is sent, since the
-    /// list may name engines that are draining or gone.
+    /// Whether discovery confirmed the endpoint list recently enough. While it is not current, no attempt is sent,
+    /// since the list may name engines that are draining or gone.
     pub fn is_endpoint_list_current(&self, now: Timestamp) -> bool {
         self.endpoint_list.is_current(self.capabilities.endpoint_list_lifetime, now)
     }
@@ -207,8 +208,8 @@
         }
     }
 
-    /// Finishes a request whose client disconnected, and returns the numbers of its attempts that the caller must cancel:
-    /// none where attempts cannot be cancelled. The client may reconnect and send the request again at once.
+    /// Finishes a request whose client disconnected, and returns the numbers of its attempts that the caller must
+    /// cancel: none where attempts cannot be cancelled. The client may reconnect and send the request again at once.
     pub fn on_client_disconnected(&mut self, request: usize) -> Vec<u8> {
         let record = self.requests.get_mut(&request).filter(|_| self.capabilities.can_cancel);
         let cancelled = record.map(RequestRecord::cancel_attempts).unwrap_or_default();
@@ -216,8 +217,8 @@
         cancelled
     }
 
-    /// Finishes a request without a result, also while attempts are in flight. Returns a rejection where the client may
-    /// safely send the request again, otherwise a failure.
+    /// Finishes a request without a result, also while attempts are in flight. Returns a rejection where the client
+    /// may safely send the request again, otherwise a failure.
     pub fn finish_unanswered(&mut self, request: usize) -> RoutingDecision {
         let Some(record) = self.requests.get(&request).filter(|record| !record.finished) else {
             return RoutingDecision::Wait;
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Limits the deadline of every request to `deadline`, when the gateway shuts down, so that each request has its final
-    /// answer before.
+    /// Limits the deadline of every request to `deadline`, when the gateway shuts down, so that each request has its
+    /// final answer before.
     pub fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         for record in self.requests.values_mut() {
             record.request.deadline = record.request.deadline.min(deadline);
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -54,8 +54,8 @@
         if finished { AfterAttempt::Finished } else { AfterAttempt::RouteAgain }
     }
 
-    /// Finishes a request whose task ended unexpectedly, as in a panic. Its attempts in flight count as cancelled, with
-    /// no proof that they ended.
+    /// Finishes a request whose task ended unexpectedly, as in a panic. Its attempts in flight count as cancelled,
+    /// with no proof that they ended.
     pub fn abandon(&mut self, now: Timestamp, request: usize) {
         self.finish(request);
         let evidence = AttemptEvidence { last: LastObservation::Lost, same_process: false };
@@ -71,8 +71,9 @@
     }
 }
 
-/// Whether it is certain that the engine never ran the attempt. A rejection proves that only when the process that has the
-/// attempt sent it: after a broken connection, the first call may still arrive later than a rejection on a new connection.
+/// Whether it is certain that the engine never ran the attempt. A rejection proves that only when the process that has
+/// the attempt sent it: after a broken connection, the first call may still arrive later than a rejection on a new
+/// connection.
 fn never_ran(result: &AttemptResult) -> bool {
     match result.outcome {
         Outcome::ConnectFailed | Outcome::NotSent => true,
@@ -139,8 +140,9 @@
     }
 }
 
-/// Records how much longer an answer took than its work. Engines whose cores are all busy report the same load, so that
-/// only the slowdown shows which of them is more loaded. An engine that reports its attempts in flight needs no slowdown.
+/// Records how much longer an answer took than its work. Engines whose cores are all busy report the same load, so
+/// that only the slowdown shows which of them is more loaded. An engine that reports its attempts in flight needs no
+/// slowdown.
 fn record_slowdown(
     engine: &mut EngineRecord,
     attempt: &AttemptInFlight,
--- a/crates/policy/src/policy/engines.rs
+++ b/crates/policy/src/policy/engines.rs
@@ -10,8 +10,8 @@
 use crate::types::{Engine, EngineHealth, LoadReport};
 
 impl Policy {
-    /// Adds an engine or applies its changed endpoint list entry. A new start time means a new process: the health, cache
-    /// and congestion state of the old process is reset.
+    /// Adds an engine or applies its changed endpoint list entry. A new start time means a new process: the health,
+    /// cache and congestion state of the old process is reset.
     pub fn update_engine(&mut self, now: Timestamp, engine: usize, listed: Engine) {
         self.joined_time.get_or_insert(now);
         if let Some(record) = self.engines.get_mut(&engine) {
@@ -24,8 +24,8 @@
         self.engines.insert(engine, EngineRecord::new(listed, limit, now));
     }
 
-    /// Removes an engine that has been gone for a while and has no attempt in flight. Returns whether it was removed: its
-    /// index may then be used for another engine.
+    /// Removes an engine that has been gone for a while and has no attempt in flight. Returns whether it was removed:
+    /// its index may then be used for another engine.
     pub fn forget_engine(&mut self, now: Timestamp, engine: usize) -> bool {
         let forgettable = self.engines.get(&engine).is_some_and(|record| record.is_removable(now));
         if forgettable {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Sets this gateway's fractions of an engine's slow-start budget and threads, each in 0..=1. `None` means an equal
-    /// fraction for each gateway.
+    /// Sets this gateway's fractions of an engine's slow-start budget and threads, each in 0..=1. `None` means an
+    /// equal fraction for each gateway.
     pub fn set_engine_quota(&mut self, engine: usize, slow_start: Option<f64>, threads: Option<f64>) {
         let Some(engine) = self.engines.get_mut(&engine) else { return };
         engine.slow_start_fraction = slow_start;
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Sets whether this gateway holds the probe slot of an engine. Where gateways take turns, only the holder probes the
-    /// engine while it is ejected.
+    /// Sets whether this gateway holds the probe slot of an engine. Where gateways take turns, only the holder probes
+    /// the engine while it is ejected.
     pub fn set_probe_slot(&mut self, engine: usize, holds_slot: bool) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.awaits_probe_slot = !holds_slot;
@@ -83,7 +83,8 @@
         })
     }
 
-    /// Draws the engines to health-check now; an engine may occur more than once. Empty where engines may not be checked.
+    /// Draws the engines to health-check now; an engine may occur more than once. Empty where engines may not be
+    /// checked.
     pub fn draw_health_checks(&mut self) -> Vec<usize> {
         let Some(cost) = self.capabilities.health_check_cost else { return Vec::new() };
         let used = self.engines.iter().filter(|(_, engine)| engine.is_used());
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Records one outcome at an engine for outlier detection: of this gateway's own attempt, or as a peer reported it.
-    /// `failed` says whether the outcome counts against the engine.
+    /// Records one outcome at an engine for outlier detection: of this gateway's own attempt, or as a peer reported
+    /// it. `failed` says whether the outcome counts against the engine.
     pub fn record_engine_outcome(
         &mut self,
         now: Timestamp,
--- a/crates/policy/src/policy/tick.rs
+++ b/crates/policy/src/policy/tick.rs
@@ -15,8 +15,8 @@
 const OVERLOADED_FRACTION: f64 = 0.5;
 /// Maximum number of silent attempts of one engine that count as failures in one tick.
 const MAX_SILENT_PER_TICK: usize = 2;
-/// Ticks for which each tick keeps an ordering key blocked by an attempt at a draining engine whose end is unproven. More
-/// than one, so that the key stays blocked until the next tick extends the time.
+/// Ticks for which each tick keeps an ordering key blocked by an attempt at a draining engine whose end is unproven.
+/// More than one, so that the key stays blocked until the next tick extends the time.
 const KEY_HOLD_TICKS: f64 = 2.0;
 /// Class for which capacity pools are computed where the class does not matter: only the headroom depends on it.
 const ANY_CLASS: usize = 0;
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Maximum observed capacity of an engine at this gateway, as a fraction of the engine's capacity. Without this bound,
-    /// in times of little load every gateway's observed capacity would grow to the whole engine, and the next surge would
-    /// overload the engine.
+    /// Maximum observed capacity of an engine at this gateway, as a fraction of the engine's capacity. Without this
+    /// bound, in times of little load every gateway's observed capacity would grow to the whole engine, and the next
+    /// surge would overload the engine.
     fn max_capacity_fraction(&self) -> f64 {
         if !self.traffic.is_known() {
             return 1.0;
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,7 +1,8 @@
 //! Retry budget: in any time window, the retries of this gateway stay within a fixed number plus a number per request.
 //!
-//! A request adds to the budget at the time of its admission, but only once its result was returned to a client that still
-//! waited. Requests that are cancelled, rejected or failed add nothing, so that a flood of them cannot raise the budget.
+//! A request adds to the budget at the time of its admission, but only once its result was returned to a client that
+//! still waited. Requests that are cancelled, rejected or failed add nothing, so that a flood of them cannot raise the
+//! budget.
 
 use crate::time::{Duration, Timestamp};
 use crate::types::RetryBudgetConfig;
--- a/crates/policy/src/types/attempt.rs
+++ b/crates/policy/src/types/attempt.rs
@@ -49,8 +49,8 @@
 pub struct AttemptEvidence {
     /// Last observation about the attempt.
     pub last: LastObservation,
-    /// Whether the observation came from the process that has the request: on the connection that the request was sent on,
-    /// or on a later one on which that process had shown that it knows the request.
+    /// Whether the observation came from the process that has the request: on the connection that the request was sent
+    /// on, or on a later one on which that process had shown that it knows the request.
     pub same_process: bool,
 }
 
--- a/crates/policy/src/types/mod.rs
+++ b/crates/policy/src/types/mod.rs
@@ -1,7 +1,8 @@
 //! Input and output values of the policy, independent of any wire format.
 //!
 //! Engines, request classes, tenants, zones, engine kinds and requests are identified by small indices that the caller
-//! assigns. The index of a request may be reused once the request has finished and each of its attempts has an outcome.
+//! assigns. The index of a request may be reused once the request has finished and each of its attempts has an
+//! outcome.
 
 mod attempt;
 mod config;
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -47,8 +47,8 @@
 pub enum Idempotency {
     /// The request may be sent any number of times.
     Idempotent,
-    /// Engines within the scope drop repeats of an idempotency key. The request may be sent again to these engines until
-    /// the window ends.
+    /// Engines within the scope drop repeats of an idempotency key. The request may be sent again to these engines
+    /// until the window ends.
     IdempotentWithKey {
         /// Engines that drop repeats of the key.
         scope: DeduplicationScope,
--- a/crates/policy/tests/key_order.rs
+++ b/crates/policy/tests/key_order.rs
@@ -1,4 +1,5 @@
-//! Model of the key order and its attempt ledger: attempts of two requests of one ordering key never run at the same time.
+//! Model of the key order and its attempt ledger: attempts of two requests of one ordering key never run at the same
+//! time.
 //!
 //! The model has engine processes that run the attempts which reach them, connections that break and calls that arrive
 //! late. Model checking covers every order of events for two requests, and property tests cover random longer ones.
@@ -12,8 +13,8 @@
 const KEY: u64 = 7;
 /// Ticks without a poll after which an engine gives up an attempt.
 const UNPOLLED_LIFETIME: u64 = 2;
-/// Ticks for which an attempt without polls may run: a call on a broken connection may arrive one tick late, and one more
-/// tick is for the gateway's own clock.
+/// Ticks for which an attempt without polls may run: a call on a broken connection may arrive one tick late, and one
+/// more tick is for the gateway's own clock.
 const EXPECTED_LIFETIME: u64 = UNPOLLED_LIFETIME + 2;
 /// Ticks without a poll for which a process that no longer listens runs an attempt on.
 const NOT_LISTENING_LIFETIME: u64 = EXPECTED_LIFETIME + 1;
@@ -62,8 +63,8 @@
     listening: Vec<Option<usize>>,
     /// Number of processes started so far.
     processes: usize,
-    /// Processes that the endpoint list names as draining. They do not listen, and may run their attempts until they are
-    /// gone.
+    /// Processes that the endpoint list names as draining. They do not listen, and may run their attempts until they
+    /// are gone.
     draining: Vec<usize>,
     /// Number of connections broken so far.
     broken_connections: u8,
--- a/crates/policy/tests/policy/main.rs
+++ b/crates/policy/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! Tables of cases on the decisions, without the bench.
+//! Table-driven tests of the routing policy, without engines, network or clock.
 
 mod cancellation;
 #[path = "../common/mod.rs"]
--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -1,4 +1,5 @@
-//! The seven rules, case by case.
+//! Rules that every decision keeps: deadlines, idempotency, usable engines, slow start, key order and the retry
+//! budget.
 
 use crate::common::*;
 use larchfall_policy::event::PolicyEvent;
@@ -9,49 +10,54 @@
 };
 
 #[test]
-fn rule_1_every_attempt_ends_before_the_deadline() {
-    // (taken at ms, time limit at ms, sent at all)
-    for (time, limit, sends) in
+fn every_attempt_times_out_before_the_deadline() {
+    // (admission in ms, deadline in ms, whether the request is sent)
+    for (time_ms, deadline_ms, sent) in
         [(0, 1000, true), (0, 20, true), (0, 15, false), (0, 5, false), (100, 50, false)]
     {
         let mut gateway = typical_config().start(2);
-        let (_, decision) =
-            gateway.admit(time, Request { deadline: at_ms(limit), work_hint: None, ..request(LOOKUP) });
+        let (_, decision) = gateway
+            .admit(time_ms, Request { deadline: at_ms(deadline_ms), work_hint: None, ..request(LOOKUP) });
         match decision {
-            RoutingDecision::Send(d) => {
-                assert!(sends && at_ms(time) + d.timeout + Duration::from_millis(5) < at_ms(limit));
+            RoutingDecision::Send(parameters) => {
+                let end = at_ms(time_ms) + parameters.timeout;
+                assert!(
+                    sent && end + Duration::from_millis(5) < at_ms(deadline_ms),
+                    "admitted at {time_ms} ms, deadline {deadline_ms} ms: {decision:?}"
+                );
             }
             other => assert!(
-                !sends && matches!(other, RoutingDecision::Reject(Some(_))),
-                "{time} {limit}: {other:?}"
+                !sent && matches!(other, RoutingDecision::Reject(Some(_))),
+                "admitted at {time_ms} ms, deadline {deadline_ms} ms: {other:?}"
             ),
         }
     }
 }
 
 #[test]
-fn rule_1_a_request_waiting_for_its_key_is_checked_in_time() {
-    // (asked at ms, time limit at ms, asked again at ms): its look, or the last safe moment
-    for (time, limit, again) in [(0, 1000, 20), (0, 30, 15), (970, 1000, 985)] {
+fn a_request_waiting_for_its_key_is_routed_again_before_its_deadline() {
+    // (routed at ms, deadline in ms, next routing in ms): after the check interval, or at the latest time to answer
+    for (time_ms, deadline_ms, next_ms) in [(0, 1000, 20), (0, 30, 15), (970, 1000, 985)] {
         let mut config = typical_config();
         config.classes[DATA_LOAD].in_order = true;
         let mut gateway = config.start(1);
         gateway.admit(0, Request { key: Some(1), work_hint: None, ..request(DATA_LOAD) });
-        let waiting = Request { key: Some(1), deadline: at_ms(limit), work_hint: None, ..request(DATA_LOAD) };
-        let (b, decision) = gateway.admit(time, waiting);
+        let waiting =
+            Request { key: Some(1), deadline: at_ms(deadline_ms), work_hint: None, ..request(DATA_LOAD) };
+        let (index, decision) = gateway.admit(time_ms, waiting);
         assert_eq!(
-            (decision, gateway.policy.next_route_time(at_ms(time), b)),
-            (RoutingDecision::Wait, at_ms(again))
+            (decision, gateway.policy.next_route_time(at_ms(time_ms), index)),
+            (RoutingDecision::Wait, at_ms(next_ms))
         );
-        assert!(matches!(gateway.policy.route(at_ms(limit - 15), b), RoutingDecision::Reject(_)));
+        assert!(matches!(gateway.policy.route(at_ms(deadline_ms - 15), index), RoutingDecision::Reject(_)));
     }
 }
 
 #[test]
-fn rule_2_what_may_have_run_is_neither_retried_nor_rejected() {
+fn a_request_that_may_have_run_is_repeated_only_where_idempotent() {
     let with_key = |scope| Idempotency::IdempotentWithKey { scope, window: Duration::from_millis(3000) };
     let cases = [
-        // effect, outcome, at ms, sent again, else pushed back
+        // (idempotency, outcome, time of the outcome in ms, whether it is retried, whether it is otherwise rejected)
         (Idempotency::Idempotent, Outcome::Reset, 100, true, true),
         (Idempotency::Idempotent, Outcome::Rejected, 100, true, true),
         (Idempotency::NonIdempotent, Outcome::Rejected, 100, true, true),
@@ -66,69 +72,77 @@
         (with_key(DeduplicationScope::Cell), Outcome::Reset, 100, false, false),
         (with_key(DeduplicationScope::Cell), Outcome::ConnectFailed, 100, true, true),
     ];
-    for (idempotency, outcome, time, again, rejects) in cases {
+    for (idempotency, outcome, time_ms, retried, rejected) in cases {
         let mut config = typical_config();
         config.classes[DATA_LOAD].idempotency = idempotency;
         let mut gateway = config.start(1);
-        let (b, decision) = gateway.admit(0, request(DATA_LOAD));
+        let (index, decision) = gateway.admit(0, request(DATA_LOAD));
         assert_eq!(sent_to(decision), Some(0));
         gateway.policy.update_engine(at_ms(1), 0, Engine { state: EngineState::Gone, ..ready_engine() });
         gateway.policy.update_engine(at_ms(1), 1, Engine { zone: 1, cell: 1, ..ready_engine() });
-        assert_eq!(gateway.finish_attempt(time, b, 0, outcome, time), AfterAttempt::RouteAgain);
-        let decision = gateway.policy.route(at_ms(time), b);
+        assert_eq!(gateway.finish_attempt(time_ms, index, 0, outcome, time_ms), AfterAttempt::RouteAgain);
+        let decision = gateway.policy.route(at_ms(time_ms), index);
         assert_eq!(
             sent_to(decision).is_some(),
-            again,
-            "{idempotency:?} {outcome:?}, {time} ms: {decision:?}"
+            retried,
+            "{idempotency:?} {outcome:?}, {time_ms} ms: {decision:?}"
         );
-        if !again {
+        if !retried {
             assert_eq!(
                 matches!(decision, RoutingDecision::Reject(_)),
-                rejects,
+                rejected,
                 "{idempotency:?} {outcome:?}: {decision:?}"
             );
         }
     }
 }
 
-/// Guards against a second copy where none is allowed: an outcome on the gateway's side is no end at the engine.
+/// Guards against two attempts of a request at the same time where only one is allowed: an outcome at the gateway does
+/// not prove that the attempt ended at its engine.
 #[test]
-fn rule_2_no_retry_beside_what_may_run_where_a_single_attempt_is_allowed() {
-    let seen = |last, same_process| AttemptEvidence { last, same_process };
+fn no_retry_while_an_attempt_may_run_where_only_a_single_attempt_is_allowed() {
+    let evidence = |last, same_process| AttemptEvidence { last, same_process };
     let cases = [
-        // (one at a time, what was seen of the first, sent again)
-        (false, seen(LastObservation::Silent, true), true),
-        (true, seen(LastObservation::Silent, true), false),
-        (true, seen(LastObservation::Refused, true), false),
-        (true, seen(LastObservation::Stopped, false), false),
-        (true, seen(LastObservation::Stopped, true), true),
-        (true, seen(LastObservation::Ended, true), true),
-        (true, seen(LastObservation::NotSent, false), true),
+        // (single attempt, evidence on the first attempt, whether the request is retried)
+        (false, evidence(LastObservation::Silent, true), true),
+        (true, evidence(LastObservation::Silent, true), false),
+        (true, evidence(LastObservation::Refused, true), false),
+        (true, evidence(LastObservation::Stopped, false), false),
+        (true, evidence(LastObservation::Stopped, true), true),
+        (true, evidence(LastObservation::Ended, true), true),
+        (true, evidence(LastObservation::NotSent, false), true),
     ];
-    for (single_attempt, seen, again) in cases {
+    for (single_attempt, evidence, retried) in cases {
         let mut config = typical_config();
         config.capabilities.single_attempt = single_attempt;
         let mut gateway = config.start(3);
-        let (b, decision) = gateway.admit(0, request(LOOKUP));
+        let (index, decision) = gateway.admit(0, request(LOOKUP));
         assert!(sent_to(decision).is_some());
-        let answer = AttemptResult {
+        let result = AttemptResult {
             request_finished: false,
-            ..AttemptResult::from_outcome(Outcome::Cancelled, seen)
+            ..AttemptResult::from_outcome(Outcome::Cancelled, evidence)
         };
-        assert_eq!(gateway.policy.on_attempt_finished(at_ms(100), b, 0, &answer), AfterAttempt::RouteAgain);
-        let decision = gateway.policy.route(at_ms(100), b);
-        assert_eq!(sent_to(decision).is_some(), again, "{single_attempt} {seen:?}: {decision:?}");
-        assert!(again || matches!(decision, RoutingDecision::Reject(_)), "{decision:?}");
+        assert_eq!(
+            gateway.policy.on_attempt_finished(at_ms(100), index, 0, &result),
+            AfterAttempt::RouteAgain
+        );
+        let decision = gateway.policy.route(at_ms(100), index);
+        assert_eq!(
+            sent_to(decision).is_some(),
+            retried,
+            "single attempt: {single_attempt}, {evidence:?}: {decision:?}"
+        );
+        assert!(retried || matches!(decision, RoutingDecision::Reject(_)), "{decision:?}");
     }
 }
 
 #[test]
-fn rules_3_and_6_only_ready_engines_that_the_class_allows_get_anything() {
+fn only_ready_engines_that_the_class_allows_are_used() {
     let gone = Engine { state: EngineState::Gone, ..ready_engine() };
     let draining = Engine { state: EngineState::Draining, ..ready_engine() };
     let (kind_1, zone_1) = (Engine { kind: 1, ..ready_engine() }, Engine { zone: 1, ..ready_engine() });
     let cases = [
-        // engines, kinds and zones allowed, where it goes
+        // (engines, kinds and zones that the class allows, engine that the request is sent to)
         (vec![gone, ready_engine()], None, None, Some(1)),
         (vec![draining, gone], None, None, None),
         (vec![], None, None, None),
@@ -137,49 +151,57 @@
         (vec![ready_engine(), zone_1], None, Some(vec![1]), Some(1)),
         (vec![ready_engine(), zone_1], Some(vec![1]), Some(vec![1]), None),
     ];
-    for (i, (engines, kinds, zones, to)) in cases.into_iter().enumerate() {
+    for (case, (engines, kinds, zones, expected)) in cases.into_iter().enumerate() {
         let mut config = typical_config();
         (config.classes[REPORT].allowed_kinds, config.classes[REPORT].allowed_zones) = (kinds, zones);
         let mut gateway = config.start(0);
-        for (e, engine) in engines.into_iter().enumerate() {
-            gateway.policy.update_engine(at_ms(0), e, engine);
+        for (i, engine) in engines.into_iter().enumerate() {
+            gateway.policy.update_engine(at_ms(0), i, engine);
         }
-        assert_eq!(sent_to(gateway.admit(0, request(REPORT)).1), to, "case {i}");
+        assert_eq!(sent_to(gateway.admit(0, request(REPORT)).1), expected, "case {case}");
     }
 }
 
 #[test]
-fn rule_3_an_expired_endpoint_list_opens_no_engine() {
-    let nine = Some(Duration::from_millis(9_000));
-    // (how long a list holds, when it was heard of, taken at, whether it goes out, what the tick says)
+fn nothing_is_sent_while_the_endpoint_list_is_expired() {
+    let lifetime_9s = Some(Duration::from_millis(9_000));
+    // (lifetime of the list, confirmations in ms, admission in ms, whether the request is sent, events of the tick)
     let cases = [
         (None, &[][..], 60_000, true, &[][..]),
-        (nine, &[0][..], 8_999, true, &[]),
-        (nine, &[0][..], 9_000, false, &[PolicyEvent::EndpointListExpired][..]),
-        (nine, &[0, 5_000][..], 13_999, true, &[]),
-        (nine, &[5_000, 0][..], 13_999, true, &[]),
-        (nine, &[0, 10_000][..], 10_001, true, &[]),
+        (lifetime_9s, &[0][..], 8_999, true, &[]),
+        (lifetime_9s, &[0][..], 9_000, false, &[PolicyEvent::EndpointListExpired][..]),
+        (lifetime_9s, &[0, 5_000][..], 13_999, true, &[]),
+        (lifetime_9s, &[5_000, 0][..], 13_999, true, &[]),
+        (lifetime_9s, &[0, 10_000][..], 10_001, true, &[]),
     ];
-    for (holds, heard, time, sends, events) in cases {
+    for (lifetime, confirmed, time_ms, sent, events) in cases {
         let mut config = typical_config();
-        config.capabilities.endpoint_list_lifetime = holds;
+        config.capabilities.endpoint_list_lifetime = lifetime;
         let mut gateway = config.start(2);
-        heard.iter().for_each(|time| gateway.policy.confirm_endpoint_list(at_ms(*time)));
-        let one = Request { deadline: at_ms(90_000), ..request(LOOKUP) };
-        let (_, decision) = gateway.admit(time, one.clone());
-        assert_eq!(sent_to(decision).is_some(), sends, "{holds:?} {heard:?} {time}: {decision:?}");
-        assert!(sends || matches!(decision, RoutingDecision::Reject(Some(_))), "{decision:?}");
-        gateway.policy.tick(at_ms(time));
+        confirmed.iter().for_each(|time_ms| gateway.policy.confirm_endpoint_list(at_ms(*time_ms)));
+        let lookup = Request { deadline: at_ms(90_000), ..request(LOOKUP) };
+        let (_, decision) = gateway.admit(time_ms, lookup.clone());
+        assert_eq!(
+            sent_to(decision).is_some(),
+            sent,
+            "lifetime {lifetime:?}, confirmed at {confirmed:?}, {time_ms} ms: {decision:?}"
+        );
+        assert!(sent || matches!(decision, RoutingDecision::Reject(Some(_))), "{decision:?}");
+        gateway.policy.tick(at_ms(time_ms));
         assert_eq!(gateway.policy.take_events(), events);
-        gateway.policy.confirm_endpoint_list(at_ms(time));
-        assert!(sent_to(gateway.admit(time, one).1).is_some(), "heard again");
+        gateway.policy.confirm_endpoint_list(at_ms(time_ms));
+        assert!(
+            sent_to(gateway.admit(time_ms, lookup).1).is_some(),
+            "not sent although the list was confirmed again"
+        );
     }
 }
 
 #[test]
-fn rule_4_all_gateways_send_an_engine_in_slow_start_no_more_than_its_budget() {
-    // (gateways, age of the engine in ms, work a request in ms, most and least that all of them send at once); what is over
-    // a gateway's share goes by turns, so that only the sum says anything
+fn all_gateways_together_stay_within_the_slow_start_budget_of_an_engine() {
+    // (gateways, age of the engine in ms, work per request in ms, minimum and maximum of requests that all gateways
+    // send at once). Requests beyond a gateway's fraction of the budget are sent by slots, so that only the sum is
+    // bounded.
     let cases = [
         (1, 500, 1000, 1, 7),
         (4, 500, 1000, 1, 4),
@@ -187,55 +209,56 @@
         (4, 14_000, 1000, 12, 24),
         (1, 16_000, 1000, 99, 100),
     ];
-    for (gateways, age, work, least, most) in cases {
+    for (gateways, age_ms, work_ms, min_sent, max_sent) in cases {
         let mut sent = 0;
         for gateway_index in 0..gateways {
             let mut config = typical_config();
             (config.topology.gateway_count, config.topology.gateway_index) = (gateways, gateway_index);
             let mut gateway = config.start(0);
-            // It has been there for longer than the engine: one that has not knows nothing of what was sent before it.
+            // The gateway learns of engines before this one starts. A gateway that starts later does not know what was
+            // sent to the engine before.
             gateway.policy.update_engine(at_ms(0), 9, Engine { state: EngineState::Gone, ..ready_engine() });
             gateway.policy.update_engine(
                 at_ms(20_000),
                 0,
-                Engine { start_time: Some(at_ms(20_000 - age)), ..ready_engine() },
+                Engine { start_time: Some(at_ms(20_000 - age_ms)), ..ready_engine() },
             );
-            let one = Request {
-                work_hint: Some(Duration::from_millis(work)),
+            let lookup = Request {
+                work_hint: Some(Duration::from_millis(work_ms)),
                 deadline: at_ms(60_000),
                 ..request(LOOKUP)
             };
             for i in 0..100 {
-                // Each returns in time, so that only the cold rule holds anything back.
-                let (b, decision) = gateway.admit(20_000 + i, one.clone());
-                if let Some(_e) = sent_to(decision) {
+                // Each request returns in time, so that only slow start rejects any.
+                let (index, decision) = gateway.admit(20_000 + i, lookup.clone());
+                if sent_to(decision).is_some() {
                     sent += 1;
-                    gateway.finish_attempt(20_000 + i, b, 0, Outcome::Returned, work);
+                    gateway.finish_attempt(20_000 + i, index, 0, Outcome::Returned, work_ms);
                 }
             }
         }
-        assert!((least..=most).contains(&sent), "{gateways} gateways, age {age}: {sent} sent");
+        assert!((min_sent..=max_sent).contains(&sent), "{gateways} gateways, age {age_ms} ms: {sent} sent");
     }
 }
 
 #[test]
-fn rule_4_holds_for_the_first_requests_of_a_gateway() {
-    // (estimate of the first in ms, most that a cold engine gets of them at once); the goal has room for 1 s
-    // each
-    for (work, most) in [(None, 7), (Some(1000), 7)] {
+fn the_first_requests_of_a_gateway_stay_within_the_slow_start_budget() {
+    // (work hint in ms, maximum of requests that an engine gets at its start). The latency objective has room for 1 s
+    // of work per request.
+    for (work_ms, max_sent) in [(None, 7), (Some(1000), 7)] {
         let mut gateway = typical_config().start(0);
         gateway.policy.update_engine(at_ms(0), 0, Engine { start_time: Some(at_ms(0)), ..ready_engine() });
-        let one = Request { work_hint: work.map(Duration::from_millis), ..request(LOOKUP) };
-        let sent = (0..12).filter(|_| sent_to(gateway.admit(0, one.clone()).1).is_some()).count();
-        assert!((1..=most).contains(&sent), "{work:?}: {sent} sent");
+        let lookup = Request { work_hint: work_ms.map(Duration::from_millis), ..request(LOOKUP) };
+        let sent = (0..12).filter(|_| sent_to(gateway.admit(0, lookup.clone()).1).is_some()).count();
+        assert!((1..=max_sent).contains(&sent), "work hint {work_ms:?} ms: {sent} sent");
     }
 }
 
 #[test]
-fn rule_5_requests_of_one_key_go_in_order_after_a_cooldown() {
-    // outcome of the first, whether the client left it, then when the second may go: at the end, or after the
-    // rest
-    for (outcome, left, rests) in [
+fn requests_of_one_key_are_sent_in_order_after_a_cooldown() {
+    // (outcome of the first request, whether its client disconnected, whether the second request waits for the
+    // cooldown)
+    for (outcome, disconnected, cools_down) in [
         (Outcome::Returned, false, false),
         (Outcome::TimedOut, true, true),
         (Outcome::Cancelled, true, true),
@@ -245,35 +268,38 @@
         let mut config = PolicyConfig { key_cooldown: Duration::from_millis(300), ..typical_config() };
         config.classes[DATA_LOAD].in_order = true;
         let mut gateway = config.start(3);
-        let keyed = |k| Request { key: Some(k), ..request(DATA_LOAD) };
+        let keyed = |key| Request { key: Some(key), ..request(DATA_LOAD) };
         let (first, decision) = gateway.admit(0, keyed(9));
         assert!(sent_to(decision).is_some());
         let (second, decision) = gateway.admit(1, keyed(9));
         assert_eq!(decision, RoutingDecision::Wait);
-        assert!(sent_to(gateway.admit(1, keyed(8)).1).is_some(), "another key is free");
+        assert!(sent_to(gateway.admit(1, keyed(8)).1).is_some(), "a request of another key was not sent");
         let unordered = Request { key: Some(9), ..request(LOOKUP) };
-        assert!(sent_to(gateway.admit(1, unordered).1).is_some(), "its group asks for no order");
-        if left {
+        assert!(
+            sent_to(gateway.admit(1, unordered).1).is_some(),
+            "a request of a class without order was not sent"
+        );
+        if disconnected {
             gateway.policy.on_client_disconnected(first);
             assert_eq!(
                 gateway.policy.route(at_ms(60), second),
                 RoutingDecision::Wait,
-                "an attempt of the first is still out"
+                "an attempt of the first request is still in flight"
             );
         }
         gateway.finish_attempt(100, first, 0, outcome, 100);
-        assert_eq!(sent_to(gateway.policy.route(at_ms(110), second)).is_none(), rests, "{outcome:?}");
+        assert_eq!(sent_to(gateway.policy.route(at_ms(110), second)).is_none(), cools_down, "{outcome:?}");
         assert!(
-            !rests || sent_to(gateway.policy.route(at_ms(401), second)).is_some(),
-            "{outcome:?} after the rest"
+            !cools_down || sent_to(gateway.policy.route(at_ms(401), second)).is_some(),
+            "{outcome:?}: not sent after the cooldown"
         );
     }
 }
 
 #[test]
-fn rule_7_retries_stay_within_the_budget() {
-    // (free, a request, requests returned, how a flood of 200 ends, retries got)
-    for (free, per_request, returned, flood, got) in [
+fn retries_stay_within_the_budget() {
+    // (free retries, retries per request, returned requests, outcome of 200 disconnected requests, expected retries)
+    for (free, per_request, returned, flood, expected) in [
         (0.0, 0.0, 10, None, 0),
         (2.0, 0.0, 10, None, 2),
         (2.0, 0.1, 20, None, 4),
@@ -291,60 +317,65 @@
         let config = PolicyConfig { retry_budget: Some(rule), ..typical_config() };
         let mut gateway = config.start(4);
         for _ in 0..returned {
-            let b = gateway.admit(0, request(LOOKUP)).0;
-            gateway.finish_attempt(5, b, 0, Outcome::Returned, 5);
+            let index = gateway.admit(0, request(LOOKUP)).0;
+            gateway.finish_attempt(5, index, 0, Outcome::Returned, 5);
         }
-        // Taken back, be it before or after an engine has answered: none of it may widen the retry budget.
+        // Requests of disconnected clients must not add to the retry budget, whatever their outcome.
         for outcome in (0..200).filter_map(|_| flood) {
-            let b = gateway.admit(6, request(LOOKUP)).0;
-            gateway.policy.on_client_disconnected(b);
-            gateway.finish_attempt(7, b, 0, outcome, 1);
+            let index = gateway.admit(6, request(LOOKUP)).0;
+            gateway.policy.on_client_disconnected(index);
+            gateway.finish_attempt(7, index, 0, outcome, 1);
         }
-        let mut further = 0;
+        let mut retries = 0;
         for _ in 0..10 {
-            let b = gateway.admit(9, request(LOOKUP)).0;
-            gateway.finish_attempt(10, b, 0, Outcome::Rejected, 1);
-            further += usize::from(sent_to(gateway.policy.route(at_ms(10), b)).is_some());
+            let index = gateway.admit(9, request(LOOKUP)).0;
+            gateway.finish_attempt(10, index, 0, Outcome::Rejected, 1);
+            retries += usize::from(sent_to(gateway.policy.route(at_ms(10), index)).is_some());
         }
-        assert_eq!(further, got, "{free} + {per_request} a request of {returned}, {flood:?}");
+        assert_eq!(
+            retries, expected,
+            "{free} free, {per_request} per request, {returned} returned, flood {flood:?}"
+        );
     }
 }
 
 #[test]
-fn rule_7_a_returned_request_counts_from_its_admission() {
+fn a_returned_request_adds_to_the_budget_from_its_admission() {
     let rule = RetryBudgetConfig {
         window: Duration::from_millis(1_000),
         free_retries: 0.0,
         retries_per_request: 1.0,
     };
     let mut gateway = PolicyConfig { retry_budget: Some(rule), ..typical_config() }.start(4);
-    // A long one ends after a short one that was taken later.
+    // The long request ends after the short one, which was admitted later.
     let (long, _) = gateway.admit(0, request(LOOKUP));
     let (short, _) = gateway.admit(500, request(LOOKUP));
     gateway.finish_attempt(600, short, 0, Outcome::Returned, 100);
     gateway.finish_attempt(900, long, 0, Outcome::Returned, 900);
-    let mut further = |time, allowed| {
-        let (b, _) = gateway.admit(time, request(LOOKUP));
-        gateway.finish_attempt(time, b, 0, Outcome::Rejected, 1);
-        assert_eq!(sent_to(gateway.policy.route(at_ms(time), b)).is_some(), allowed, "{time} ms");
+    let mut assert_retried = |time_ms, expected| {
+        let (index, _) = gateway.admit(time_ms, request(LOOKUP));
+        gateway.finish_attempt(time_ms, index, 0, Outcome::Rejected, 1);
+        assert_eq!(sent_to(gateway.policy.route(at_ms(time_ms), index)).is_some(), expected, "{time_ms} ms");
     };
-    further(999, true);
-    further(1_100, false);
-    further(1_600, false);
+    assert_retried(999, true);
+    assert_retried(1_100, false);
+    assert_retried(1_600, false);
 }
 
 #[test]
-fn rule_2_what_was_cut_off_and_then_rejected_may_have_run() {
+fn a_rejection_by_another_process_does_not_prove_that_the_attempt_never_ran() {
     for (same_process, decision) in
         [(true, RoutingDecision::Reject(Some(Duration::from_millis(500)))), (false, RoutingDecision::Fail)]
     {
         let mut gateway =
             PolicyConfig { retry_budget: Some(RetryBudgetConfig::default()), ..typical_config() }.start(1);
-        let (b, _) = gateway.admit(0, request(DATA_LOAD));
-        let seen = AttemptEvidence { last: LastObservation::Declined, same_process };
-        let answer =
-            AttemptResult { request_finished: false, ..AttemptResult::from_outcome(Outcome::Rejected, seen) };
-        gateway.policy.on_attempt_finished(at_ms(1), b, 0, &answer);
-        assert_eq!(gateway.policy.route(at_ms(1), b), decision, "{same_process}");
+        let (index, _) = gateway.admit(0, request(DATA_LOAD));
+        let evidence = AttemptEvidence { last: LastObservation::Declined, same_process };
+        let result = AttemptResult {
+            request_finished: false,
+            ..AttemptResult::from_outcome(Outcome::Rejected, evidence)
+        };
+        gateway.policy.on_attempt_finished(at_ms(1), index, 0, &result);
+        assert_eq!(gateway.policy.route(at_ms(1), index), decision, "same process: {same_process}");
     }
 }
