--- a/crates/policy/tests/policy/rules.rs
+++ b/crates/policy/tests/policy/rules.rs
@@ -114,7 +114,7 @@
     ];
     for (single_attempt, evidence, retried) in cases {
         let mut config = typical_config();
-        config.capabilities.single_attempt = single_attempt;
+        config.capabilities.forbids_hedging = single_attempt;
         let mut gateway = config.start(3);
         let (index, decision) = gateway.admit(0, request(LOOKUP));
         assert!(sent_to(decision).is_some());
