--- a/crates/gateway/src/state/policy_handle.rs
+++ b/crates/gateway/src/state/policy_handle.rs
@@ -71,7 +71,7 @@
         let now = self.clock.now();
         state.policy.tick(now);
         for engine in state.engines.gone() {
-            let is_forgotten = state.policy.forget_engine(now, engine);
+            let is_forgotten = state.policy.remove_engine(now, engine);
             if is_forgotten {
                 state.engines.remove(engine);
             }
--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -9,7 +9,7 @@
 use crate::types::{Capabilities, Idempotency, RequestClass};
 use std::collections::BTreeMap;
 
-/// Progress update intervals without an update after which an attempt counts as silent.
+/// Number of progress update intervals without an update after which an attempt counts as silent.
 const OVERDUE_INTERVALS: f64 = 1.6;
 
 /// Time after the last progress update from which an attempt counts as silent; `None` if engines send no updates.
@@ -33,7 +33,7 @@
     let objective = class.latency_objective_for(record.work_estimate);
     // A request is cancelled for its pace only once: if the next attempt is as slow, the estimate was wrong, and
     // another cancellation would waste more work.
-    let checks_pace = !record.went_off_estimate;
+    let checks_pace = !record.cancelled_off_estimate;
     for attempt in record.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
         let ejected = engines.get(&attempt.engine).is_some_and(|engine| engine.outlier_detector.is_ejected());
         let silent = attempt.is_silent(update_overdue_after(capabilities), now);
@@ -46,7 +46,7 @@
             && now.since(attempt.sent_time) > objective;
         if (ejected && silent) || off_estimate || only_holds_memory {
             attempt.cancelled = true;
-            record.went_off_estimate |= off_estimate;
+            record.cancelled_off_estimate |= off_estimate;
             return Some(attempt.number);
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,5 @@
 //! The routing policy of larchfall, without input or output: to which engine each client request is sent, or whether
-//! it waits or is rejected.
+//! the request waits, is rejected or fails.
 //!
 //! The caller drives one [`policy::Policy`]: it admits each request, routes the request until the decision is final,
 //! and reports the end of each attempt. It also passes in the endpoint list, progress updates and load reports, and
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -56,7 +56,7 @@
     joined_time: Option<Timestamp>,
     traffic: TrafficFraction,
     mean_reported_load: MeanLoad,
-    /// Mean over all answers of the thread time taken, divided by the work that the answer reports.
+    /// Running mean over answers of the slowdown: the thread time taken, divided by the work that the answer reports.
     mean_slowdown: MeanLoad,
     health_checks: HealthCheckBudget,
     failure_baseline: FailureBaseline,
@@ -108,7 +108,8 @@
         self.endpoint_list.is_current(self.capabilities.endpoint_list_lifetime, now)
     }
 
-    /// Admits a request under an index that the caller assigns. No other request in flight may have this index.
+    /// Admits a request under an index that the caller assigns. The index must not belong to another request that is
+    /// unfinished or has an attempt in flight.
     pub fn admit(&mut self, now: Timestamp, index: usize, mut request: Request) {
         self.health_checks.record_request();
         let class = request.class;
@@ -253,7 +254,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Fraction of all traffic that this gateway handles, in 0..=1.
+    /// Estimated fraction of all traffic that this gateway handles, in 0..=1.
     fn traffic_fraction(&self) -> f64 {
         self.traffic.value(self.topology.gateway_count)
     }
--- a/crates/policy/src/policy/engines.rs
+++ b/crates/policy/src/policy/engines.rs
@@ -12,26 +12,26 @@
 impl Policy {
     /// Adds an engine or applies its changed endpoint list entry. A new start time means a new process: the health,
     /// cache and congestion state of the old process is reset.
-    pub fn update_engine(&mut self, now: Timestamp, engine: usize, listed: Engine) {
+    pub fn update_engine(&mut self, now: Timestamp, engine: usize, entry: Engine) {
         self.joined_time.get_or_insert(now);
         if let Some(record) = self.engines.get_mut(&engine) {
-            record.update_entry(listed, now);
+            record.update_entry(entry, now);
             return;
         }
         let thread_demand = self.classes.thread_demand();
         let limit =
-            ConcurrencyLimit::new(self.topology.cores(&listed), self.topology.gateway_count, &thread_demand);
-        self.engines.insert(engine, EngineRecord::new(listed, limit, now));
+            ConcurrencyLimit::new(self.topology.cores(&entry), self.topology.gateway_count, &thread_demand);
+        self.engines.insert(engine, EngineRecord::new(entry, limit, now));
     }
 
     /// Removes an engine that has been gone for a while and has no attempt in flight. Returns whether it was removed:
     /// its index may then be used for another engine.
-    pub fn forget_engine(&mut self, now: Timestamp, engine: usize) -> bool {
-        let forgettable = self.engines.get(&engine).is_some_and(|record| record.is_removable(now));
-        if forgettable {
+    pub fn remove_engine(&mut self, now: Timestamp, engine: usize) -> bool {
+        let removable = self.engines.get(&engine).is_some_and(|record| record.is_removable(now));
+        if removable {
             self.engines.remove(&engine);
         }
-        forgettable
+        removable
     }
 
     /// Sets the number of gateways that share the engines. Each gateway gets an equal fraction of every engine; this
--- a/crates/policy/src/policy/tick.rs
+++ b/crates/policy/src/policy/tick.rs
@@ -9,7 +9,8 @@
 use crate::time::{Duration, Timestamp};
 use crate::types::EngineState;
 
-/// Maximum observed capacity of an engine at this gateway, as a multiple of the gateway's fraction of all traffic.
+/// Maximum ratio of the observed capacity of an engine, as a fraction of its whole capacity, to this gateway's
+/// fraction of all traffic.
 const CAPACITY_TO_TRAFFIC_RATIO: f64 = 1.75;
 /// Fraction of the ready engines that must be congested for the gateway to count as overloaded.
 const OVERLOADED_FRACTION: f64 = 0.5;
@@ -18,7 +19,7 @@
 /// Ticks for which each tick keeps an ordering key blocked by an attempt at a draining engine whose end is unproven.
 /// More than one, so that the key stays blocked until the next tick extends the time.
 const KEY_HOLD_TICKS: f64 = 2.0;
-/// Class for which capacity pools are computed where the class does not matter: only the headroom depends on it.
+/// Class that `capacity_pools` is called with where the headroom is not used, which alone depends on the class.
 const ANY_CLASS: usize = 0;
 
 impl Policy {
@@ -93,7 +94,7 @@
         (CAPACITY_TO_TRAFFIC_RATIO * self.traffic_fraction()).min(1.0)
     }
 
-    /// Counts attempts as failures at engines that sent nothing at all although progress updates are overdue.
+    /// Counts attempts with overdue progress updates as failures, where their engine sent nothing at all in that time.
     fn record_silent_engines(&mut self, now: Timestamp) {
         let mut ejected = Vec::new();
         for (index, engine) in &mut self.engines {
--- a/crates/policy/src/request_class.rs
+++ b/crates/policy/src/request_class.rs
@@ -25,8 +25,8 @@
     pub aimd: &'static AimdProfile,
 }
 
-/// Ranks the classes by decreasing priority weight, then by increasing latency objective. The classes are
-/// returned in the order in which they were given.
+/// Ranks the classes by decreasing priority weight, then by increasing latency objective. The classes are returned in
+/// the order in which they were given.
 pub(crate) fn rank(classes: Vec<RequestClass>) -> Vec<RankedClass> {
     let last_rank = AIMD_BY_RANK.len() - 1;
     let ranks: Vec<usize> = classes
--- a/crates/policy/src/request_record.rs
+++ b/crates/policy/src/request_record.rs
@@ -60,7 +60,7 @@
     pub attempts_made: usize,
     pub last_engine: Option<usize>,
     /// An attempt of the request was cancelled because it was much slower than estimated.
-    pub went_off_estimate: bool,
+    pub cancelled_off_estimate: bool,
     /// The earliest attempt that may have run.
     pub first_possible_run: Option<PossibleRun>,
     /// An attempt has an outcome, but no proof that it ended, and no other attempt may run at the same time.
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -9,17 +9,17 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Recent retries and returned requests, within the window of the rule.
+/// Recent retries and returned requests, within the window of the budget.
 pub(crate) struct RetryBudget {
-    rule: Option<RetryBudgetConfig>,
+    config: Option<RetryBudgetConfig>,
     /// Admission times of returned requests, the earliest first. A heap, since requests are returned in any order.
     admitted: BinaryHeap<Reverse<Timestamp>>,
     retries: VecDeque<Timestamp>,
 }
 
 impl RetryBudget {
-    pub(crate) fn new(rule: Option<RetryBudgetConfig>) -> RetryBudget {
-        RetryBudget { rule, admitted: BinaryHeap::new(), retries: VecDeque::new() }
+    pub(crate) fn new(config: Option<RetryBudgetConfig>) -> RetryBudget {
+        RetryBudget { config, admitted: BinaryHeap::new(), retries: VecDeque::new() }
     }
 
     /// Records that the result of a request was returned to its client.
@@ -32,16 +32,16 @@
         self.retries.push_back(now);
     }
 
-    /// Whether one more retry is within the budget. Without a rule, retries are unlimited.
+    /// Whether one more retry is within the budget. Without a configured budget, retries are unlimited.
     pub(crate) fn allows_retry(&mut self, now: Timestamp) -> bool {
         self.remove_expired(now);
-        let Some(rule) = self.rule else { return true };
+        let Some(config) = self.config else { return true };
         (self.retries.len() + 1) as f64
-            <= rule.free_retries + rule.retries_per_request * self.admitted.len() as f64
+            <= config.free_retries + config.retries_per_request * self.admitted.len() as f64
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
-        let window = self.rule.map_or(Duration::ZERO, |rule| rule.window);
+        let window = self.config.map_or(Duration::ZERO, |config| config.window);
         while self.admitted.peek().is_some_and(|admitted| now.since(admitted.0) >= window) {
             self.admitted.pop();
         }
--- a/crates/policy/src/types/attempt.rs
+++ b/crates/policy/src/types/attempt.rs
@@ -19,7 +19,7 @@
     Reset,
     /// The gateway cancelled the attempt.
     Cancelled,
-    /// The gateway sent nothing of the attempt, for a reason of its own.
+    /// The gateway sent nothing of the attempt, for a reason of its own such as a lack of free connections.
     NotSent,
 }
 
--- a/crates/policy/tests/key_order.rs
+++ b/crates/policy/tests/key_order.rs
@@ -252,7 +252,7 @@
                 }
             }
             Action::Poll(request) | Action::Cancel(request) => {
-                self.call_engine(request, action == Action::Cancel(request), bounds)
+                self.call_engine(request, action == Action::Cancel(request), bounds);
             }
             Action::GiveUp(request) => self.end_attempt(request, LastObservation::Silent, bounds),
             Action::Panic(request) => {
--- a/crates/policy/tests/policy/engines.rs
+++ b/crates/policy/tests/policy/engines.rs
@@ -24,7 +24,7 @@
             gateway.finish_attempt(2, b, 0, Outcome::Returned, 2);
         }
         assert_eq!(
-            gateway.policy.forget_engine(at_ms(1 + after), 0),
+            gateway.policy.remove_engine(at_ms(1 + after), 0),
             forgotten,
             "{listed:?} out {out} after {after}"
         );
--- a/crates/policy/tests/policy/outlier_detection.rs
+++ b/crates/policy/tests/policy/outlier_detection.rs
@@ -7,20 +7,18 @@
 #[test]
 fn an_unhealthy_engine_is_ejected_until_its_probes_restore_it() {
     // (outcomes at engine 0, whether engine 0 is still used once a healthy engine 1 is listed)
-    use Outcome::{
-        Cancelled, ConnectFailed as C, Errored as E, Rejected, Reset as R, Returned as O, TimedOut as T,
-    };
+    use Outcome::{Cancelled, ConnectFailed, Errored, Rejected, Reset, Returned, TimedOut};
     for (outcomes, used) in [
-        (vec![O, O, O], true),
-        (vec![E, O, O, O, O], true),
-        (vec![R, R], false),
-        (vec![C, C], false),
+        (vec![Returned, Returned, Returned], true),
+        (vec![Errored, Returned, Returned, Returned, Returned], true),
+        (vec![Reset, Reset], false),
+        (vec![ConnectFailed, ConnectFailed], false),
         // An engine that quickly fails every other request has the fewest attempts in flight and would look idle.
-        (vec![E, O, E, O, E, O], false),
+        (vec![Errored, Returned, Errored, Returned, Errored, Returned], false),
         (vec![Rejected, Rejected, Cancelled, Cancelled], true),
-        (vec![T, T], false),
-        (vec![R, R, O], false),
-        (vec![R, R, O, O, O, O], true),
+        (vec![TimedOut, TimedOut], false),
+        (vec![Reset, Reset, Returned], false),
+        (vec![Reset, Reset, Returned, Returned, Returned, Returned], true),
     ] {
         let mut gateway = typical_config().start(1);
         for (i, outcome) in outcomes.iter().enumerate() {
@@ -86,8 +84,8 @@
     }
 }
 
-/// Guards against a recovered engine that little traffic never probes, because other engines always score higher: by
-/// more headroom, cached data sets or open connections.
+/// Guards against recovered engines that are never probed under little traffic because other engines always score
+/// higher, by more headroom, cached data sets or open connections.
 #[test]
 fn an_ejected_engine_is_probed_and_restored_however_little_the_traffic() {
     // (requests in flight at once, maximum seconds until the recovered engine is restored)
