--- a/crates/policy/src/types/attempt.rs
+++ b/crates/policy/src/types/attempt.rs
@@ -19,7 +19,7 @@
     Reset,
     /// The gateway cancelled the attempt.
     Cancelled,
-    /// The gateway sent nothing of the attempt, for a reason of its own.
+    /// The gateway sent nothing of the attempt, for a reason of its own such as a lack of free connections.
     NotSent,
 }
 
@@ -49,8 +49,8 @@
 pub struct AttemptEvidence {
     /// Last observation about the attempt.
     pub last: LastObservation,
-    /// Whether the observation came from the process that has the request: on the connection that the request was sent on,
-    /// or on a later one on which that process had shown that it knows the request.
+    /// Whether the observation came from the process that has the request: on the connection that the request was sent
+    /// on, or on a later one on which that process had shown that it knows the request.
     pub same_process: bool,
 }
 
