--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -15,9 +15,10 @@
 /// Time from the client to the gateway and back under load. A request's deadline is this much earlier than the end of
 /// the client's timeout, so that the answer arrives in time.
 const ROUND_TRIP_TIME: Duration = Duration::from_millis(60);
-/// Maximum time for which a client holds back a request to keep a distance to the previous request with the same ordering
-/// key. The client's timeout already runs during this time, which the gateway can't observe, so the deadline of every
-/// request with an ordering key is earlier by this much. The longest distance follows a request on a new connection.
+/// Maximum time for which a client holds back a request to keep a distance to the previous request with the same
+/// ordering key. The client's timeout already runs during this time, which the gateway can't observe, so the deadline
+/// of every request with an ordering key is earlier by this much. The longest distance follows a request on a new
+/// connection.
 const KEY_SPACING: Duration = Duration::from_millis(250);
 
 /// Why a request was not admitted.
@@ -51,9 +52,9 @@
     DuplicateId,
 }
 
-/// Validates a client's request, which was sent at `sent_at`, and converts it to a request of the policy. Names that the
-/// settings do not know are refused here, because an engine would fail the query and the policy would count the failure
-/// against the engine.
+/// Validates a client's request, which was sent at `sent_at`, and converts it to a request of the policy. Names that
+/// the settings do not know are refused here, because an engine would fail the query and the policy would count the
+/// failure against the engine.
 fn policy_request(
     state: &State,
     client_request: &ClientRequest,
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,5 +1,6 @@
-//! Reload of the configuration files on SIGHUP, without interrupting service. Settings of the discovery service, the paged
-//! REST protocol, membership and leases take effect at once; all other changes take effect when the gateway restarts.
+//! Reload of the configuration files on SIGHUP, without interrupting service. Settings of the discovery service, the
+//! paged REST protocol, membership and leases take effect at once; all other changes take effect when the gateway
+//! restarts.
 
 use crate::client::paged_rest::RestService;
 use crate::cluster::Cluster;
@@ -99,14 +100,14 @@
             discovery::apply_event(&self.state, event);
         }
         info!(self.state.log, "configuration reloaded"; "discovery" => config.discovery.to_string());
-        // A new discovery client is started at once instead of redirecting the current client, because the old service may
-        // keep the current client's connection open without sending anything.
+        // A new discovery client is started at once instead of redirecting the current client, because the old service
+        // may keep the current client's connection open without sending anything.
         discovery::start_client(&self.state, config.discovery, self.seed);
     }
 }
 
-/// Loads the files on a separate thread, so that neither disk I/O nor the parsing of a long endpoint list blocks the only
-/// worker thread.
+/// Loads the files on a separate thread, so that neither disk I/O nor the parsing of a long endpoint list blocks the
+/// only worker thread.
 fn load_on_separate_thread(files: &ConfigFiles) -> Result<LoadedConfig, Box<ReloadError>> {
     let (sender, receiver) = mpsc::channel();
     let files = files.clone();
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,5 +1,5 @@
-//! The life of a request in flight. The request's coroutine asks the policy for routing decisions, runs one attempt after
-//! another and records their outcomes until the request is finished.
+//! The life of a request in flight. The request's coroutine asks the policy for routing decisions, runs one attempt
+//! after another and records their outcomes until the request is finished.
 
 use crate::engine::attempt::{Attempt, AttemptEnd};
 use crate::request_context::{FinalAnswer, RequestContext};
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -36,8 +36,8 @@
 }
 
 /// Registers a handler that writes a byte to a socket for each signal; returns the reading end of the socket. Only the
-/// reading end is passed to the coroutine library, and its descriptor is never duplicated: a duplicate would keep a closed
-/// descriptor registered for events, whose handling would then access freed memory.
+/// reading end is passed to the coroutine library, and its descriptor is never duplicated: a duplicate would keep a
+/// closed descriptor registered for events, whose handling would then access freed memory.
 fn register(signal: i32) -> io::Result<UnixStream> {
     let (write, read) = UnixStream::pair()?;
     pipe::register(signal, write)?;
--- a/crates/gateway/src/state/client_connections.rs
+++ b/crates/gateway/src/state/client_connections.rs
@@ -74,8 +74,8 @@
     }
 
     /// Asks up to `max` idle connections to close, first those that still await a complete message, then the least
-    /// recently active. Connections with activity at or after `active_since` are kept, because their clients may be about
-    /// to send a request.
+    /// recently active. Connections with activity at or after `active_since` are kept, because their clients may be
+    /// about to send a request.
     pub fn evict_idle(&self, max: usize, active_since: Timestamp) {
         let mut evictable: Vec<_> = lock(&self.writers)
             .iter()
--- a/crates/gateway/src/state/connection_permits.rs
+++ b/crates/gateway/src/state/connection_permits.rs
@@ -17,7 +17,7 @@
 
 struct PermitQueue {
     available: usize,
-    waiting: BTreeMap<QueuePosition, Arc<Blocker>>,
+    waiters: BTreeMap<QueuePosition, Arc<Blocker>>,
     /// Number of waiters queued so far; orders waiters of equal priority.
     arrivals: u64,
 }
@@ -41,7 +41,7 @@
     /// Creates a semaphore with `available` permits.
     pub fn new(available: usize) -> ConnectionPermits {
         ConnectionPermits {
-            queue: Mutex::new(PermitQueue { available, waiting: BTreeMap::new(), arrivals: 0 }),
+            queue: Mutex::new(PermitQueue { available, waiters: BTreeMap::new(), arrivals: 0 }),
         }
     }
 
@@ -57,18 +57,18 @@
         let Some(wait) = wait else { return false };
         queue.arrivals += 1;
         let position = QueuePosition { priority: Reverse(priority), arrival: queue.arrivals };
-        queue.waiting.insert(position, blocker.clone());
+        queue.waiters.insert(position, blocker.clone());
         drop(queue);
         wait.timers.park_until(&blocker, wait.deadline);
-        // `release` removes a waiter from the queue when it hands the waiter a permit. A waiter that is no longer queued
-        // therefore holds a permit, even if its deadline has passed.
-        lock(&self.queue).waiting.remove(&position).is_none()
+        // `release` removes a waiter from the queue when it hands the waiter a permit. A waiter that is no longer
+        // queued therefore holds a permit, even if its deadline has passed.
+        lock(&self.queue).waiters.remove(&position).is_none()
     }
 
     /// Releases a permit and passes it to the first waiter in the queue, if any.
     pub fn release(&self) {
         let mut queue = lock(&self.queue);
-        match queue.waiting.pop_first() {
+        match queue.waiters.pop_first() {
             Some((_, first_waiter)) => first_waiter.unpark(),
             None => queue.available += 1,
         }
@@ -76,6 +76,6 @@
 
     /// Number of coroutines that wait for a permit.
     pub fn waiting(&self) -> usize {
-        lock(&self.queue).waiting.len()
+        lock(&self.queue).waiters.len()
     }
 }
--- a/crates/gateway/src/state/connection_pool.rs
+++ b/crates/gateway/src/state/connection_pool.rs
@@ -15,8 +15,8 @@
 /// Fraction of an engine's idle timeout for which the pool keeps an idle connection.
 const IDLE_LIFETIME_FRACTION: f64 = 0.9;
 /// Minimum time between two uses of a connection. A duplicate of a response may arrive some milliseconds after the
-/// response itself. The next call on the connection would take the duplicate for its own response, and so return another
-/// request's rows or report that its query never ran or has stopped.
+/// response itself. The next call on the connection would take the duplicate for its own response, and so return
+/// another request's rows or report that its query never ran or has stopped.
 pub const REUSE_DELAY: Duration = Duration::from_millis(25);
 
 /// All connections of this gateway to engines.
@@ -58,8 +58,8 @@
     pub idle: usize,
 }
 
-/// Permission to have one connection open, returned to the pool on drop. An attempt holds its permit to the end, so that
-/// a query sent to an engine can always be polled and cancelled.
+/// Permission to have one connection open, returned to the pool on drop. An attempt holds its permit to the end, so
+/// that a query sent to an engine can always be polled and cancelled.
 pub struct ConnectionPermit {
     pool: Arc<ConnectionPool>,
 }
@@ -72,8 +72,8 @@
 }
 
 impl Connections {
-    /// Takes the engine's most recently used connection that is past its reuse delay, or else the connection whose delay
-    /// ends first.
+    /// Takes the engine's most recently used connection that is past its reuse delay, or else the connection whose
+    /// delay ends first.
     fn take_idle(&mut self, engine: usize, now: Timestamp) -> Option<IdleConnection> {
         let idle = self.idle_by_engine.get_mut(&engine).filter(|idle| !idle.is_empty())?;
         let reusable = idle.iter().rposition(|entry| now.since(entry.idle_since) >= REUSE_DELAY);
--- a/crates/gateway/src/state/counters.rs
+++ b/crates/gateway/src/state/counters.rs
@@ -32,8 +32,8 @@
     pub client_connections: u64,
     /// Messages and statements that are malformed or do not match the settings.
     pub invalid_requests: u64,
-    /// Requests rejected by the gateway's own limits: too many open on a connection, too many open paged results, or too
-    /// many in flight.
+    /// Requests rejected by the gateway's own limits: too many open on a connection, too many open paged results, or
+    /// too many in flight.
     pub over_limits: u64,
     /// Pings received from clients.
     pub pings: u64,
--- a/crates/gateway/src/state/limits.rs
+++ b/crates/gateway/src/state/limits.rs
@@ -40,8 +40,8 @@
 }
 
 impl Limits {
-    /// Computes the limits from the memory in MiB and the maximum number of open descriptors. Returns `None` if either is
-    /// too small to serve any request.
+    /// Computes the limits from the memory in MiB and the maximum number of open descriptors. Returns `None` if either
+    /// is too small to serve any request.
     pub fn new(memory_mb: usize, max_descriptors: usize) -> Option<Limits> {
         let descriptors = max_descriptors.checked_sub(OTHER_DESCRIPTORS)?;
         let memory = memory_mb << 20;
--- a/crates/gateway/src/state/policy_handle/capacity.rs
+++ b/crates/gateway/src/state/policy_handle/capacity.rs
@@ -1,5 +1,5 @@
-//! The engine capacity that this gateway may use: its subset of the engines, and its quotas of capacities shared between
-//! gateways.
+//! The engine capacity that this gateway may use: its subset of the engines, and its quotas of capacities shared
+//! between gateways.
 
 use super::{PolicyHandle, PolicyState};
 use larchfall_policy::types::{Engine, SlowStartConfig};
@@ -23,8 +23,8 @@
         self.subset.as_ref().is_none_or(|subset| subset.contains_key(&id))
     }
 
-    /// Returns this gateway's fraction of the engine, of which other gateways use the rest; `None` if the subset assigns
-    /// no fraction.
+    /// Returns this gateway's fraction of the engine, of which other gateways use the rest; `None` if the subset
+    /// assigns no fraction.
     fn subset_fraction(&self, id: u32) -> Option<f64> {
         self.subset.as_ref()?.get(&id).copied().filter(|fraction| *fraction > 0.0)
     }
--- a/crates/gateway/src/state/policy_handle/engines.rs
+++ b/crates/gateway/src/state/policy_handle/engines.rs
@@ -36,8 +36,8 @@
         self.lock().policy.confirm_endpoint_list(as_of);
     }
 
-    /// Applies a watch event. Returns the indices of engines whose idle connections must be closed, because the engine is
-    /// gone or its process was replaced.
+    /// Applies a watch event. Returns the indices of engines whose idle connections must be closed, because the engine
+    /// is gone or its process was replaced.
     pub fn apply_discovery_event(&self, event: &WatchEvent) -> Vec<usize> {
         let mut state = self.lock();
         let changes = state.engines.apply(event);
@@ -104,8 +104,8 @@
         self.lock().engines.instance(engine)
     }
 
-    /// Records a load report that this gateway received from an engine process. The report is dropped if the process was
-    /// replaced meanwhile.
+    /// Records a load report that this gateway received from an engine process. The report is dropped if the process
+    /// was replaced meanwhile.
     pub fn record_load_report(&self, instance: EngineInstance, report: LoadReport) {
         let mut state = self.lock();
         if state.engines.instance(instance.engine) == Some(instance) {
--- a/crates/gateway/src/state/policy_handle/in_flight.rs
+++ b/crates/gateway/src/state/policy_handle/in_flight.rs
@@ -27,13 +27,14 @@
     LetAttemptsFinish,
 }
 
+/// State of a request in flight that the policy does not hold.
 pub(super) struct InFlightRequest {
     /// Id under which engines know the request's query.
     id: u64,
-    /// Set once the client has disconnected.
+    /// How to proceed after the client has disconnected; `None` while the client is connected.
     pub(super) disconnect_action: Option<DisconnectAction>,
     /// Wakes the request's coroutine while the coroutine waits for a new routing decision.
-    pub(super) waiting: Option<Arc<Blocker>>,
+    pub(super) waiter: Option<Arc<Blocker>>,
 }
 
 /// All requests in flight, up to a maximum number.
@@ -56,7 +57,7 @@
         if !self.ids.insert(id) {
             return Err(AdmissionError::DuplicateId);
         }
-        Ok(self.requests.insert(InFlightRequest { id, disconnect_action: None, waiting: None }))
+        Ok(self.requests.insert(InFlightRequest { id, disconnect_action: None, waiter: None }))
     }
 
     /// Removes a finished request; its index can be reused.
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -15,8 +15,8 @@
         self.lock().observations = Some(Observations::new(max_processes));
     }
 
-    /// Records the outcome of an attempt as an observation of the engine process to which the attempt was sent. Outcomes
-    /// that say nothing about the engine, and outcomes of a process that was replaced meanwhile, are dropped.
+    /// Records the outcome of an attempt as an observation of the engine process to which the attempt was sent.
+    /// Outcomes that say nothing about the engine, and outcomes of a process that was replaced meanwhile, are dropped.
     pub fn record_observation(&self, instance: EngineInstance, outcome: Outcome) {
         let mut guard = self.lock();
         let PolicyState { engines, observations, .. } = &mut *guard;
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Returns the next report to members, with at most `max_observations` entries; `None` if there is nothing to report
-    /// or observations are disabled.
+    /// Returns the next report to members, with at most `max_observations` entries; `None` if there is nothing to
+    /// report or observations are disabled.
     pub fn next_observation_report(&self, max_observations: usize) -> Option<Report> {
         let mut guard = self.lock();
         let PolicyState { engines, observations, .. } = &mut *guard;
@@ -44,8 +44,8 @@
         self.lock().observations.iter().flat_map(Observations::all).collect()
     }
 
-    /// Passes an outcome that members observed at an engine process to the policy; does nothing if this gateway does not
-    /// list the process.
+    /// Passes an outcome that members observed at an engine process to the policy; does nothing if this gateway does
+    /// not list the process.
     pub fn record_peer_outcome(&self, process: EngineProcess, is_failure: bool) {
         let mut state = self.lock();
         if let Some(engine) = state.engines.index_of_process(process) {
--- a/crates/gateway/src/state/policy_handle/requests.rs
+++ b/crates/gateway/src/state/policy_handle/requests.rs
@@ -1,4 +1,4 @@
-//! The policy calls of a single request, from admission over routing and attempts to its release.
+//! The policy calls that concern a single request: admission, routing, attempts, disconnection and release.
 
 use super::in_flight::{AdmissionError, DisconnectAction};
 use super::{PolicyHandle, PolicyState};
@@ -28,8 +28,8 @@
         self.lock().policy.finish_unanswered(request)
     }
 
-    /// Blocks until the policy has to be asked again for a routing decision, or until the client disconnects. Returns at
-    /// once if the client has already disconnected.
+    /// Blocks until the policy has to be asked again for a routing decision, or until the client disconnects. Returns
+    /// at once if the client has already disconnected.
     pub fn wait_for_change(&self, request: usize) {
         let blocker = Blocker::current();
         let mut state = self.lock();
@@ -38,11 +38,11 @@
         let Some(in_flight) = in_flight.filter(|in_flight| in_flight.disconnect_action.is_none()) else {
             return;
         };
-        in_flight.waiting = Some(blocker.clone());
+        in_flight.waiter = Some(blocker.clone());
         drop(state);
         self.timers.park_until(&blocker, deadline);
         if let Some(in_flight) = self.lock().in_flight.get_mut(request) {
-            in_flight.waiting = None;
+            in_flight.waiter = None;
         }
     }
 
@@ -75,8 +75,8 @@
         self.lock().policy.abandon(self.clock.now(), request);
     }
 
-    /// Records that the client of a request has disconnected, so that no answer is due any more, and wakes the request's
-    /// coroutine. Only the first call for a request has an effect.
+    /// Records that the client of a request has disconnected, so that no answer is due any more, and wakes the
+    /// request's coroutine. Only the first call for a request has an effect.
     pub fn record_disconnection(&self, request: usize) {
         let mut guard = self.lock();
         let PolicyState { policy, in_flight, .. } = &mut *guard;
@@ -90,8 +90,8 @@
         } else {
             DisconnectAction::CancelAttempts
         });
-        if let Some(waiting) = in_flight.waiting.take() {
-            waiting.unpark();
+        if let Some(waiter) = in_flight.waiter.take() {
+            waiter.unpark();
         }
     }
 
--- a/crates/gateway/src/state/response_writer.rs
+++ b/crates/gateway/src/state/response_writer.rs
@@ -11,8 +11,8 @@
 
 /// Maximum number of open requests on one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// Unsent response bytes of a connection above which the gateway stops reading from the connection. The value is the size
-/// of the responses of `MAX_OPEN_REQUESTS` requests.
+/// Unsent response bytes of a connection above which the gateway stops reading from the connection. The value is the
+/// size of the responses of `MAX_OPEN_REQUESTS` requests.
 const MAX_UNSENT_BYTES: usize = 2 << 20;
 
 /// The open requests and the unsent response bytes of a client connection.
@@ -78,8 +78,8 @@
     Accepted,
     /// `MAX_OPEN_REQUESTS` requests are open on this connection.
     TooManyOpen,
-    /// The id is not greater than the previous id. Ids must ascend, because the client could not match a response to one
-    /// of two messages with the same id.
+    /// The id is not greater than the previous id. Ids must ascend, because the client could not match a response to
+    /// one of two messages with the same id.
     Reused,
 }
 
@@ -121,8 +121,8 @@
         lock(&self.connection).open_requests.insert(id, request);
     }
 
-    /// Closes the request of message `id`, whose response the client no longer awaits. Returns the index of the request;
-    /// `None` if no request is open under `id`.
+    /// Closes the request of message `id`, whose response the client no longer awaits. Returns the index of the
+    /// request; `None` if no request is open under `id`.
     pub fn cancel(&self, id: u32) -> Option<usize> {
         lock(&self.connection).open_requests.remove(&id)
     }
@@ -155,8 +155,8 @@
         self.waker.wakeup();
     }
 
-    /// Passes the unsent bytes to `write`, which returns the number of bytes that it has written, and removes the written
-    /// bytes from the buffer. Returns 0 without a call if there are no unsent bytes.
+    /// Passes the unsent bytes to `write`, which returns the number of bytes that it has written, and removes the
+    /// written bytes from the buffer. Returns 0 without a call if there are no unsent bytes.
     pub fn write<E>(&self, mut write: impl FnMut(&[u8]) -> Result<usize, E>) -> Result<usize, E> {
         let mut connection = lock(&self.connection);
         if connection.unsent.is_empty() {
@@ -237,8 +237,8 @@
             || connection.awaiting_message_since.is_some_and(|since| since <= awaiting_since)
     }
 
-    /// Returns the sort key for closing this connection to free its descriptor; `None` if the connection is not idle, or
-    /// was active at or after `active_since`.
+    /// Returns the sort key for closing this connection to free its descriptor; `None` if the connection is not idle,
+    /// or was active at or after `active_since`.
     pub(super) fn eviction_order(&self, active_since: Timestamp) -> Option<EvictionOrder> {
         let connection = lock(&self.connection);
         let is_evictable = connection.is_idle() && connection.last_activity < active_since;
--- a/crates/gateway/src/state/result_pages.rs
+++ b/crates/gateway/src/state/result_pages.rs
@@ -1,5 +1,5 @@
-//! Open results of the paged REST protocol, and the coroutines that wait for their pages. `larchfall_paged_rest` decides
-//! which page a call gets and when a result expires; this module blocks and wakes the waiting coroutines.
+//! Open results of the paged REST protocol, and the coroutines that wait for their pages. `larchfall_paged_rest`
+//! decides which page a call gets and when a result expires; this module blocks and wakes the waiting coroutines.
 
 use super::lock;
 use super::timers::Timers;
@@ -106,8 +106,8 @@
         self.update(|results| results.restart(id))
     }
 
-    /// Waits up to `timeout` for the page at this address. If the page is not ready by then, `empty_page` creates a page
-    /// without rows in its place.
+    /// Waits up to `timeout` for the page at this address. If the page is not ready by then, `empty_page` creates a
+    /// page without rows in its place.
     pub fn wait_for_page(
         &self,
         address: PageAddress,
--- a/crates/gateway/src/state/settings.rs
+++ b/crates/gateway/src/state/settings.rs
@@ -7,7 +7,8 @@
 /// Upper bound of `drain_send_window`. An attempt that was routed longer ago is not sent to a draining engine, because
 /// part of the engine's grace period has already passed.
 const MAX_DRAIN_SEND_WINDOW: Duration = Duration::from_millis(600);
-/// Fraction of an engine's drain grace period in which attempts may still be sent, so that none start in its later part.
+/// Fraction of an engine's drain grace period in which attempts may still be sent, so that none start in its later
+/// part.
 const DRAIN_SEND_FRACTION: f64 = 0.5;
 /// Lower bound of `unsent_response_timeout`, so that a client that pauses reading for a while still gets its responses.
 const MIN_UNSENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(10_000);
--- a/crates/gateway/src/state/stall_detector.rs
+++ b/crates/gateway/src/state/stall_detector.rs
@@ -1,5 +1,5 @@
-//! Detects stalls, that is, periods in which this process did not run because the machine was paused or the CPU core was
-//! busy. Data that is read right after a stall may have arrived at any time during the stall.
+//! Detects stalls, that is, periods in which this process did not run because the machine was paused or the CPU core
+//! was busy. Data that is read right after a stall may have arrived at any time during the stall.
 
 use super::lock;
 use larchfall_policy::time::{Duration, Timestamp};
@@ -53,8 +53,8 @@
     fn record_running(&mut self, now: Timestamp) {
         let gap = now.since(self.last_running);
         if gap > STALL_THRESHOLD {
-            // On an overloaded core, stalls follow each other closely. Data that arrived during the first stall may still
-            // be unread after the next, so such stalls are merged.
+            // On an overloaded core, stalls follow each other closely. Data that arrived during the first stall may
+            // still be unread after the next, so such stalls are merged.
             let last = self.last_stall;
             let is_continued = self.last_running.since(last.until) < STALL_RECOVERY
                 && now.since(last.from) < MAX_MERGED_STALL;
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Records a run of the timer thread. Returns whether the process stalled for longer than `REPORTED_STALL` since the
-    /// previous call.
+    /// Records a run of the timer thread. Returns whether the process stalled for longer than `REPORTED_STALL` since
+    /// the previous call.
     pub fn record_timer_run(&self, now: Timestamp) -> bool {
         let mut history = lock(&self.history);
         history.record_running(now);
--- a/crates/gateway/src/state/timers.rs
+++ b/crates/gateway/src/state/timers.rs
@@ -1,10 +1,10 @@
 //! Waits with a deadline. Coroutines park here, and the timer thread wakes each coroutine whose deadline has passed.
 //!
-//! The timeouts of the coroutine library are used for sockets only, where the worker itself handles them. They are unsafe
-//! for `park`, for two reasons. First, `park` starts the timeout before it registers the coroutine with the timer: if the
-//! worker's thread loses its core between the two steps for longer than the timeout, the coroutine is never woken.
-//! Second, a coroutine that the library's timer wakes runs on the timer's thread, concurrently with the worker, and a
-//! wait on a socket there corrupts lists that only the worker may access.
+//! The timeouts of the coroutine library are used for sockets only, where the worker itself handles them. They are
+//! unsafe for `park`, for two reasons. First, `park` starts the timeout before it registers the coroutine with the
+//! timer: if the worker's thread loses its core between the two steps for longer than the timeout, the coroutine is
+//! never woken. Second, a coroutine that the library's timer wakes runs on the timer's thread, concurrently with the
+//! worker, and a wait on a socket there corrupts lists that only the worker may access.
 
 use super::clock::Clock;
 use super::deadline_queue::DeadlineQueue;
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Closes engine connections that were idle for too long, and wakes client connections whose timeout has passed, so that
-/// they close.
+/// Closes engine connections that were idle for too long, and wakes client connections whose timeout has passed, so
+/// that they close.
 fn close_expired_connections(state: &State) {
     let now = state.clock.now();
     state.engine_connections.close_expired(now);
