--- a/crates/gateway/src/client/close_reason.rs
+++ b/crates/gateway/src/client/close_reason.rs
@@ -1,4 +1,4 @@
-//! Why a client connection ended, with its code in the log.
+//! Reasons for the end of a client connection, with the codes that the log uses.
 
 use crate::codec::message_pack::MessageError;
 use larchfall_paged_rest::call::CallError;
@@ -7,24 +7,24 @@
 pub(super) enum CloseReason {
     ClientClosed,
     ClientReset,
-    /// Nothing happened on it for too long.
+    /// No bytes were read or written within the idle timeout.
     Idle,
-    /// A message that had begun was not complete in time.
+    /// The first message, or a message that had begun, was not complete within its timeout.
     IncompleteMessage,
-    /// Its place was needed for other clients.
+    /// The connection's file descriptor was needed for another client.
     Evicted,
-    /// The client did not read its responses.
+    /// The client did not read its responses within the timeout.
     ResponsesUnread,
     MalformedMessage(MessageError),
     MalformedCall(CallError),
     DuplicateMessageId,
-    /// The client asked for it.
+    /// The client asked for the connection to be closed after a response.
     CloseRequested,
     ShuttingDown,
 }
 
 impl CloseReason {
-    /// Whether the client ended it.
+    /// Whether the client closed or reset the connection.
     pub(super) fn is_by_client(self) -> bool {
         matches!(self, CloseReason::ClientClosed | CloseReason::ClientReset)
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What was malformed; empty for all other reasons.
+    /// The decoding error of a malformed message or call; empty for all other reasons.
     pub(super) fn detail(self) -> String {
         match self {
             CloseReason::MalformedMessage(error) => error.to_string(),
--- a/crates/gateway/src/client/message_pack/connection.rs
+++ b/crates/gateway/src/client/message_pack/connection.rs
@@ -1,4 +1,4 @@
-//! One connection from its registration to its end.
+//! Serves one MessagePack-RPC connection from its registration to its close.
 
 use super::inbox::Inbox;
 use super::requests;
@@ -14,30 +14,33 @@
 use std::net::{Shutdown, SocketAddr};
 use std::sync::Arc;
 
-/// Clients close connections that were idle for 4 s; one that stays open for longer keeps others out.
+/// Idle time after which a connection is closed. Clients close theirs after 4 s; a connection that stays open for
+/// longer takes the place of another client.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// A message that has begun, or the first one of a connection, is complete by then. A client that connects and sends
-/// nothing, or stops half way, would hold a descriptor.
+/// Time within which the first message of a connection, and every message that has begun, must be complete. Without
+/// this limit, a client that sends nothing or only part of a message would hold a file descriptor.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Reads or writes without a pause; after them others run.
-const MAX_TURNS: usize = 8;
-const PAUSE: Duration = Duration::from_millis(5);
-/// Input is discarded for so long on a connection that this gateway closes. With unread bytes the close would be a
-/// reset, and the reset would drop responses that are still on their way.
-const LINGER: Duration = Duration::from_millis(50);
+/// Number of rounds of reads and writes that a connection makes before its coroutine sleeps and lets others run.
+const MAX_ROUNDS_WITHOUT_SLEEP: usize = 8;
+/// How long a coroutine sleeps to let others run, and between reads while it lingers.
+const YIELD_SLEEP: Duration = Duration::from_millis(5);
+/// Maximum time for which input is read and discarded on a connection that this gateway closes. Closing a socket with
+/// unread input resets the connection, and the reset would discard responses that the client has not yet received.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A connection that is counted among this gateway's.
+/// A client connection that is registered and counts as open.
 pub struct Connection {
     stream: TcpStream,
     from: SocketAddr,
     number: usize,
     writer: Arc<ResponseWriter>,
-    /// Since when it may have waited in the listener's queue, where it may have.
+    /// Earliest time since which the connection may have waited in the listener's queue; `None` if it can't have
+    /// waited.
     queued_since: Option<Timestamp>,
 }
 
-/// Counts a connection as soon as it is accepted. Its coroutine may first run much later, and connections accepted
-/// meanwhile would use descriptors that are not there.
+/// Registers a connection as soon as it is accepted. Its coroutine may start much later; without the registration,
+/// connections accepted meanwhile would exceed the number of file descriptors.
 pub(super) fn register(
     state: &State,
     stream: TcpStream,
@@ -50,85 +53,86 @@
     Connection { stream, from, number, writer, queued_since }
 }
 
-/// Serves one connection to its end.
+/// Serves a connection until it ends, closes the socket and logs the reason.
 pub(super) fn serve(state: &Arc<State>, connection: Connection) {
     let Connection { stream, from, number, writer, queued_since } = connection;
     state.counters.update(|counters| {
         counters.connections += 1;
         counters.max_clients = counters.max_clients.max(state.client_connections.len());
     });
-    let reason = Conversation::new(state, &stream, &writer, queued_since).run();
+    let reason = MessageExchange::new(state, &stream, &writer, queued_since).run();
     for request in writer.cancel_all() {
         state.policy.record_disconnection(request);
     }
-    // A client that sent no message waits for no response.
+    // A client that sent no complete message has no response outstanding.
     if !reason.is_by_client() && writer.has_sent_message() {
         linger(state, &stream);
     }
-    // The descriptor is free before another connection may take its place.
+    // The file descriptor is closed before the connection no longer counts as open.
     drop(stream);
     state.client_connections.unregister(number);
     info!(state.log, "client connection ended";
         "from" => from.to_string(), "reason" => reason.code(), "detail" => reason.detail());
 }
 
-/// Tells the client that nothing more comes, and discards input until the client closes its end too.
+/// Shuts down the sending side, and discards input until the client closes the connection or the timeout ends.
 fn linger(state: &State, stream: &TcpStream) {
-    let until = state.clock.now() + LINGER;
+    let until = state.clock.now() + LINGER_TIMEOUT;
     if stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
     while Inbox::default().read(stream).is_ok() && state.clock.now() < until {
-        state.sleep(PAUSE);
+        state.sleep(YIELD_SLEEP);
     }
 }
 
-/// The messages and responses of one connection.
-struct Conversation<'a> {
+/// The exchange of messages and responses on one connection.
+struct MessageExchange<'a> {
     state: &'a Arc<State>,
     stream: &'a TcpStream,
     writer: &'a Arc<ResponseWriter>,
     inbox: Inbox,
     queued_since: Option<Timestamp>,
-    /// A client that broke the protocol is read no further, and still gets the responses that it is owed.
+    /// Set when the client violated the protocol. Further input is discarded, and outstanding responses are still sent.
     protocol_error: Option<CloseReason>,
-    /// When the coroutine last began to wait: input may have come at any time since. At first it is the distant past,
-    /// since a new connection may have waited in the listener's queue for as long as a stall lasted.
-    waited_since: Timestamp,
-    /// Turns without a pause.
-    turns: usize,
+    /// When the coroutine last began to wait for the socket; input may have arrived at any time since. Initially zero,
+    /// because a new connection may have waited in the listener's queue during a whole stall.
+    waiting_since: Timestamp,
+    /// Rounds since the coroutine last slept or waited.
+    rounds: usize,
 }
 
-impl<'a> Conversation<'a> {
+impl<'a> MessageExchange<'a> {
     fn new(
         state: &'a Arc<State>,
         stream: &'a TcpStream,
         writer: &'a Arc<ResponseWriter>,
         queued_since: Option<Timestamp>,
-    ) -> Conversation<'a> {
-        Conversation {
+    ) -> MessageExchange<'a> {
+        MessageExchange {
             state,
             stream,
             writer,
             inbox: Inbox::default(),
             queued_since,
             protocol_error: None,
-            waited_since: Timestamp::default(),
-            turns: 0,
+            waiting_since: Timestamp::default(),
+            rounds: 0,
         }
     }
 
     fn run(mut self) -> CloseReason {
         loop {
-            if let Err(reason) = self.turn() {
+            if let Err(reason) = self.run_round() {
                 return reason;
             }
         }
     }
 
-    /// Writes and reads what the socket is ready for, and waits for the socket where that was nothing.
-    fn turn(&mut self) -> Result<(), CloseReason> {
-        let written = self.writer.write(|bytes| if_ready(self.stream.inner().write(bytes)))?;
+    /// Writes and reads as much as the socket allows. If that was nothing, closes the connection where due, or waits
+    /// for the socket.
+    fn run_round(&mut self) -> Result<(), CloseReason> {
+        let written = self.writer.write(|bytes| transferred_bytes(self.stream.inner().write(bytes)))?;
         let is_backlogged = self.writer.is_backlogged();
         let read = if is_backlogged { 0 } else { self.read()? };
         let has_input = !is_backlogged && (read > 0 || self.inbox.may_hold_more());
@@ -140,48 +144,51 @@
         let now = self.state.clock.now();
         if written + read > 0 || has_input {
             self.writer.record_activity(now);
-            self.let_others_run();
+            self.yield_to_others();
             return Ok(());
         }
-        self.turns = 0;
+        self.rounds = 0;
         if let Some(reason) = self.close_reason(now) {
             return Err(reason);
         }
-        self.waited_since = now;
+        self.waiting_since = now;
         self.stream.wait_io();
         Ok(())
     }
 
+    /// Reads available input, and records the earliest time at which the input may have been sent.
     fn read(&mut self) -> Result<usize, CloseReason> {
         let starts_message = self.inbox.is_empty();
         let read = self.inbox.read(self.stream)?;
         if read > 0 {
             let sent =
-                self.state.stall_detector.earliest_send_time(self.waited_since, self.state.clock.now());
+                self.state.stall_detector.earliest_send_time(self.waiting_since, self.state.clock.now());
             let sent = self.queued_since.take().map_or(sent, |queued| queued.min(sent));
-            self.inbox.note_sent(sent, starts_message);
+            self.inbox.record_send_time(sent, starts_message);
         }
         Ok(read)
     }
 
-    fn let_others_run(&mut self) {
-        self.turns += 1;
-        if self.turns < MAX_TURNS {
-            // Others may have become ready while this one was served.
+    /// Yields to other coroutines. Sleeps after `MAX_ROUNDS_WITHOUT_SLEEP` rounds, or when the sockets were not
+    /// polled for too long.
+    fn yield_to_others(&mut self) {
+        self.rounds += 1;
+        if self.rounds < MAX_ROUNDS_WITHOUT_SLEEP {
+            // Other coroutines may have become ready during this round.
             may::coroutine::yield_now();
         }
-        // While any coroutine is ready the worker does not poll for events: connections that always have something to
-        // send would keep all others waiting.
-        while self.turns >= MAX_TURNS
+        // The worker doesn't poll the sockets while any coroutine is ready to run: connections that always have data to
+        // transfer would starve all others.
+        while self.rounds >= MAX_ROUNDS_WITHOUT_SLEEP
             || self.state.stall_detector.is_event_poll_overdue(self.state.clock.now())
         {
-            self.turns = 0;
-            self.state.sleep(PAUSE);
+            self.rounds = 0;
+            self.state.sleep(YIELD_SLEEP);
         }
     }
 
-    /// Why this gateway closes a connection on which nothing happens, if it does: never while it owes a response there
-    /// that the client may still read.
+    /// Why this gateway closes a connection without input or output, if so. A connection stays open while a response is
+    /// outstanding that the client may still read.
     fn close_reason(&self, now: Timestamp) -> Option<CloseReason> {
         let idle = now.since(self.writer.last_activity());
         if self.writer.has_only_unread_responses() && idle >= self.state.settings.unread_response_timeout {
@@ -206,8 +213,8 @@
     }
 }
 
-/// How many bytes were read or written; none when the socket is not ready.
-pub(super) fn if_ready(result: io::Result<usize>) -> Result<usize, CloseReason> {
+/// Converts the result of a read or write: the number of bytes transferred, 0 when the socket is not ready.
+pub(super) fn transferred_bytes(result: io::Result<usize>) -> Result<usize, CloseReason> {
     match result {
         Ok(count) => Ok(count),
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Ok(0),
--- a/crates/gateway/src/client/message_pack/inbox.rs
+++ b/crates/gateway/src/client/message_pack/inbox.rs
@@ -1,35 +1,37 @@
-//! What was read on a connection and is not handled yet.
+//! Input buffer of a connection: bytes that were read and not yet handled.
 
-use super::connection::if_ready;
+use super::connection::transferred_bytes;
 use crate::client::CloseReason;
 use crate::codec::message_pack::{self, FrameScanner, Message, MessageError};
 use larchfall_policy::time::Timestamp;
 use may::net::TcpStream;
 use std::io::Read;
 
-/// On the stack, so that an idle connection keeps no buffer.
+/// Size of one read, and the number of bytes handled before other coroutines run. The read buffer is on the stack, so
+/// an idle connection keeps no buffer.
 const CHUNK_BYTES: usize = 4 * 1024;
-/// Bytes that are read before any are handled. A client that sent much and left is then known to have left first.
+/// Number of bytes that are read before any are handled. If a client sends several messages and disconnects, the
+/// disconnection is then seen before its requests are admitted.
 const READ_AHEAD_BYTES: usize = 16 * 1024;
 
 #[derive(Default)]
 pub(super) struct Inbox {
     bytes: Vec<u8>,
     scanner: FrameScanner,
-    /// When the first byte of the next message may have been sent.
-    message_sent: Timestamp,
-    /// When the bytes that were read last may have been sent.
-    last_sent: Timestamp,
-    /// Whether more messages may be complete: a limited number of bytes is handled at a time, and then others run.
+    /// Earliest time at which the first byte of the next message may have been sent.
+    message_send_time: Timestamp,
+    /// Earliest time at which the bytes that were read last may have been sent.
+    last_send_time: Timestamp,
+    /// Whether more complete messages may be buffered: only `CHUNK_BYTES` are handled before other coroutines run.
     may_hold_more: bool,
 }
 
-/// A complete message.
-pub(super) struct Received<'a> {
+/// A complete message that was received.
+pub(super) struct ReceivedMessage<'a> {
     pub(super) message: Message<'a>,
-    /// Its bytes.
+    /// Length of the message in bytes.
     pub(super) length: usize,
-    /// When its first byte may have been sent: the client's time runs from there.
+    /// Earliest time at which the first byte may have been sent. The request's timeout starts then.
     pub(super) sent: Timestamp,
 }
 
@@ -42,18 +44,18 @@
         self.may_hold_more
     }
 
-    /// Reads all that came, up to a limit. A client that closed the connection behind it waits for no response to any
-    /// of it.
+    /// Reads available input, up to a limit. Returns `ClientClosed` if the client has closed the connection after this
+    /// input: the client then waits for no response.
     pub(super) fn read(&mut self, stream: &TcpStream) -> Result<usize, CloseReason> {
         let mut total = 0;
-        // An incomplete message may be longer than the limit.
+        // Reads beyond the limit while no complete message may be buffered: a message may be longer than the limit.
         while total < READ_AHEAD_BYTES && (self.bytes.len() < READ_AHEAD_BYTES || !self.may_hold_more) {
             let mut chunk = [0; CHUNK_BYTES];
             let result = stream.inner().read(&mut chunk);
             if matches!(result, Ok(0)) {
                 return Err(CloseReason::ClientClosed);
             }
-            let count = if_ready(result)?;
+            let count = transferred_bytes(result)?;
             self.bytes.extend_from_slice(&chunk[..count]);
             total += count;
             if count == 0 {
@@ -63,16 +65,18 @@
         Ok(total)
     }
 
-    /// Notes when the bytes that were just read may have been sent, and whether a message starts with them.
-    pub(super) fn note_sent(&mut self, sent: Timestamp, starts_message: bool) {
-        self.last_sent = sent;
+    /// Records the earliest time at which the bytes just read may have been sent, and whether a message starts with
+    /// them.
+    pub(super) fn record_send_time(&mut self, sent: Timestamp, starts_message: bool) {
+        self.last_send_time = sent;
         if starts_message {
-            self.message_sent = sent;
+            self.message_send_time = sent;
         }
     }
 
-    /// The next complete message behind the bytes that are handled already.
-    pub(super) fn next(&mut self, handled: usize) -> Result<Option<Received<'_>>, CloseReason> {
+    /// Decodes the next complete message after the first `handled` bytes; `None` if there is none or enough bytes were
+    /// handled for now.
+    pub(super) fn next(&mut self, handled: usize) -> Result<Option<ReceivedMessage<'_>>, CloseReason> {
         self.may_hold_more = handled >= CHUNK_BYTES;
         if self.may_hold_more {
             return Ok(None);
@@ -81,15 +85,15 @@
         let complete = self.scanner.complete_length(rest).map_err(CloseReason::MalformedMessage)?;
         let Some(length) = complete else { return Ok(None) };
         self.scanner = FrameScanner::default();
-        let sent = std::mem::replace(&mut self.message_sent, self.last_sent);
+        let sent = std::mem::replace(&mut self.message_send_time, self.last_send_time);
         match message_pack::decode(&rest[..length]).map_err(CloseReason::MalformedMessage)? {
-            Some(decoded) => Ok(Some(Received { message: decoded.value, length, sent })),
+            Some(decoded) => Ok(Some(ReceivedMessage { message: decoded.value, length, sent })),
             None => Err(CloseReason::MalformedMessage(MessageError::NotMessagePack)),
         }
     }
 
-    /// Drops the bytes that are handled. Without any left the buffer is freed.
-    pub(super) fn drop_handled(&mut self, handled: usize) {
+    /// Removes the first `handled` bytes. Frees the buffer when it is empty.
+    pub(super) fn remove_handled(&mut self, handled: usize) {
         self.bytes.drain(..handled);
         if self.bytes.is_empty() {
             self.bytes = Vec::new();
--- a/crates/gateway/src/client/message_pack/mod.rs
+++ b/crates/gateway/src/client/message_pack/mod.rs
@@ -1,5 +1,6 @@
-//! Client connections of MessagePack-RPC. One coroutine for each reads its messages and is the only one that writes its
-//! responses: `listener` accepts it, `connection` is that coroutine, `inbox` what it has read, `requests` what becomes of each message.
+//! Client connections of MessagePack-RPC. One coroutine per connection reads its messages and is the only one that
+//! writes its responses. `listener` accepts connections, `connection` implements the coroutine, `inbox` buffers its
+//! input, and `requests` handles each message.
 
 mod connection;
 mod inbox;
--- a/crates/gateway/src/client/message_pack/requests.rs
+++ b/crates/gateway/src/client/message_pack/requests.rs
@@ -1,6 +1,6 @@
-//! What becomes of each message: requests are admitted, others are answered at once.
+//! Handles messages of clients: admits requests, cancels aborted ones, and responds to all other messages at once.
 
-use super::inbox::{Inbox, Received};
+use super::inbox::{Inbox, ReceivedMessage};
 use crate::admission::{self, RequestError};
 use crate::client::CloseReason;
 use crate::codec::client_request::ClientRequest;
@@ -11,18 +11,18 @@
 use larchfall_policy::time::Timestamp;
 use std::sync::{Arc, Mutex};
 
-/// Handles the complete messages of an inbox.
+/// Handles the complete messages in an inbox. Returns an error if the client violated the protocol.
 pub(super) fn handle_messages(
     state: &Arc<State>,
     writer: &Arc<ResponseWriter>,
     inbox: &mut Inbox,
 ) -> Result<(), CloseReason> {
     let mut handled = 0;
-    while let Some(Received { message, length, sent }) = inbox.next(handled)? {
+    while let Some(ReceivedMessage { message, length, sent }) = inbox.next(handled)? {
         handled += length;
         match message {
             Message::Ping { message_id } => {
-                open(writer, message_id)?;
+                record_message_id(writer, message_id)?;
                 state.counters.update(|counters| counters.pings += 1);
                 writer.send(message_id, &Response::Pong);
             }
@@ -32,12 +32,12 @@
                 }
             }
             Message::InvalidRequest { message_id, reason } => {
-                open(writer, message_id)?;
+                record_message_id(writer, message_id)?;
                 state.counters.update(|counters| counters.unusable += 1);
                 writer.send(message_id, &Response::Errored(&reason.to_string()));
             }
             Message::Request { message_id, request } => {
-                if open(writer, message_id)? {
+                if record_message_id(writer, message_id)? {
                     admit(state, writer, message_id, &request, sent);
                 } else {
                     reject_over_limits(state, writer, message_id);
@@ -45,13 +45,13 @@
             }
         }
     }
-    inbox.drop_handled(handled);
+    inbox.remove_handled(handled);
     writer.record_read(handled > 0, !inbox.is_empty(), state.clock.now());
     Ok(())
 }
 
-/// Whether a request may be opened under this message id; one that was used before ends the connection.
-fn open(writer: &ResponseWriter, message_id: u32) -> Result<bool, CloseReason> {
+/// Records a message id. Returns whether a request may be opened under it; a reused id ends the connection.
+fn record_message_id(writer: &ResponseWriter, message_id: u32) -> Result<bool, CloseReason> {
     match writer.record_id(message_id) {
         IdCheck::Accepted => Ok(true),
         IdCheck::TooManyOpen => Ok(false),
@@ -59,6 +59,7 @@
     }
 }
 
+/// Admits a request, or responds with the reason why it was not admitted.
 fn admit(
     state: &Arc<State>,
     writer: &Arc<ResponseWriter>,
@@ -79,14 +80,14 @@
     }
 }
 
-/// Rejects a request that was never admitted and tells its client when to try again: a client that sends hundreds at
-/// once may otherwise do so again at once.
+/// Rejects a request that was not admitted because of a limit. The response carries a retry-after time, without which a
+/// client that sends hundreds of requests at once could retry all of them immediately.
 fn reject_over_limits(state: &State, writer: &ResponseWriter, message_id: u32) {
     state.counters.update(|counters| counters.over_limits += 1);
     writer.send(message_id, &Response::Rejected(state.settings.max_retry_after));
 }
 
-/// The result of one request. Its rows are kept here until all have come, since a response holds the complete result.
+/// Result reader of one request. Buffers all rows, because a MessagePack-RPC response contains the complete result.
 struct BufferedResult {
     writer: Arc<ResponseWriter>,
     message_id: u32,
@@ -117,7 +118,7 @@
         let response = match answer {
             FinalAnswer::Returned => Response::Returned(&rows),
             FinalAnswer::Rejected(retry_after) => Response::Rejected(retry_after),
-            FinalAnswer::Errored(why) => Response::Errored(why),
+            FinalAnswer::Errored(reason) => Response::Errored(reason),
         };
         self.writer.respond(self.message_id, &response)
     }
--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! What clients speak, one module for each protocol. Requests of both are admitted by `intake`, and each protocol
-//! hands results to its clients in its own form.
+//! Client protocols, one module for each. Requests of both protocols are admitted by `crate::admission`; each protocol
+//! returns results in its own format.
 
 mod close_reason;
 pub mod message_pack;
--- a/crates/gateway/src/client/paged_rest/calls.rs
+++ b/crates/gateway/src/client/paged_rest/calls.rs
@@ -1,4 +1,4 @@
-//! What each call asks for.
+//! Dispatches calls by method and path.
 
 use super::service::RestService;
 use super::{pages, responses, statement};
@@ -8,31 +8,33 @@
 
 const STATEMENT_PATH: &str = "/v1/statement";
 const INFO_PATH: &str = "/v1/info";
-const INFO: &[u8] = br#"{"nodeVersion":{"version":"larchfall"},"coordinator":true,"starting":false}"#;
+/// Response body for `INFO_PATH`, in the form that clients of the protocol expect.
+const INFO_BODY: &[u8] = br#"{"nodeVersion":{"version":"larchfall"},"coordinator":true,"starting":false}"#;
 
+/// Handles a call and returns its response. A call for a page may block until the page is ready.
 pub(super) fn handle(state: &Arc<State>, service: &Arc<RestService>, call: &Call) -> Response {
     match (call.method, call.path.as_str()) {
-        (Method::Post, STATEMENT_PATH) => statement::begin(state, service, call),
+        (Method::Post, STATEMENT_PATH) => statement::submit(state, service, call),
         (_, STATEMENT_PATH) => {
             let headers = vec![("Allow", "POST".to_owned())];
-            Response { headers, ..responses::unusable(405, "statements are posted") }
+            Response { headers, ..responses::invalid_call(405, "statements are posted") }
         }
-        (Method::Get | Method::Head, INFO_PATH) => responses::ok(INFO.to_vec()),
+        (Method::Get | Method::Head, INFO_PATH) => responses::ok(INFO_BODY.to_vec()),
         (Method::Get | Method::Head, path) => match service.address_key.parse(path) {
             Some(page) => pages::respond(state, service, call, page),
-            None => unknown_page(),
+            None => page_not_found(),
         },
         (Method::Delete, path) => match service.address_key.parse(path) {
             Some(page) => {
                 pages::cancel(state, service, page);
                 responses::empty(204)
             }
-            None => unknown_page(),
+            None => page_not_found(),
         },
-        _ => unknown_page(),
+        _ => page_not_found(),
     }
 }
 
-fn unknown_page() -> Response {
-    responses::unusable(404, "no such page")
+fn page_not_found() -> Response {
+    responses::invalid_call(404, "no such page")
 }
--- a/crates/gateway/src/client/paged_rest/connection.rs
+++ b/crates/gateway/src/client/paged_rest/connection.rs
@@ -1,8 +1,8 @@
-//! One connection: reads calls and writes their responses, one after the other.
+//! Serves one connection: reads calls and writes their responses, one call at a time.
 
 use super::calls;
 use super::responses;
-use super::service::{CountedConnection, RestService};
+use super::service::{OpenConnectionGuard, RestService};
 use crate::client::CloseReason;
 use crate::state::State;
 use crate::state::clock::timeout;
@@ -14,75 +14,79 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A call that has begun, or the first one of a connection, is complete by then.
+/// Time within which the first call of a connection, and every call that has begun, must be complete.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Clients pause between pages; a connection that is idle for longer keeps others out.
+/// Idle time after which a connection is closed. Clients pause between pages, but a connection that is idle for longer
+/// takes the place of another client.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// A client that has not read a response by then reads none.
+/// Timeout for writing a response. A client that has not read the response by then is assumed not to read at all.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
 const CHUNK_BYTES: usize = 4 * 1024;
-/// An idle connection checks this often whether this gateway has ended.
-const SHUTDOWN_POLL: Duration = Duration::from_millis(100);
-const PAUSE: Duration = Duration::from_millis(5);
+/// How often an idle connection checks whether the shutdown of this gateway is complete.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a coroutine sleeps to let others run.
+const YIELD_SLEEP: Duration = Duration::from_millis(5);
 
-/// Serves one connection to its end. It counts as open until its socket is closed.
+/// Serves a connection until it ends, and logs the reason. `_guard` counts the connection as open until the socket has
+/// been closed.
 pub(super) fn serve(
     state: &Arc<State>,
     service: &Arc<RestService>,
     stream: TcpStream,
     from: SocketAddr,
-    _counted: CountedConnection,
+    _guard: OpenConnectionGuard,
 ) {
     let _ = stream.set_nodelay(true);
-    let reason = Conversation::new(state, service, stream).run();
+    let reason = CallExchange::new(state, service, stream).run();
     info!(state.log, "paged REST connection ended";
         "from" => from.to_string(), "reason" => reason.code(), "detail" => reason.detail());
 }
 
-/// The calls and responses of one connection.
-struct Conversation<'a> {
+/// The exchange of calls and responses on one connection.
+struct CallExchange<'a> {
     state: &'a Arc<State>,
     service: &'a Arc<RestService>,
     stream: TcpStream,
     input: Vec<u8>,
-    /// When the call that is awaited must be complete.
+    /// When the next call must be complete.
     deadline: Timestamp,
-    /// Whether its client was told to go on with the body.
-    continued: bool,
+    /// Whether `100 Continue` was sent for the call that is being read.
+    sent_continue: bool,
 }
 
-impl<'a> Conversation<'a> {
-    fn new(state: &'a Arc<State>, service: &'a Arc<RestService>, stream: TcpStream) -> Conversation<'a> {
+impl<'a> CallExchange<'a> {
+    fn new(state: &'a Arc<State>, service: &'a Arc<RestService>, stream: TcpStream) -> CallExchange<'a> {
         let deadline = state.clock.now() + CALL_TIMEOUT;
-        Conversation { state, service, stream, input: Vec::new(), deadline, continued: false }
+        CallExchange { state, service, stream, input: Vec::new(), deadline, sent_continue: false }
     }
 
-    /// Runs to the end of the connection. The socket is closed when this returns.
+    /// Runs until the connection ends, and closes the socket.
     fn run(mut self) -> CloseReason {
         loop {
-            if let Err(reason) = self.turn() {
+            if let Err(reason) = self.process_input() {
                 return reason;
             }
         }
     }
 
-    /// Answers the next call, or reads more of it.
-    fn turn(&mut self) -> Result<(), CloseReason> {
+    /// Responds to the next call if it is complete, or reads more input.
+    fn process_input(&mut self) -> Result<(), CloseReason> {
         match call::decode(&self.input, self.service.settings().max_statement_bytes) {
             Ok(Progress::Complete { call, length }) => {
                 self.input.drain(..length);
                 self.respond(&call)
             }
-            Ok(Progress::ExpectsContinue) if !self.continued => {
-                self.continued = true;
+            Ok(Progress::ExpectsContinue) if !self.sent_continue => {
+                self.sent_continue = true;
                 self.write(call::CONTINUE_RESPONSE)?;
                 self.read()
             }
             Ok(Progress::Incomplete | Progress::ExpectsContinue) => self.read(),
-            Err(error) => Err(self.refuse(error)),
+            Err(error) => Err(self.reject_malformed(error)),
         }
     }
 
+    /// Handles a call, writes its response, and starts the timeout of the next call.
     fn respond(&mut self, call: &Call) -> Result<(), CloseReason> {
         let closes = call.closes || self.state.shutdown.is_complete();
         let response = calls::handle(self.state, self.service, call);
@@ -90,21 +94,21 @@
         if closes {
             return Err(if call.closes { CloseReason::CloseRequested } else { CloseReason::ShuttingDown });
         }
-        self.let_others_run();
-        self.continued = false;
+        self.yield_to_others();
+        self.sent_continue = false;
         let timeout = if self.input.is_empty() { IDLE_TIMEOUT } else { CALL_TIMEOUT };
         self.deadline = self.state.clock.now() + timeout;
         Ok(())
     }
 
-    /// Answers what is no call; the connection ends with it.
-    fn refuse(&mut self, error: CallError) -> CloseReason {
-        let response = responses::unusable(error.status(), &error.to_string());
+    /// Responds to malformed input with an error. The connection is closed afterwards.
+    fn reject_malformed(&mut self, error: CallError) -> CloseReason {
+        let response = responses::invalid_call(error.status(), &error.to_string());
         let _ = self.write(&response.encode(true, Method::Other));
         CloseReason::MalformedCall(error)
     }
 
-    /// Waits for more input, at most for a moment.
+    /// Reads more input. Waits for at most `SHUTDOWN_CHECK_INTERVAL`.
     fn read(&mut self) -> Result<(), CloseReason> {
         if self.state.shutdown.is_complete() {
             return Err(CloseReason::ShuttingDown);
@@ -114,13 +118,13 @@
             let idle = self.input.is_empty();
             return Err(if idle { CloseReason::Idle } else { CloseReason::IncompleteMessage });
         }
-        let _ = self.stream.set_read_timeout(Some(remaining.min(timeout(SHUTDOWN_POLL))));
+        let _ = self.stream.set_read_timeout(Some(remaining.min(timeout(SHUTDOWN_CHECK_INTERVAL))));
         let starts_call = self.input.is_empty();
         let mut chunk = [0; CHUNK_BYTES];
         match self.stream.read(&mut chunk) {
             Ok(0) => return Err(CloseReason::ClientClosed),
             Ok(count) => {
-                self.let_others_run();
+                self.yield_to_others();
                 self.input.extend_from_slice(&chunk[..count]);
                 if starts_call {
                     self.deadline = self.state.clock.now() + CALL_TIMEOUT;
@@ -140,11 +144,11 @@
         })
     }
 
-    /// While any coroutine is ready the worker does not poll for events: a client that never pauses would keep all
-    /// others waiting.
-    fn let_others_run(&self) {
+    /// Sleeps while the sockets were not polled for too long. The worker doesn't poll them while any coroutine is ready
+    /// to run, so a client that never pauses would starve all others.
+    fn yield_to_others(&self) {
         while self.state.stall_detector.is_event_poll_overdue(self.state.clock.now()) {
-            self.state.sleep(PAUSE);
+            self.state.sleep(YIELD_SLEEP);
         }
     }
 }
--- a/crates/gateway/src/client/paged_rest/mod.rs
+++ b/crates/gateway/src/client/paged_rest/mod.rs
@@ -1,7 +1,7 @@
-//! Client connections of the paged REST protocol: `listener` accepts them, `connection` reads calls and writes their
-//! responses one after the other, `calls` tells what each call asks for, `statement` admits requests, `pages` answers
-//! with the pages of their results, `result_reader` fills these. Which page is whose, and until when, is decided by
-//! `larchfall_paged_rest`.
+//! Client connections of the paged REST protocol. `listener` accepts connections, `connection` reads calls and writes
+//! their responses one at a time, `calls` dispatches each call, `statement` admits requests, `result_reader` turns rows
+//! into pages, and `pages` returns the pages to clients. `larchfall_paged_rest` decides which result a page belongs to
+//! and how long the page is kept.
 
 mod calls;
 mod connection;
--- a/crates/gateway/src/client/paged_rest/pages.rs
+++ b/crates/gateway/src/client/paged_rest/pages.rs
@@ -1,4 +1,4 @@
-//! The pages of results, as they are asked for.
+//! Responds to calls for pages of results.
 
 use super::responses;
 use super::service::RestService;
@@ -10,14 +10,15 @@
 use larchfall_paged_rest::page_address::PageAddress;
 use larchfall_policy::time::Timestamp;
 
-/// The response to a call for a page.
+/// Waits for a page and returns the response to the call for it.
 pub(super) fn respond(state: &State, service: &RestService, call: &Call, address: PageAddress) -> Response {
-    let found = find(state, service, address, state.clock.now());
-    respond_with(state, service, call, address, found)
+    let lookup = wait_for_page(state, service, address, state.clock.now());
+    page_response(state, service, call, address, lookup)
 }
 
-/// Looks a page up, and waits for it as long as the settings allow.
-pub(super) fn find(
+/// Waits for a page for up to the configured poll timeout, and then returns a page without rows. `since` is the start
+/// of the elapsed time that such a page reports.
+pub(super) fn wait_for_page(
     state: &State,
     service: &RestService,
     address: PageAddress,
@@ -30,24 +31,25 @@
     service.pages.wait_for_page(address, &state.timers, service.settings().poll_timeout, empty)
 }
 
-/// The response with what was found at a page's address.
-pub(super) fn respond_with(
+/// Returns the response for the outcome of a page lookup.
+pub(super) fn page_response(
     state: &State,
     service: &RestService,
     call: &Call,
     address: PageAddress,
-    found: AwaitedPage,
+    lookup: AwaitedPage,
 ) -> Response {
-    match found {
+    match lookup {
         AwaitedPage::Page(page, final_answer) => {
             count_delivered(state, final_answer);
             responses::ok(page_document(service, call, address, &page))
         }
-        // The address is one that this gateway made, so the page was there once.
-        AwaitedPage::Gone | AwaitedPage::Unknown => responses::unusable(410, "this page is gone"),
+        // This gateway has signed the address, so the page existed at some time.
+        AwaitedPage::Gone | AwaitedPage::Unknown => responses::invalid_call(410, "this page is gone"),
     }
 }
 
+/// Encodes a page as JSON, with links that start with the configured base URL, else with the call's `Host` header.
 fn page_document(
     service: &RestService,
     call: &Call,
@@ -69,21 +71,21 @@
     document::encode(&page.content, page.end, PageLinks { id, info, next })
 }
 
-/// Counts a result whose last page was handed out.
+/// Counts a result as read when its last page is returned for the first time.
 pub(super) fn count_delivered(state: &State, final_answer: Option<FinalAnswer>) {
     if let Some(FinalAnswer::Delivered(_)) = final_answer {
         state.counters.update(|counters| counters.results_read += 1);
     }
 }
 
-/// Ends a result for its client.
+/// Abandons a result because its client has cancelled it.
 pub(super) fn cancel(state: &State, service: &RestService, address: PageAddress) {
     if let Some(abandoned) = service.pages.abandon(address.result) {
         abandon_request(state, abandoned.request);
     }
 }
 
-/// Counts a result that its client abandoned, and ends the request that makes it, if that still runs.
+/// Counts a result that its client abandoned. Ends the request that produces the result, if that request still runs.
 pub fn abandon_request(state: &State, request: Option<usize>) {
     state.counters.update(|counters| counters.results_abandoned += 1);
     if let Some(request) = request {
--- a/crates/gateway/src/client/paged_rest/request_fields.rs
+++ b/crates/gateway/src/client/paged_rest/request_fields.rs
@@ -1,10 +1,11 @@
-//! The fields of a request as the operator's sources name them, checked and turned into the gateway's own.
+//! Validates the fields of a request, which the operator's configuration maps from headers, and converts them to a
+//! `ClientRequest`.
 
 use crate::admission::InvalidRequest;
 use crate::codec::client_request::{self, ClientRequest};
 use larchfall_paged_rest::request_fields::RequestFields;
 
-/// Why the fields of a statement can't be used. Its client is told in these words.
+/// Why the fields of a request are invalid. Clients receive this text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FieldError {
     #[error("{field} is missing")]
@@ -13,7 +14,7 @@
     Invalid { field: &'static str },
 }
 
-/// The text for a request that was not admitted. The fields have other names here than in MessagePack-RPC.
+/// Error text for a request that was not admitted, with the field names of paged REST instead of MessagePack-RPC.
 pub(super) fn invalid_request_text(invalid: InvalidRequest) -> String {
     match invalid {
         InvalidRequest::MissingIdempotencyKey => FieldError::Missing { field: "reference" }.to_string(),
@@ -22,7 +23,8 @@
     }
 }
 
-pub(super) fn client_request<'a>(
+/// Builds a request from its fields. `id` is the text form of `id_number`.
+pub(super) fn build_client_request<'a>(
     fields: &'a RequestFields,
     id_number: u64,
     id: &'a str,
@@ -32,11 +34,13 @@
     if idempotency_key.is_some_and(|key| !client_request::is_valid_idempotency_key(key)) {
         return Err(FieldError::Invalid { field: "reference" });
     }
-    let ordering_key = parse(fields.order_key.as_deref(), "key", client_request::parse_ordering_key)?;
+    let ordering_key =
+        parse_optional(fields.order_key.as_deref(), "key", client_request::parse_ordering_key)?;
     let class = fields.class.as_deref().ok_or(FieldError::Missing { field: "group" })?;
-    let timeout = parse(fields.timeout.as_deref(), "time-limit", client_request::parse_timeout)?;
-    let work_estimate = parse(fields.work.as_deref(), "work", client_request::parse_work_estimate)?;
-    let memory_mb = parse(fields.memory.as_deref(), "memory", client_request::parse_memory)?;
+    let timeout = parse_optional(fields.timeout.as_deref(), "time-limit", client_request::parse_timeout)?;
+    let work_estimate = parse_optional(fields.work.as_deref(), "work", client_request::parse_work_estimate)?;
+    let memory_mb =
+        parse_optional(fields.memory.as_deref(), "memory", client_request::parse_memory_estimate)?;
     Ok(ClientRequest {
         class,
         id,
@@ -51,8 +55,8 @@
     })
 }
 
-/// Reads a field that may be left out.
-fn parse<T>(
+/// Parses an optional field. Returns an error if the field is present and invalid.
+fn parse_optional<T>(
     text: Option<&str>,
     field: &'static str,
     parse: impl Fn(&str) -> Option<T>,
--- a/crates/gateway/src/client/paged_rest/result_reader.rs
+++ b/crates/gateway/src/client/paged_rest/result_reader.rs
@@ -1,4 +1,4 @@
-//! Takes in the rows of one result and turns them into pages.
+//! Turns the rows of one result into pages.
 
 use super::service::RestService;
 use crate::request_context::{FinalAnswer, ResultReader};
@@ -9,13 +9,16 @@
 use larchfall_policy::time::Timestamp;
 use std::sync::{Arc, Mutex};
 
-/// The reader of one result. The last rows are held back until it is known whether they are the last.
+/// Result reader of one request. Holds the most recent rows back until more rows or the end of the result arrive, so
+/// that the last page of rows can be marked as the last page.
 pub(super) struct PagedResult {
     state: Arc<State>,
     service: Arc<RestService>,
     id: ResultId,
+    /// When the request was received; pages report the time elapsed since then.
     received: Timestamp,
-    pending: Mutex<Option<Vec<u8>>>,
+    /// Rows that are held back.
+    pending_rows: Mutex<Option<Vec<u8>>>,
 }
 
 impl PagedResult {
@@ -26,7 +29,7 @@
         received: Timestamp,
     ) -> PagedResult {
         let (state, service) = (state.clone(), service.clone());
-        PagedResult { state, service, id, received, pending: Mutex::new(None) }
+        PagedResult { state, service, id, received, pending_rows: Mutex::new(None) }
     }
 
     fn page(&self, rows: Vec<u8>, error: Option<QueryError>) -> PageContent {
@@ -41,26 +44,26 @@
     }
 
     fn push_rows(&self, rows: Vec<u8>) {
-        if let Some(before) = lock(&self.pending).replace(rows) {
-            self.service.pages.push(self.id, self.page(before, None), None);
+        if let Some(previous) = lock(&self.pending_rows).replace(rows) {
+            self.service.pages.push(self.id, self.page(previous, None), None);
         }
     }
 
     fn restart(&self) -> bool {
-        *lock(&self.pending) = None;
+        *lock(&self.pending_rows) = None;
         self.service.pages.restart(self.id)
     }
 
     fn finish(&self, answer: FinalAnswer) -> bool {
-        let rows = lock(&self.pending).take().unwrap_or_default();
+        let rows = lock(&self.pending_rows).take().unwrap_or_default();
         let (page, end) = match answer {
             FinalAnswer::Returned => (self.page(rows, None), ResultEnd::Returned),
             FinalAnswer::Rejected(retry_after) => {
                 let milliseconds = retry_after.map(|retry_after| retry_after.micros() / 1000);
                 (self.page(Vec::new(), Some(QueryError::rejected(milliseconds))), ResultEnd::Rejected)
             }
-            FinalAnswer::Errored(why) => {
-                (self.page(Vec::new(), Some(QueryError::internal(why))), ResultEnd::Errored)
+            FinalAnswer::Errored(reason) => {
+                (self.page(Vec::new(), Some(QueryError::internal(reason))), ResultEnd::Errored)
             }
         };
         self.service.pages.push(self.id, page, Some(end))
--- a/crates/gateway/src/client/paged_rest/service.rs
+++ b/crates/gateway/src/client/paged_rest/service.rs
@@ -1,4 +1,4 @@
-//! What the service keeps beside its connections.
+//! State of the paged REST service that its connections share.
 
 use crate::state::lock;
 use crate::state::result_pages::ResultPages;
@@ -8,20 +8,23 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The state that all connections of the service share.
+/// Settings, open results and connection count of the service.
 pub struct RestService {
     settings: Mutex<Arc<PagedRestConfig>>,
-    /// As at the start: a reload does not change the limits of what is open.
+    /// Set at startup; a reload of the settings doesn't change limits.
     max_connections: usize,
-    /// Open results.
+    /// Pages of all open results.
     pub pages: ResultPages,
     pub(super) address_key: AddressKey,
-    ids: Mutex<WyRand>,
+    /// Generator of request ids.
+    request_ids: Mutex<WyRand>,
+    /// Number of open connections.
     connections: AtomicUsize,
 }
 
 impl RestService {
-    /// The key of page addresses comes from the system's entropy: who knows this gateway's seed must not know them.
+    /// Fails when the operating system provides no entropy. The key of page addresses is random and independent of
+    /// `seed`, so that addresses can't be predicted from the gateway's seed.
     pub fn new(settings: PagedRestConfig, seed: u64) -> Result<RestService, getrandom::Error> {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret)?;
@@ -29,7 +32,7 @@
             max_connections: settings.max_connections,
             pages: ResultPages::new(settings.limits),
             address_key: AddressKey::new(&secret),
-            ids: Mutex::new(WyRand::new_seed(!seed)),
+            request_ids: Mutex::new(WyRand::new_seed(!seed)),
             connections: AtomicUsize::new(0),
             settings: Mutex::new(Arc::new(settings)),
         })
@@ -39,39 +42,40 @@
         lock(&self.settings).clone()
     }
 
-    /// Uses other sources for the fields of requests from the next call on. The listener and all limits change with the
-    /// next start.
+    /// Replaces the settings. Sources of request fields apply from the next call on; changes to the listener and to
+    /// limits take effect only at the next start.
     pub fn reload(&self, settings: PagedRestConfig) {
         *lock(&self.settings) = Arc::new(settings);
     }
 
-    /// An id for a new request.
-    pub(super) fn next_id(&self) -> u64 {
-        lock(&self.ids).generate()
+    /// Generates the id of a new request.
+    pub(super) fn next_request_id(&self) -> u64 {
+        lock(&self.request_ids).generate()
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
+    /// Whether the connection limit is reached.
     pub(super) fn is_full(&self) -> bool {
         self.open_connections() >= self.max_connections
     }
 
-    /// Counts a connection for as long as the value returned lives.
-    pub(super) fn count_connection(self: &Arc<Self>) -> CountedConnection {
+    /// Counts a connection as open until the returned guard is dropped.
+    pub(super) fn register_connection(self: &Arc<Self>) -> OpenConnectionGuard {
         self.connections.fetch_add(1, Ordering::Relaxed);
-        CountedConnection { service: self.clone() }
+        OpenConnectionGuard { service: self.clone() }
     }
 }
 
-/// A connection that counts as open until this is dropped, whatever ends its coroutine.
-pub(super) struct CountedConnection {
+/// Counts a connection as open until dropped, also when the connection's coroutine panics.
+pub(super) struct OpenConnectionGuard {
     service: Arc<RestService>,
 }
 
-impl Drop for CountedConnection {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.service.connections.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -1,4 +1,5 @@
-//! A posted statement: admitted as a request, and answered with its first page if that comes soon.
+//! Handles a posted statement: admits it as a request and responds with the first page of its result, or with a page
+//! without rows if the first page is not ready in time.
 
 use super::pages;
 use super::request_fields;
@@ -15,18 +16,19 @@
 use larchfall_policy::time::{Duration, Timestamp};
 use std::sync::Arc;
 
-/// A statement that comes while this gateway shuts down is best tried again so much later, at another gateway.
+/// `Retry-After` of statements that arrive during the shutdown of this gateway. The client should retry at another one.
 const SHUTDOWN_RETRY_SECONDS: u64 = 1;
 
-pub(super) fn begin(state: &Arc<State>, service: &Arc<RestService>, call: &Call) -> Response {
+/// Admits a statement and returns the response to its call.
+pub(super) fn submit(state: &Arc<State>, service: &Arc<RestService>, call: &Call) -> Response {
     let received = state.clock.now();
     match admit(state, service, call, received) {
-        Ok(first_page) => respond_with_first(state, service, call, first_page, received),
+        Ok(first_page) => first_page_response(state, service, call, first_page, received),
         Err(response) => response,
     }
 }
 
-/// Admits a statement and returns the place of its first page, or the response where it was not admitted.
+/// Admits a statement. Returns the address of its first page, or the error response if the statement is not admitted.
 fn admit(
     state: &Arc<State>,
     service: &Arc<RestService>,
@@ -35,22 +37,22 @@
 ) -> Result<PageAddress, Response> {
     if state.shutdown.deadline().is_some() {
         let headers = vec![("Retry-After", SHUTDOWN_RETRY_SECONDS.to_string())];
-        return Err(Response { headers, ..responses::unusable(503, "this front ends") });
+        return Err(Response { headers, ..responses::invalid_call(503, "this front ends") });
     }
-    let unusable = |why: &str| {
+    let invalid = |reason: &str| {
         state.counters.update(|counters| counters.unusable += 1);
-        responses::unusable(400, why)
+        responses::invalid_call(400, reason)
     };
     if call.body.is_empty() {
-        return Err(unusable("no statement"));
+        return Err(invalid("no statement"));
     }
     let settings = service.settings();
     let fields = call_fields::read(call, settings.header_family, &settings.sources)
-        .map_err(|error| unusable(&error.to_string()))?;
-    let id_number = service.next_id();
+        .map_err(|error| invalid(&error.to_string()))?;
+    let id_number = service.next_request_id();
     let id = format!("{id_number:016x}");
-    let request = request_fields::client_request(&fields, id_number, &id, &call.body)
-        .map_err(|error| unusable(&error.to_string()))?;
+    let request = request_fields::build_client_request(&fields, id_number, &id, &call.body)
+        .map_err(|error| invalid(&error.to_string()))?;
     let Some(result) = service.pages.open(received) else {
         state.counters.update(|counters| counters.over_limits += 1);
         return Err(responses::rejected(state.settings.max_retry_after));
@@ -64,8 +66,8 @@
         Err(error) => {
             service.pages.abandon(result);
             Err(match error {
-                RequestError::Invalid(invalid) => {
-                    responses::unusable(400, &request_fields::invalid_request_text(invalid))
+                RequestError::Invalid(error) => {
+                    responses::invalid_call(400, &request_fields::invalid_request_text(error))
                 }
                 RequestError::TooManyInFlight => responses::rejected(state.settings.max_retry_after),
             })
@@ -73,21 +75,21 @@
     }
 }
 
-fn respond_with_first(
+fn first_page_response(
     state: &State,
     service: &RestService,
     call: &Call,
     first_page: PageAddress,
     received: Timestamp,
 ) -> Response {
-    match pages::find(state, service, first_page, received) {
-        // No address was given out yet: a client that tries again does so with the statement.
+    match pages::wait_for_page(state, service, first_page, received) {
+        // The client has no page address yet, so it retries by posting the statement again.
         AwaitedPage::Page(Page { end: Some(ResultEnd::Rejected), content, .. }, final_answer) => {
             pages::count_delivered(state, final_answer);
             service.pages.abandon(first_page.result);
             let retry_after = content.error.and_then(|error| error.retry_after_millis);
             responses::rejected(retry_after.map(Duration::from_millis))
         }
-        found => pages::respond_with(state, service, call, first_page, found),
+        lookup => pages::page_response(state, service, call, first_page, lookup),
     }
 }
--- a/crates/gateway/src/codec/client_request.rs
+++ b/crates/gateway/src/codec/client_request.rs
@@ -1,78 +1,80 @@
-//! A client's request before it is admitted, whichever protocol it came in: the values of its fields are checked and
-//! turned from text into numbers here.
+//! A client's request before admission, independent of the client's protocol. Validates the text of its fields and
+//! converts them to numbers.
 
 use larchfall_policy::time::Duration;
 
-/// No client means a timeout or an estimate of more than a day.
+/// Largest timeout or work estimate, in milliseconds: one day. No client means a longer one.
 const MAX_MILLISECONDS: f64 = 86_400_000.0;
-/// No query uses a terabyte of memory; an engine could not be asked for more either.
+/// Largest memory estimate, in megabytes: 1 TB. No query uses that much, and no engine could be asked for more.
 const MAX_MEGABYTES: f64 = 1_048_576.0;
-/// Hex digits of a request's id, and of an order key at most.
-const ID_DIGITS: usize = 16;
+/// Number of hex digits of a request id, and the maximum number of an ordering key.
+const ID_HEX_DIGITS: usize = 16;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// A request with all its fields read, before its class and tenant are looked up.
+/// A request with parsed fields, whose class and tenant have not been looked up yet.
 #[derive(Debug, PartialEq)]
 pub struct ClientRequest<'a> {
-    /// The name of its class.
+    /// Name of the request class.
     pub class: &'a str,
-    /// Its id: 16 hex digits.
+    /// Request id: 16 hex digits.
     pub id: &'a str,
-    /// The id as a number.
+    /// Numeric value of `id`.
     pub id_number: u64,
-    /// The name of its tenant; empty where it names none.
+    /// Name of the tenant; empty if the request names none.
     pub tenant: &'a str,
-    /// How long its client waits for the answer; `None` where the client does not say.
+    /// How long the client waits for the answer; `None` if the request has no timeout.
     pub timeout: Option<Duration>,
-    /// Engines drop a repeat that has the same key.
+    /// Key by which engines recognize and drop a repeated request.
     pub idempotency_key: Option<&'a str>,
-    /// Requests of the same key run one after the other.
+    /// Requests with the same key run one at a time, in order.
     pub ordering_key: Option<u64>,
-    /// Estimated time on one core.
+    /// Estimated processing time on one core; `None` if unknown.
     pub work_estimate: Option<Duration>,
-    /// Estimated memory.
+    /// Estimated memory in megabytes; `None` if unknown.
     pub memory_mb: Option<f64>,
-    /// What an engine is to run.
+    /// Statement for the engine.
     pub statement: &'a [u8],
 }
 
-/// Reads up to 16 hex digits. `from_str_radix` alone would also take a sign.
-fn hex_number(text: &str) -> Option<u64> {
-    let only_digits = text.len() <= ID_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    u64::from_str_radix(text, 16).ok().filter(|_| only_digits)
+/// Parses up to 16 hex digits. `from_str_radix` alone would also accept a sign.
+fn parse_hex(text: &str) -> Option<u64> {
+    let is_hex = text.len() <= ID_HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    u64::from_str_radix(text, 16).ok().filter(|_| is_hex)
 }
 
-fn number_up_to(text: &str, maximum: f64) -> Option<f64> {
+/// Parses a number from 0 to `maximum`. Rejects infinity and NaN.
+fn parse_number_up_to(text: &str, maximum: f64) -> Option<f64> {
     text.parse::<f64>().ok().filter(|number| (0.0..=maximum).contains(number))
 }
 
-/// Reads a request's id: exactly 16 hex digits.
+/// Parses a request id: exactly 16 hex digits.
 pub fn parse_id(text: &str) -> Option<u64> {
-    hex_number(text).filter(|_| text.len() == ID_DIGITS)
+    parse_hex(text).filter(|_| text.len() == ID_HEX_DIGITS)
 }
 
-/// Reads an order key: up to 16 hex digits.
+/// Parses an ordering key: up to 16 hex digits.
 pub fn parse_ordering_key(text: &str) -> Option<u64> {
-    hex_number(text)
+    parse_hex(text)
 }
 
-/// Whether an idempotency key can be passed on to engines, in the head of an HTTP call.
+/// Whether an idempotency key can be sent to engines in an HTTP header: 1 to 128 ASCII letters, digits and hyphens.
 pub fn is_valid_idempotency_key(text: &str) -> bool {
-    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
-    !text.is_empty() && text.len() <= MAX_IDEMPOTENCY_KEY_BYTES && text.bytes().all(is_plain)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
+    !text.is_empty() && text.len() <= MAX_IDEMPOTENCY_KEY_BYTES && text.bytes().all(is_allowed)
 }
 
-/// Reads a timeout in milliseconds, at least one.
+/// Parses a timeout in milliseconds, from 1 to `MAX_MILLISECONDS`.
 pub fn parse_timeout(text: &str) -> Option<Duration> {
-    number_up_to(text, MAX_MILLISECONDS).filter(|ms| *ms >= 1.0).map(|ms| Duration::from_secs(ms / 1e3))
+    parse_number_up_to(text, MAX_MILLISECONDS).filter(|ms| *ms >= 1.0).map(|ms| Duration::from_secs(ms / 1e3))
 }
 
-/// Reads an estimate in milliseconds on one core. Zero stands for an unknown one and gives `Some(None)`.
+/// Parses an estimate of the processing time on one core, in milliseconds. Zero means unknown and returns `Some(None)`.
 pub fn parse_work_estimate(text: &str) -> Option<Option<Duration>> {
-    number_up_to(text, MAX_MILLISECONDS).map(|ms| Some(Duration::from_secs(ms / 1e3)).filter(|_| ms > 0.0))
+    parse_number_up_to(text, MAX_MILLISECONDS)
+        .map(|ms| Some(Duration::from_secs(ms / 1e3)).filter(|_| ms > 0.0))
 }
 
-/// Reads an estimate in megabytes. Zero stands for an unknown one and gives `Some(None)`.
-pub fn parse_memory(text: &str) -> Option<Option<f64>> {
-    number_up_to(text, MAX_MEGABYTES).map(|mb| Some(mb).filter(|_| mb > 0.0))
+/// Parses an estimate of memory in megabytes. Zero means unknown and returns `Some(None)`.
+pub fn parse_memory_estimate(text: &str) -> Option<Option<f64>> {
+    parse_number_up_to(text, MAX_MEGABYTES).map(|mb| Some(mb).filter(|_| mb > 0.0))
 }
--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery service: numbered changes of the list of engines, as JSON in the configuration and as frames on its
-//! connection.
+//! Codec of the discovery service: numbered changes of the endpoint list, as binary frames on a connection and as
+//! JSON in the configuration.
 
 use super::Decoded;
 use larchfall_config::Names;
@@ -7,86 +7,86 @@
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// No list of engines is longer.
+/// Maximum frame length, more than any endpoint list needs.
 const MAX_FRAME_BYTES: usize = 4 << 20;
-/// The revision and the kind of frame, before the records.
-const FRAME_HEAD_BYTES: usize = 9;
+/// Length of the revision and the frame kind, which precede the records.
+const FRAME_HEADER_BYTES: usize = 9;
 const RECORD_BYTES: usize = 27;
 
-/// One engine as the discovery service lists it.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Its number, which stays the same over restarts.
+    /// Number of the engine; stays the same when the engine restarts.
     pub id: u32,
-    /// Where it listens.
+    /// Address at which the engine listens.
     pub address: SocketAddrV4,
-    /// Whether it takes new attempts.
+    /// Whether the engine accepts new attempts.
     pub state: EngineState,
-    /// Index of its zone.
+    /// Index of the engine's zone in the settings.
     pub zone: usize,
-    /// Index of its kind.
+    /// Index of the engine's machine type in the settings.
     pub kind: usize,
-    /// Its cell within the zone.
+    /// Cell within the zone.
     pub cell: usize,
-    /// Unix time in milliseconds, 0 for long ago.
+    /// Start of the engine process as Unix time in milliseconds; 0 if the process started long ago.
     pub started_ms: u64,
 }
 
-/// A change of the endpoint list.
+/// A change of the endpoint list, or the complete list.
 #[derive(Debug, PartialEq)]
 pub struct WatchEvent {
-    /// The list's version after this change.
+    /// Revision of the list after this change.
     pub revision: u64,
-    /// All entries there are; otherwise only those that changed.
+    /// Whether `entries` is the complete list rather than only the changed entries.
     pub is_full_list: bool,
-    /// What the change says of endpoints.
+    /// New or changed entries. A removed endpoint has the state `Gone`.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// What the discovery service sends.
+/// A frame from the discovery service.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    /// Nothing changed.
+    /// Sent while the list doesn't change.
     Heartbeat,
     /// The list changed.
     Event(WatchEvent),
 }
 
-/// Why bytes of the discovery service, or the configuration's list, can't be read.
+/// Why a frame of the discovery service, or the endpoint list of the configuration, is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum DiscoveryError {
-    #[error("frame of {bytes} bytes")]
+    #[error("frame length is {bytes} bytes, not between {FRAME_HEADER_BYTES} and {MAX_FRAME_BYTES}")]
     FrameLength { bytes: usize },
-    #[error("frame of unknown kind {kind}")]
+    #[error("frame kind is {kind}, not 0, 1 or 2")]
     FrameKind { kind: u8 },
-    #[error("records of {bytes} bytes")]
+    #[error("records have {bytes} bytes, not a multiple of {RECORD_BYTES}")]
     RecordsLength { bytes: usize },
-    #[error("unknown state {state}")]
+    #[error("endpoint state is {state}, not 0, 1 or 2")]
     EndpointState { state: u8 },
     #[error("known.notices, rev {revision}: {endpoint}")]
     KnownEndpoint { revision: u64, endpoint: EndpointError },
 }
 
-/// Why an endpoint of the configuration's list can't be read.
+/// Why an endpoint in the configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum EndpointError {
     #[error("instanceId '{value}' is not of the form s-0123abcd")]
     Id { value: String },
-    #[error("hostPort '{value}' is no address")]
+    #[error("hostPort '{value}' is not an IPv4 address with a port")]
     Address { value: String },
-    #[error("unknown lifecycle '{value}'")]
+    #[error("lifecycle '{value}' is not up, draining or removed")]
     Lifecycle { value: String },
     #[error("{field} '{value}' is not in the settings")]
     UnknownName { field: &'static str, value: String },
 }
 
-/// The first frame in these bytes; `None` while it is not complete.
+/// Decodes the first frame in a byte slice; `None` if the frame is incomplete.
 pub fn decode(bytes: &[u8]) -> Result<Option<Decoded<Frame>>, DiscoveryError> {
-    let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
-    if !(FRAME_HEAD_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+    let Some((length_prefix, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*length_prefix) as usize;
+    if !(FRAME_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
         return Err(DiscoveryError::FrameLength { bytes: length });
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
@@ -98,11 +98,11 @@
         kind => return Err(DiscoveryError::FrameKind { kind }),
     };
     let revision = u64::from_be_bytes(read_array(frame, 0));
-    let records = &frame[FRAME_HEAD_BYTES..];
+    let records = &frame[FRAME_HEADER_BYTES..];
     if records.len() % RECORD_BYTES != 0 {
         return Err(DiscoveryError::RecordsLength { bytes: records.len() });
     }
-    let entries = records.chunks_exact(RECORD_BYTES).map(entry).collect::<Result<_, _>>()?;
+    let entries = records.chunks_exact(RECORD_BYTES).map(decode_entry).collect::<Result<_, _>>()?;
     decoded(Frame::Event(WatchEvent { revision, is_full_list, entries }))
 }
 
@@ -112,7 +112,7 @@
     out
 }
 
-fn entry(record: &[u8]) -> Result<EndpointEntry, DiscoveryError> {
+fn decode_entry(record: &[u8]) -> Result<EndpointEntry, DiscoveryError> {
     let state = match record[10] {
         0 => EngineState::Ready,
         1 => EngineState::Draining,
@@ -133,16 +133,18 @@
     })
 }
 
-/// What a gateway writes on a new connection: the last revision that it has seen.
+/// Encodes the request that starts a watch on a new connection: the last revision that the gateway knows, in
+/// big-endian.
 pub fn encode_watch_request(last_revision: u64) -> [u8; 8] {
     last_revision.to_be_bytes()
 }
 
-/// `known` in the configuration: the list of engines as of its writing. Refusals of the configuration show the names of
-/// these structs, so they keep them.
+/// The field `known` of the configuration: the endpoint list at the time when the configuration was written. Error
+/// messages for an invalid configuration contain the names of this struct and of those that follow, which therefore
+/// don't change.
 #[derive(Deserialize)]
 pub struct Known {
-    /// The list's version.
+    /// Revision of the list.
     #[serde(rename = "rev")]
     pub revision: u64,
     #[serde(default, rename = "notices")]
@@ -183,21 +185,21 @@
     started_at_ms: u64,
 }
 
-/// The events of `known`, with the settings' names replaced by their indices.
+/// Converts `known` to watch events, with names from the settings replaced by their indices.
 pub fn known_events(known: &Known, names: &Names) -> Result<Vec<WatchEvent>, DiscoveryError> {
-    known.events.iter().map(|event| known_event(event, names)).collect()
+    known.events.iter().map(|event| convert_event(event, names)).collect()
 }
 
-fn known_event(event: &KnownEvent, names: &Names) -> Result<WatchEvent, DiscoveryError> {
+fn convert_event(event: &KnownEvent, names: &Names) -> Result<WatchEvent, DiscoveryError> {
     let revision = event.revision;
-    let entries = event.list.endpoints.iter().map(|endpoint| known_endpoint(endpoint, names));
+    let entries = event.list.endpoints.iter().map(|endpoint| convert_endpoint(endpoint, names));
     let entries = entries
         .collect::<Result<_, _>>()
         .map_err(|endpoint| DiscoveryError::KnownEndpoint { revision, endpoint })?;
     Ok(WatchEvent { revision, is_full_list: event.list.is_full_list, entries })
 }
 
-fn known_endpoint(endpoint: &KnownEntry, names: &Names) -> Result<EndpointEntry, EndpointError> {
+fn convert_endpoint(endpoint: &KnownEntry, names: &Names) -> Result<EndpointEntry, EndpointError> {
     let id = endpoint.id.strip_prefix("s-").and_then(|hex| u32::from_str_radix(hex, 16).ok());
     Ok(EndpointEntry {
         id: id.ok_or_else(|| EndpointError::Id { value: endpoint.id.clone() })?,
@@ -219,6 +221,6 @@
 }
 
 fn index_of(names: &[String], field: &'static str, name: &str) -> Result<usize, EndpointError> {
-    let unknown = || EndpointError::UnknownName { field, value: name.to_owned() };
-    names.iter().position(|known| known == name).ok_or_else(unknown)
+    let unknown_name = || EndpointError::UnknownName { field, value: name.to_owned() };
+    names.iter().position(|known| known == name).ok_or_else(unknown_name)
 }
--- a/crates/gateway/src/codec/message_pack/decode.rs
+++ b/crates/gateway/src/codec/message_pack/decode.rs
@@ -1,4 +1,4 @@
-//! Messages from clients, with the protocol's field names turned into the gateway's terms.
+//! Decodes messages from clients, and translates the protocol's field names.
 
 use super::{MAX_MESSAGE_BYTES, MessageError};
 use crate::codec::Decoded;
@@ -7,54 +7,54 @@
 use rmpv::decode::read_value_ref_with_max_depth;
 use std::io::ErrorKind;
 
-/// Deep enough for every message of the protocol, each value taking up to three steps of the reader; deeper
-/// nesting only costs stack.
+/// Recursion limit of the MessagePack reader, which takes up to three levels per nested value. Sufficient for every
+/// message of the protocol; a higher limit would only use more stack.
 const MAX_READER_DEPTH: usize = 16;
 
-/// Names of a request's fields on the wire.
+/// Wire names of request fields.
 mod field {
     pub(super) const ID: &str = "req";
     pub(super) const TIMEOUT: &str = "timeout";
     pub(super) const TENANT: &str = "owner";
     pub(super) const IDEMPOTENCY_KEY: &str = "opkey";
-    pub(super) const ORDER_KEY: &str = "subject";
-    pub(super) const WORK_MS: &str = "ms";
-    pub(super) const MEMORY_MB: &str = "est_mb";
+    pub(super) const ORDERING_KEY: &str = "subject";
+    pub(super) const WORK_ESTIMATE_MS: &str = "ms";
+    pub(super) const MEMORY_ESTIMATE_MB: &str = "est_mb";
 }
 
-/// What a client sends. Each message but `Abort` has a number by which its response is known.
+/// A message from a client. Every message except `Abort` has an id, which its response repeats.
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
-    /// A request to run.
+    /// A request to run a statement.
     Request {
-        /// Its number on the connection.
+        /// Message id, unique on the connection.
         message_id: u32,
-        /// Its fields.
+        /// The decoded request.
         request: ClientRequest<'a>,
     },
-    /// Asks only for a response.
+    /// A keep-alive message, to which the gateway only responds.
     Ping {
-        /// Its number on the connection.
+        /// Message id, unique on the connection.
         message_id: u32,
     },
-    /// The client stopped waiting for the responses to these.
+    /// The client no longer waits for the responses to some messages.
     Abort {
-        /// Numbers of earlier messages.
+        /// Ids of earlier messages.
         message_ids: Vec<u32>,
     },
-    /// A request that has a number and can't be used.
+    /// A request with a valid message id and invalid content.
     InvalidRequest {
-        /// Its number on the connection.
+        /// Message id, unique on the connection.
         message_id: u32,
-        /// What its client is told.
-        reason: RequestError,
+        /// Error that the client receives.
+        reason: RequestDecodeError,
     },
 }
 
-/// Why a request can't be used. Its client is told in these words, and the connection goes on.
+/// Why a request is invalid. The client receives this text, and the connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[expect(missing_docs, reason = "the text of each variant says what it means")]
-pub enum RequestError {
+pub enum RequestDecodeError {
     #[error("method is no text")]
     MethodNotText,
     #[error("a request has four parts")]
@@ -69,7 +69,7 @@
     InvalidField { field: &'static str },
 }
 
-/// The first message in these bytes; `None` while it is not complete.
+/// Decodes the first message in a byte slice; `None` if the message is incomplete.
 pub fn decode(bytes: &[u8]) -> Result<Option<Decoded<Message<'_>>>, MessageError> {
     let mut rest = bytes;
     let value = match read_value_ref_with_max_depth(&mut rest, MAX_READER_DEPTH) {
@@ -83,14 +83,15 @@
     if length > MAX_MESSAGE_BYTES {
         return Err(MessageError::TooLong);
     }
-    message(&value).map(|value| Some(Decoded { value, length }))
+    decode_message(&value).map(|value| Some(Decoded { value, length }))
 }
 
-fn message_id(value: &ValueRef) -> Result<u32, MessageError> {
-    value.as_u64().and_then(|n| u32::try_from(n).ok()).ok_or(MessageError::BadMessageId)
+fn decode_message_id(value: &ValueRef) -> Result<u32, MessageError> {
+    value.as_u64().and_then(|n| u32::try_from(n).ok()).ok_or(MessageError::InvalidMessageId)
 }
 
-fn text<'a>(value: &ValueRef<'a>) -> Option<&'a str> {
+/// The value of a string, or of a binary value with valid UTF-8; `None` for any other value.
+fn as_text<'a>(value: &ValueRef<'a>) -> Option<&'a str> {
     match value {
         ValueRef::String(s) => s.into_str(),
         ValueRef::Binary(b) => std::str::from_utf8(b).ok(),
@@ -98,62 +99,67 @@
     }
 }
 
-fn message<'a>(value: &ValueRef<'a>) -> Result<Message<'a>, MessageError> {
+fn decode_message<'a>(value: &ValueRef<'a>) -> Result<Message<'a>, MessageError> {
     let ValueRef::Array(parts) = value else { return Err(MessageError::NotAnArray) };
     match (parts.first().and_then(ValueRef::as_u64), &parts[..]) {
         (Some(0), [_, id, method, ValueRef::Array(parameters)]) => {
-            let message_id = message_id(id)?;
-            let Some(method) = text(method) else {
-                return Ok(Message::InvalidRequest { message_id, reason: RequestError::MethodNotText });
+            let message_id = decode_message_id(id)?;
+            let Some(method) = as_text(method) else {
+                return Ok(Message::InvalidRequest { message_id, reason: RequestDecodeError::MethodNotText });
             };
             if method == "ping" {
                 return Ok(Message::Ping { message_id });
             }
-            Ok(match request(method, parameters) {
+            Ok(match decode_request(method, parameters) {
                 Ok(request) => Message::Request { message_id, request },
                 Err(reason) => Message::InvalidRequest { message_id, reason },
             })
         }
-        (Some(0), [_, id, ..]) => {
-            Ok(Message::InvalidRequest { message_id: message_id(id)?, reason: RequestError::WrongPartCount })
-        }
-        (Some(2), [_, method, ValueRef::Array(ids)]) if text(method) == Some("abort") => {
-            Ok(Message::Abort { message_ids: ids.iter().map(message_id).collect::<Result<_, _>>()? })
+        (Some(0), [_, id, ..]) => Ok(Message::InvalidRequest {
+            message_id: decode_message_id(id)?,
+            reason: RequestDecodeError::WrongPartCount,
+        }),
+        (Some(2), [_, method, ValueRef::Array(ids)]) if as_text(method) == Some("abort") => {
+            Ok(Message::Abort { message_ids: ids.iter().map(decode_message_id).collect::<Result<_, _>>()? })
         }
         (Some(2), _) => Err(MessageError::UnknownNotification),
         _ => Err(MessageError::UnknownType),
     }
 }
 
-/// The fields of a request as its client wrote them.
+/// The undecoded fields of a request.
 struct Fields<'v, 'a>(&'v [(ValueRef<'a>, ValueRef<'a>)]);
 
 impl<'a> Fields<'_, 'a> {
-    /// A field's text; `None` where it is not there. One that is there in another form is an error.
-    fn text(&self, field: &'static str, invalid: RequestError) -> Result<Option<&'a str>, RequestError> {
-        match self.0.iter().find(|(name, _)| text(name) == Some(field)) {
+    /// The text of a field; `None` if the field is absent. Returns `invalid` if the value is not text.
+    fn text(
+        &self,
+        field: &'static str,
+        invalid: RequestDecodeError,
+    ) -> Result<Option<&'a str>, RequestDecodeError> {
+        match self.0.iter().find(|(name, _)| as_text(name) == Some(field)) {
             None => Ok(None),
-            Some((_, value)) => text(value).map(Some).ok_or(invalid),
+            Some((_, value)) => as_text(value).map(Some).ok_or(invalid),
         }
     }
 
-    /// A field that every request has.
+    /// Parses a field that every request must have.
     fn required<T>(
         &self,
         field: &'static str,
         parse: impl Fn(&'a str) -> Option<T>,
-    ) -> Result<T, RequestError> {
-        let missing = RequestError::MissingField { field };
+    ) -> Result<T, RequestDecodeError> {
+        let missing = RequestDecodeError::MissingField { field };
         self.text(field, missing)?.and_then(parse).ok_or(missing)
     }
 
-    /// A field that may be left out.
+    /// Parses an optional field; `None` if the field is absent.
     fn optional<T>(
         &self,
         field: &'static str,
         parse: impl Fn(&'a str) -> Option<T>,
-    ) -> Result<Option<T>, RequestError> {
-        let invalid = RequestError::InvalidField { field };
+    ) -> Result<Option<T>, RequestDecodeError> {
+        let invalid = RequestDecodeError::InvalidField { field };
         self.text(field, invalid)?.map(|text| parse(text).ok_or(invalid)).transpose()
     }
 }
@@ -163,9 +169,13 @@
     number: u64,
 }
 
-fn request<'a>(class: &'a str, parameters: &[ValueRef<'a>]) -> Result<ClientRequest<'a>, RequestError> {
-    let [ValueRef::Map(fields), body] = parameters else { return Err(RequestError::MissingParameters) };
-    let ValueRef::Binary(statement) = body else { return Err(RequestError::BodyNotBinary) };
+/// Decodes a request from its class, which is the name of the RPC method, and its parameters.
+fn decode_request<'a>(
+    class: &'a str,
+    parameters: &[ValueRef<'a>],
+) -> Result<ClientRequest<'a>, RequestDecodeError> {
+    let [ValueRef::Map(fields), body] = parameters else { return Err(RequestDecodeError::MissingParameters) };
+    let ValueRef::Binary(statement) = body else { return Err(RequestDecodeError::BodyNotBinary) };
     let fields = Fields(fields);
     let id = fields.required(field::ID, |text| {
         client_request::parse_id(text).map(|number| RequestId { text, number })
@@ -174,9 +184,9 @@
     let idempotency_key = fields.optional(field::IDEMPOTENCY_KEY, |text| {
         client_request::is_valid_idempotency_key(text).then_some(text)
     })?;
-    let ordering_key = fields.optional(field::ORDER_KEY, client_request::parse_ordering_key)?;
-    let work_estimate = fields.optional(field::WORK_MS, client_request::parse_work_estimate)?;
-    let memory_mb = fields.optional(field::MEMORY_MB, client_request::parse_memory)?;
+    let ordering_key = fields.optional(field::ORDERING_KEY, client_request::parse_ordering_key)?;
+    let work_estimate = fields.optional(field::WORK_ESTIMATE_MS, client_request::parse_work_estimate)?;
+    let memory_mb = fields.optional(field::MEMORY_ESTIMATE_MB, client_request::parse_memory_estimate)?;
     Ok(ClientRequest {
         class,
         id: id.text,
--- a/crates/gateway/src/codec/message_pack/encode.rs
+++ b/crates/gateway/src/codec/message_pack/encode.rs
@@ -1,22 +1,22 @@
-//! Responses to clients.
+//! Encodes responses to clients.
 
 use larchfall_policy::time::Duration;
 use rmp::encode::{write_array_len, write_bin, write_bool, write_map_len, write_nil, write_str, write_uint};
 
-/// The response to one message of a client.
+/// The response to one message.
 #[derive(Debug, PartialEq)]
 pub enum Response<'a> {
-    /// The complete result.
+    /// All rows of the result.
     Returned(&'a [u8]),
-    /// Trying again is harmless, best after the time given.
+    /// The request was rejected and can be retried safely, preferably after the given time.
     Rejected(Option<Duration>),
-    /// Nothing is promised about what the request did; why.
+    /// The request failed for the given reason; its effects are unknown.
     Errored(&'a str),
     /// The response to a ping.
     Pong,
 }
 
-/// Appends a response to `out`. Writing into a vector cannot fail, so the results of the writers are dropped.
+/// Appends a response to `out`. Ignores the results of the writers, because writing to a vector can't fail.
 pub fn encode(out: &mut Vec<u8>, message_id: u32, response: &Response) {
     let _ = write_array_len(out, 4);
     let _ = write_uint(out, 1);
@@ -45,6 +45,7 @@
     }
 }
 
+/// The only entry of the map in an error response.
 struct ErrorField<'a> {
     name: &'static str,
     value: &'a str,
--- a/crates/gateway/src/codec/mod.rs
+++ b/crates/gateway/src/codec/mod.rs
@@ -1,5 +1,5 @@
-//! Every wire format of the gateway: bytes to small typed values and back. The field names that other programs use are
-//! known here only. Nothing in this module reads a clock, a socket or a setting.
+//! Wire formats of the gateway: conversion between bytes and typed values. Only this module knows the field names that
+//! other programs use. The codecs read no clock, socket or setting.
 
 pub mod client_request;
 pub mod discovery;
@@ -7,11 +7,11 @@
 pub mod message_pack;
 pub mod statement;
 
-/// A value that was read from the start of some bytes.
+/// A value that was decoded from the start of a byte slice.
 #[derive(Debug, PartialEq)]
 pub struct Decoded<T> {
-    /// The value.
+    /// The decoded value.
     pub value: T,
-    /// How many of the bytes it takes.
+    /// Number of bytes that the value's encoding occupies.
     pub length: usize,
 }
--- a/crates/gateway/src/codec/statement.rs
+++ b/crates/gateway/src/codec/statement.rs
@@ -1,7 +1,7 @@
-//! The data set that a statement reads or writes: the number behind the underscore in the name of its schema. Names in
-//! strings and comments do not count, nor does the schema `staging`.
+//! Finds the data set that a statement reads or writes: the number after the last underscore of a schema name, as 17 in
+//! `sales_17`. Ignores strings and comments. The schema `staging` has no number and therefore names no data set.
 
-/// One name of a chain like `sales_17.orders`, or what ends a chain.
+/// A part of a qualified name like `sales_17.orders`, or a token that ends a qualified name.
 #[derive(PartialEq)]
 enum Token<'a> {
     Name(&'a [u8]),
@@ -9,25 +9,27 @@
     Other,
 }
 
+/// Tokenizer of SQL text.
 struct Tokens<'a> {
     bytes: &'a [u8],
 }
 
 impl<'a> Tokens<'a> {
+    /// Skips up to `count` bytes, and returns them.
     fn skip(&mut self, count: usize) -> &'a [u8] {
         let (skipped, rest) = self.bytes.split_at(count.min(self.bytes.len()));
         self.bytes = rest;
         skipped
     }
 
-    /// Skips bytes up to one for which `ends` holds, and returns them.
+    /// Skips bytes up to the first one for which `ends` is true, and returns the skipped bytes.
     fn skip_until(&mut self, ends: impl Fn(u8) -> bool) -> &'a [u8] {
         let count = self.bytes.iter().position(|byte| ends(*byte)).unwrap_or(self.bytes.len());
         self.skip(count)
     }
 
-    /// Skips a quoted text and returns what is between the quotes; a doubled quote stands for itself.
-    fn quoted(&mut self, quote: u8) -> &'a [u8] {
+    /// Skips quoted text, and returns the text between the quotes. A doubled quote doesn't end the text.
+    fn skip_quoted(&mut self, quote: u8) -> &'a [u8] {
         self.skip(1);
         let text = self.bytes;
         let mut end = 0;
@@ -44,8 +46,8 @@
         &text[..end]
     }
 
-    /// Skips a comment, and the comments within it.
-    fn comment(&mut self) {
+    /// Skips a block comment, including nested comments.
+    fn skip_comment(&mut self) {
         let mut depth = 0;
         while !self.bytes.is_empty() {
             match self.bytes {
@@ -82,12 +84,12 @@
                 [b'-', b'-', ..] => {
                     self.skip_until(|byte| byte == b'\n');
                 }
-                [b'/', b'*', ..] => self.comment(),
+                [b'/', b'*', ..] => self.skip_comment(),
                 [b'\'', ..] => {
-                    self.quoted(b'\'');
+                    self.skip_quoted(b'\'');
                     return Some(Token::Other);
                 }
-                [quote @ (b'"' | b'`'), ..] => return Some(Token::Name(self.quoted(quote))),
+                [quote @ (b'"' | b'`'), ..] => return Some(Token::Name(self.skip_quoted(quote))),
                 [b'.', ..] => {
                     self.skip(1);
                     return Some(Token::Dot);
@@ -107,6 +109,7 @@
     }
 }
 
+/// The data set in a schema name like `sales_17`; `None` if the name doesn't end with an underscore and a number.
 fn data_set_of_schema(schema: &[u8]) -> Option<u32> {
     let underscore = schema.iter().rposition(|byte| *byte == b'_').filter(|position| *position > 0)?;
     let digits = &schema[underscore + 1..];
@@ -116,11 +119,12 @@
     std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
-/// The data set of the first schema that a name is qualified with. A name that also stands alone somewhere is the alias
-/// of a table (`from sales_17.orders t_1 where t_1.id = 3`), since a schema is only ever named before a dot.
+/// Returns the data set of the first schema name in a statement. Schema names occur only before a dot, so a name that
+/// also occurs without a dot before and after it is taken for a table alias, like `t_1` in `from sales_17.orders t_1
+/// where t_1.id = 3`.
 pub fn data_set(statement: &[u8]) -> Option<u32> {
-    let mut schemas: Vec<&[u8]> = Vec::new();
-    let mut alone: Vec<&[u8]> = Vec::new();
+    let mut qualifiers: Vec<&[u8]> = Vec::new();
+    let mut unqualified: Vec<&[u8]> = Vec::new();
     let mut tokens = Tokens { bytes: statement }.peekable();
     let mut after_dot = false;
     while let Some(token) = tokens.next() {
@@ -128,13 +132,13 @@
             && data_set_of_schema(name).is_some()
         {
             if tokens.peek() == Some(&Token::Dot) {
-                schemas.push(name);
+                qualifiers.push(name);
             } else if !after_dot {
-                alone.push(name);
+                unqualified.push(name);
             }
         }
         after_dot = token == Token::Dot;
     }
-    let is_alias = |schema: &[u8]| alone.iter().any(|name| name.eq_ignore_ascii_case(schema));
-    schemas.into_iter().find(|schema| !is_alias(schema)).and_then(data_set_of_schema)
+    let is_alias = |schema: &[u8]| unqualified.iter().any(|name| name.eq_ignore_ascii_case(schema));
+    qualifiers.into_iter().find(|schema| !is_alias(schema)).and_then(data_set_of_schema)
 }
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -1,4 +1,5 @@
-//! Client of the discovery service: connected for as long as the service speaks, connected again when it does not.
+//! Client of the discovery service. Keeps a connection open, applies the watch events received on it, and reconnects
+//! when the service is silent or the connection ends.
 
 use crate::codec::Decoded;
 use crate::codec::discovery::{self, Frame, WatchEvent};
@@ -13,24 +14,26 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 
-/// A change of the list counts as known so long after it happened, whether or not its event has come.
+/// Assumed maximum delay from a change of the endpoint list to the arrival of its watch event. A gateway counts as
+/// informed of every older change, even if the event has not arrived.
 pub const MAX_EVENT_DELAY: Duration = Duration::from_millis(7000);
-/// An empty frame comes each second: after this much silence the service is taken for gone.
-const SILENCE: Duration = Duration::from_millis(2500);
-/// One last read after that much silence: to a gateway that was stalled all that was sent meanwhile is still unread.
-const LAST_READ: Duration = Duration::from_millis(20);
+/// Time without input after which the connection is closed. The service sends at least one heartbeat per second.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Timeout of one more read after `SILENCE_TIMEOUT`: after a stall of this gateway, frames may be waiting unread.
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pauses before connecting again are drawn between half of this and the whole; they double up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1500);
-const READ_BYTES: usize = 4096;
+/// First delay before reconnecting. Each delay is drawn between half of its nominal value and the whole; the nominal
+/// value doubles up to `MAX_RECONNECT_DELAY` until a frame is received.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(1500);
+const READ_CHUNK_BYTES: usize = 4096;
 
-/// Why a connection to the discovery service ended, in the words of the log.
+/// Why a connection to the discovery service ended. `Display` gives the code that the log uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disconnect {
     NotConnected,
     NotWritten,
-    /// Another client has taken over, with another address.
+    /// A reload has started another client, for another address.
     Replaced,
     Malformed,
     Closed,
@@ -52,14 +55,14 @@
     }
 }
 
-/// Follows the service at this address from now on, in place of the one that was followed before.
+/// Starts a client for the service at this address. Replaces the previous client, if any.
 pub fn start_client(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
     let client = state.discovery.next_client();
     let state = state.clone();
-    may::go!(move || follow(&state, address, seed, client));
+    may::go!(move || run(&state, address, seed, client));
 }
 
-/// Applies a watch event, and drops connections to engines that are gone.
+/// Applies a watch event to the endpoint list, and closes idle connections to removed engines.
 pub fn apply_event(state: &State, event: &WatchEvent) {
     for engine in state.policy.apply_discovery_event(event) {
         state.engine_connections.close_idle(engine);
@@ -67,63 +70,69 @@
     state.counters.update(|counters| counters.discovery_events += 1);
 }
 
-fn follow(state: &State, address: SocketAddrV4, seed: u64, client: u64) {
+/// Connects again and again until another client replaces this one. `seed` randomizes the reconnect delays.
+fn run(state: &State, address: SocketAddrV4, seed: u64, client: u64) {
     let mut random = WyRand::new_seed(seed);
-    let mut pause = FIRST_PAUSE;
+    let mut reconnect_delay = MIN_RECONNECT_DELAY;
     while state.discovery.is_current_client(client) {
         let mut connection = Connection { state, client, frames: 0, input: Vec::new() };
         let reason = connection.run(address);
         info!(state.log, "discovery connection ended"; "reason" => reason.to_string(), "frames" => connection.frames);
-        pause = if connection.frames > 0 { FIRST_PAUSE } else { (pause * 2.0).min(LONGEST_PAUSE) };
-        state.sleep(pause * (0.5 + 0.5 * random.generate::<f64>()));
+        reconnect_delay = if connection.frames > 0 {
+            MIN_RECONNECT_DELAY
+        } else {
+            (reconnect_delay * 2.0).min(MAX_RECONNECT_DELAY)
+        };
+        state.sleep(reconnect_delay * (0.5 + 0.5 * random.generate::<f64>()));
     }
 }
 
-/// One connection to the service.
+/// One connection to the discovery service.
 struct Connection<'a> {
     state: &'a State,
+    /// Number of the client that opened the connection; a replaced client stops applying events.
     client: u64,
-    /// Frames received on it.
+    /// Number of frames received on the connection.
     frames: u64,
-    /// What was received and not yet decoded.
+    /// Bytes that were received and not yet decoded.
     input: Vec<u8>,
 }
 
 impl Connection<'_> {
-    /// Receives until the connection ends.
+    /// Connects, sends the watch request, and applies frames until the connection ends.
     fn run(&mut self, address: SocketAddrV4) -> Disconnect {
         let address = SocketAddr::V4(address);
         let Ok(mut stream) = TcpStream::connect_timeout(&address, timeout(CONNECT_TIMEOUT)) else {
             return Disconnect::NotConnected;
         };
-        let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
+        let _ = stream.set_read_timeout(Some(timeout(SILENCE_TIMEOUT)));
         if stream.write_all(&discovery::encode_watch_request(self.state.policy.discovery_revision())).is_err()
         {
             return Disconnect::NotWritten;
         }
-        let mut is_last_read = false;
+        let mut is_final_read = false;
         let mut sent = self.state.clock.now();
         loop {
             if let Err(reason) = self.apply_received(sent) {
                 return reason;
             }
-            let read_from = self.state.clock.now();
+            let read_started = self.state.clock.now();
             let received = self.receive(&mut stream);
-            // What is read after a stall may be as old as that.
-            sent = self.state.stall_detector.earliest_send_time(read_from, self.state.clock.now());
+            // Frames that are read after a stall may have been sent when the stall began.
+            sent = self.state.stall_detector.earliest_send_time(read_started, self.state.clock.now());
             match received {
                 Ok(0) => return Disconnect::Closed,
-                Ok(_) if is_last_read => {
-                    is_last_read = false;
-                    let _ = stream.set_read_timeout(Some(timeout(SILENCE)));
+                Ok(_) if is_final_read => {
+                    is_final_read = false;
+                    let _ = stream.set_read_timeout(Some(timeout(SILENCE_TIMEOUT)));
                 }
                 Ok(_) => {}
-                Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) if is_last_read => {
+                Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) if is_final_read => {
                     return Disconnect::Silent;
                 }
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
-                    is_last_read = true;
-                    let _ = stream.set_read_timeout(Some(timeout(LAST_READ)));
+                    is_final_read = true;
+                    let _ = stream.set_read_timeout(Some(timeout(FINAL_READ_TIMEOUT)));
                 }
                 Err(_) => return Disconnect::Reset,
             }
@@ -131,17 +140,17 @@
     }
 
     fn receive(&mut self, stream: &mut TcpStream) -> Result<usize, ErrorKind> {
-        let before = self.input.len();
-        self.input.resize(before + READ_BYTES, 0);
-        let received = stream.read(&mut self.input[before..]);
-        self.input.truncate(before + *received.as_ref().unwrap_or(&0));
+        let old_length = self.input.len();
+        self.input.resize(old_length + READ_CHUNK_BYTES, 0);
+        let received = stream.read(&mut self.input[old_length..]);
+        self.input.truncate(old_length + *received.as_ref().unwrap_or(&0));
         received.map_err(|error| error.kind())
     }
 
-    /// Applies all whole frames received, which were sent at this time or later.
+    /// Applies all complete frames in `input`, which were sent at `sent` or later.
     fn apply_received(&mut self, sent: Timestamp) -> Result<(), Disconnect> {
         let state = self.state;
-        // A service that was replaced may use revisions that the new one has yet to reach.
+        // The revisions of a replaced service may be higher than the current revision of its successor.
         if !state.discovery.is_current_client(self.client) {
             return Err(Disconnect::Replaced);
         }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The discovery service: which engines there are, and what state they are in.
+//! Follows the discovery service, which lists the engines and their states.
 
 mod client;
 
--- a/crates/gateway/src/engine/attempt.rs
+++ b/crates/gateway/src/engine/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt, from its permit and its one call to an engine to its outcome. How its end is polled for, how it is
-//! cancelled and how its result is read stand in modules of their own.
+//! Runs one attempt of a request on an engine: acquires a permit, sends the statement, and reports the outcome. The
+//! modules `polling`, `cancellation` and `result_pages` implement polling, cancelling and reading the result.
 
 use super::connection::{self, CallError, ConnectError, Connection};
 use crate::codec::engine_http::{self, Reply, StatementCall};
@@ -15,34 +15,38 @@
 use std::cell::Cell;
 use std::sync::Arc;
 
-/// An engine answers a poll after 250 ms at the latest. A connection that takes longer than this hangs, and another is
-/// opened: a result that is there waits meanwhile, and its engine looks slow.
+/// Timeout of one poll. Engines hold a poll for at most 250 ms, so a connection without a reply by then is treated as
+/// hung and replaced. A longer timeout would delay results that are ready and make their engine look slow.
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_millis(350);
-/// The pause between two tries to reach an engine.
-pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Whoever waits until this gateway has read its sockets goes on in the same moment as those who were read.
+/// Delay between two tries to reach an engine.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How often an attempt that waits for this gateway to read its sockets checks whether that has happened; short, so
+/// that the attempt continues at the same time as the requests that were read.
 const INPUT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Connections that one call may be tried on, as long as not a byte of it left.
+/// Maximum number of connections on which the starting call is tried. Another connection is used only while no byte of
+/// the call has been sent.
 const MAX_CONNECTIONS_PER_CALL: usize = 2;
-/// An attempt that finds all descriptors in use is better told so at once.
+/// Maximum wait for a connection permit. When all file descriptors are in use, the attempt should fail without delay.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What an attempt came to.
+/// Outcome of an attempt, with the evidence of whether its statement may still run.
 pub struct AttemptEnd {
-    /// Its outcome.
+    /// The outcome that is recorded for the attempt.
     pub outcome: Outcome,
-    /// The engine's load, where it told.
+    /// The engine's load; its fields are `None` where the engine reported nothing.
     pub load_report: LoadReport,
-    /// What was last observed of it.
+    /// The last observation of the attempt's statement on the engine.
     pub evidence: AttemptEvidence,
-    /// Its rows broke off after some were handed to the client: the request can only end in an error.
+    /// Whether the result ended early after some of its rows were passed to the client. The request can then only end
+    /// in an error.
     pub is_truncated: bool,
-    /// Its time ran out and its key waits for its end: `evidence` holds nothing until `Attempt::cancel_timed_out` was called.
+    /// Whether the attempt timed out and its ordering key stays blocked until the statement has ended. `evidence` is
+    /// not valid until `Attempt::cancel_timed_out` has returned.
     pub is_cancel_pending: bool,
 }
 
 impl AttemptEnd {
-    /// An attempt of which nothing left.
+    /// The end of an attempt that sent no byte to the engine.
     pub fn not_sent(outcome: Outcome) -> AttemptEnd {
         let evidence = AttemptEvidence { last: LastObservation::NotSent, same_process: true };
         AttemptEnd::new(outcome, evidence)
@@ -59,41 +63,42 @@
     }
 }
 
-/// What a check between two calls found.
-pub(super) enum Check {
+/// Whether an attempt continues, as checked between two calls to the engine.
+pub(super) enum AttemptCheck {
     Continue,
     Cancel,
     TimedOut,
 }
 
-/// One attempt in flight.
+/// An attempt in flight.
 pub struct Attempt<'a> {
     pub(super) state: &'a Arc<State>,
     pub(super) context: &'a RequestContext,
-    pub(super) request: usize,
-    pub(super) number: u8,
+    pub(super) request_index: usize,
+    pub(super) attempt_number: u8,
     parameters: AttemptParameters,
-    /// The process that it was routed to.
+    /// The engine process to which the policy routed the attempt.
     pub instance: EngineInstance,
-    /// When it was routed.
+    /// When the attempt was routed.
     pub started: Timestamp,
-    /// Held from before the first connection is taken until the attempt is over, or handed on with its cancellation.
+    /// Permit to hold one connection. Acquired before the first connection is opened, and held until the attempt has
+    /// ended or a background cancellation has taken over the permit.
     pub(super) permit: Cell<Option<ConnectionPermit>>,
-    /// The connection on which `cancel_timed_out` tells the engine to stop.
+    /// The connection on which `cancel_timed_out` sends the cancellation.
     pub(super) cancel_connection: Cell<Option<Connection>>,
-    /// When the engine may last have been polled: the end of the last call.
-    pub(super) last_call: Cell<Timestamp>,
-    /// Whether the process at the other end of the present connection is known to have this attempt.
+    /// When the last call to the engine ended. The engine may have received a poll until then.
+    pub(super) last_call_end: Cell<Timestamp>,
+    /// Whether the engine process at the other end of the current connection is known to have received this attempt.
     pub(super) same_process: Cell<bool>,
 }
 
 impl<'a> Attempt<'a> {
-    /// `None` where the engine is no longer known.
+    /// Starts an attempt; `None` when the engine is no longer in the endpoint list.
     pub fn new(
         state: &'a Arc<State>,
         context: &'a RequestContext,
-        request: usize,
-        number: u8,
+        request_index: usize,
+        attempt_number: u8,
         parameters: AttemptParameters,
     ) -> Option<Attempt<'a>> {
         let instance = state.policy.engine_instance(parameters.engine)?;
@@ -101,19 +106,19 @@
         Some(Attempt {
             state,
             context,
-            request,
-            number,
+            request_index,
+            attempt_number,
             parameters,
             instance,
             started,
             permit: Cell::new(None),
             cancel_connection: Cell::new(None),
-            last_call: Cell::new(started),
+            last_call_end: Cell::new(started),
             same_process: Cell::new(true),
         })
     }
 
-    /// The attempt's timeout, or the end of this gateway when that comes first.
+    /// The attempt's deadline: its timeout or the shutdown deadline of this gateway, whichever comes first.
     pub(super) fn deadline(&self) -> Timestamp {
         let deadline = self.started + self.parameters.timeout;
         self.state.shutdown.deadline().map_or(deadline, |shutdown| deadline.min(shutdown))
@@ -123,7 +128,7 @@
         self.state.clock.now() >= self.deadline()
     }
 
-    /// Makes the attempt. Without a permit nothing is sent, and that says nothing of the engine.
+    /// Runs the attempt to its end. Without a permit nothing is sent, and the outcome doesn't count against the engine.
     pub fn run(&self) -> AttemptEnd {
         let wait = PermitWait { timers: &self.state.timers, deadline: self.started + PERMIT_TIMEOUT };
         let permit = self.state.engine_connections.acquire(self.parameters.priority, Some(wait));
@@ -134,84 +139,85 @@
         self.start()
     }
 
-    /// Sends the call that starts the statement, and follows it to its end.
+    /// Sends the call that starts the statement, and polls the engine until the statement has ended.
     fn start(&self) -> AttemptEnd {
         for _ in 0..MAX_CONNECTIONS_PER_CALL {
             let mut connection = match self.connect(self.deadline()) {
                 Ok(connection) => connection,
-                Err(error) => return self.not_connected(error),
+                Err(error) => return self.connect_failed(error),
             };
             if !self.may_start() {
-                self.put_back(Some(connection));
+                self.return_connection(Some(connection));
                 return AttemptEnd::not_sent(Outcome::NotSent);
             }
-            // A call of which nothing left is no attempt: a new connection may carry it.
+            // As no byte of the call was sent, the call can be repeated on a new connection.
             match self.call(&mut connection, &self.start_call(), POLL_TIMEOUT) {
                 Err(CallError::NotSent) => {}
                 reply => {
-                    // What comes on the call's own connection is said by the process that has it, or declined it.
+                    // A reply on the same connection comes from the process that received or declined the call.
                     self.same_process.set(true);
                     return self.poll_until_end(connection, reply);
                 }
             }
         }
-        self.not_connected(ConnectError::Unreachable)
+        self.connect_failed(ConnectError::Unreachable)
     }
 
-    /// No byte left. An attempt that ran out of time before says nothing of the engine.
-    fn not_connected(&self, error: ConnectError) -> AttemptEnd {
+    /// The end of an attempt that got no connection and sent no byte. If the attempt's own deadline has passed, the
+    /// failure doesn't count against the engine.
+    fn connect_failed(&self, error: ConnectError) -> AttemptEnd {
         let is_out_of_time = error == ConnectError::Unreachable && self.is_past_deadline();
         AttemptEnd::not_sent(if is_out_of_time { Outcome::NotSent } else { Outcome::ConnectFailed })
     }
 
-    /// Whether the call may go out now, asked right before each write of it. While it waited for its connection its
-    /// client may have disconnected, its engine may have been replaced (another process may have the address, of another
-    /// kind, in slow start, or unrelated), or the deduplication window of a retry may have ended. A gateway that stalled,
-    /// or has not polled its sockets lately, first reads what came meanwhile.
+    /// Whether the starting call may be sent now; checked right before each write. While the attempt waited for a
+    /// connection, the client may have disconnected, the engine may have been replaced (the address may belong to a
+    /// process of another kind, to one in slow start, or to an unrelated one), or the deduplication window of a retry
+    /// may have ended. After a stall, or when the sockets were not polled recently, waits until pending input was read.
     fn may_start(&self) -> bool {
         let was_behind_discovery = self.state.is_behind_discovery();
         while self.state.may_have_unread_input() && !self.is_past_deadline() {
             self.state.sleep(INPUT_CHECK_INTERVAL);
         }
-        // What the discovery service sent during a stall may be past its grace period.
+        // A discovery event that arrived during a stall may be read only after the event's grace period has ended.
         let since_routed = self.state.clock.now().since(self.started);
         let is_recently_routed =
             !was_behind_discovery && since_routed < self.state.settings.drain_send_window;
         !self.is_past_deadline()
             && self.state.policy.may_start_attempt(
-                self.request,
-                self.number,
+                self.request_index,
+                self.attempt_number,
                 self.instance,
                 is_recently_routed,
             )
     }
 
-    /// The call that starts the statement, with the time that its client has left now.
+    /// Encodes the call that starts the statement, with the time that remains now until the deadline.
     fn start_call(&self) -> Vec<u8> {
         let call = StatementCall {
             id: &self.context.id,
             class: &self.state.settings.names.classes[self.context.class],
             remaining: self.deadline().since(self.state.clock.now()),
             idempotency_key: self.context.idempotency_key.as_deref(),
-            memory_mb: self.parameters.memory_mb,
+            memory_grant_mb: self.parameters.memory_mb,
             priority: self.parameters.priority,
             statement: &self.context.statement,
         };
         engine_http::encode_start_call(self.instance.address, &call)
     }
 
-    /// An end with what was last observed of the attempt. What does not prove that nothing runs is logged.
-    pub(super) fn end(&self, last: LastObservation, outcome: Outcome) -> AttemptEnd {
+    /// Ends the attempt with its last observation. Logs an attempt in key order that may still be running.
+    pub(super) fn finish(&self, last: LastObservation, outcome: Outcome) -> AttemptEnd {
         let evidence = AttemptEvidence { last, same_process: self.same_process.get() };
         if self.context.in_order && !proves_end(evidence) {
             info!(self.state.log, "end of attempt not observed"; "last" => format!("{last:?}"),
-                "id" => &self.context.id, "attempt" => self.number, "engine" => self.instance.engine,
+                "id" => &self.context.id, "attempt" => self.attempt_number, "engine" => self.instance.engine,
                 "address" => self.instance.address.to_string());
         }
         AttemptEnd::new(outcome, evidence)
     }
 
-    /// Makes a call, within the attempt's own time.
+    /// Makes a call to the engine that ends at `timeout` or at the attempt's deadline, whichever comes first.
     pub(super) fn call(
         &self,
         connection: &mut Connection,
@@ -220,26 +226,26 @@
     ) -> Result<Reply, CallError> {
         let deadline = self.deadline().min(self.state.clock.now() + timeout);
         let reply = connection.call(call, &self.state.clock, deadline);
-        self.last_call.set(self.state.clock.now());
+        self.last_call_end.set(self.state.clock.now());
         reply
     }
 
-    /// An idle connection, or a new one: which process is at its other end is not known yet.
+    /// Takes an idle connection from the pool or opens a new one. Which process is at its other end is not yet known.
     pub(super) fn connect(&self, deadline: Timestamp) -> Result<Connection, ConnectError> {
         self.same_process.set(false);
         connection::connect(self.state, self.instance, deadline)
     }
 
-    /// Gives a connection back to the pool, if there is one left.
-    pub(super) fn put_back(&self, connection: Option<Connection>) {
+    /// Returns the connection, if any, to the pool.
+    pub(super) fn return_connection(&self, connection: Option<Connection>) {
         if let Some(connection) = connection {
             self.state.engine_connections.put_back(connection, self.state.clock.now());
         }
     }
 }
 
-/// Keeps a connection after a reply, unless the engine closes it or more came on it than was asked for: the next reply
-/// read from it would be another call's.
+/// Keeps a connection after a reply, unless the engine closes the connection or unexpected bytes have arrived: those
+/// bytes would be read as the reply to the next call.
 pub(super) fn keep_if_reusable(
     connection: Option<Connection>,
     closes_connection: bool,
--- a/crates/gateway/src/engine/connection.rs
+++ b/crates/gateway/src/engine/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an engine, which carries one call at a time.
+//! HTTP/1.1 connection to an engine, which carries one call at a time.
 
 use crate::codec::Decoded;
 use crate::codec::engine_http::{self, Reply};
@@ -12,47 +12,48 @@
 use std::time::Duration as StdDuration;
 use thiserror::Error;
 
-/// A reply is a few kilobytes that are written at once: one that pauses for this long does not go on.
-const REPLY_PAUSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Bytes read at a time.
-const READ_SIZE: usize = 4096;
+/// Timeout for the remainder of a reply after its first bytes. Engines write a reply of a few kilobytes at once, so an
+/// incomplete reply that is interrupted for this long will not be completed.
+const REPLY_REMAINDER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum number of bytes per read from the socket.
+const READ_CHUNK_BYTES: usize = 4096;
 
-/// A connection to one process of an engine.
+/// A connection to one engine process.
 pub struct Connection {
     stream: TcpStream,
     instance: EngineInstance,
     input: Vec<u8>,
-    /// A call went out whole and its reply has not come: the next one read is that.
+    /// Whether a call was sent completely and its reply is outstanding. The next reply read belongs to that call.
     awaits_reply: bool,
 }
 
-/// Why a call brought no reply.
+/// Why a call returned no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// Not one byte of the call left.
-    #[error("nothing was sent")]
+    /// No byte of the call was sent.
+    #[error("no byte of the call was sent")]
     NotSent,
-    /// The connection ended or carried no HTTP; the call may have come whole.
-    #[error("the connection broke")]
+    /// The connection was closed or its input was not a usable reply; the engine may have received the complete call.
+    #[error("connection closed or reply malformed")]
     Broken,
-    /// No reply came in time.
-    #[error("no reply in time")]
+    /// The deadline passed; the engine may have received the complete call.
+    #[error("no complete reply before the deadline")]
     TimedOut,
 }
 
-/// Why a connection did not come up.
+/// Why no connection was established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConnectError {
-    /// Nobody listens there.
+    /// No process listens at the address.
     #[error("connection refused")]
     Refused,
-    /// Nobody answered in time, or there is no way there.
-    #[error("no connection in time")]
+    /// The connection timed out, or there is no route to the address.
+    #[error("connection timed out or address unreachable")]
     Unreachable,
 }
 
 impl Connection {
-    /// Connects to a process.
+    /// Connects to an engine process. A zero timeout fails with `Unreachable`.
     pub fn open(instance: EngineInstance, timeout: StdDuration) -> Result<Connection, ConnectError> {
         if timeout.is_zero() {
             return Err(ConnectError::Unreachable);
@@ -67,12 +68,13 @@
         }
     }
 
-    /// The process at the other end.
+    /// The engine process to which the connection was opened.
     pub fn instance(&self) -> EngineInstance {
         self.instance
     }
 
-    /// Whether nothing is owed and nothing came that was not asked for: an end or stray bytes make a connection useless.
+    /// Whether the connection can carry another call: no reply is outstanding, no unexpected bytes have arrived, and
+    /// the engine hasn't closed the connection.
     pub fn is_reusable(&self) -> bool {
         let mut byte = [0];
         self.input.is_empty()
@@ -80,12 +82,13 @@
             && matches!(self.stream.inner().peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the reply to a call that ran out of time may still come here.
+    /// Whether the reply to a call that timed out may still arrive on this connection.
     pub fn awaits_reply(&self) -> bool {
         self.awaits_reply
     }
 
-    /// Sends a call and waits for its reply. A reply that is owed to the call before comes first, and is ignored.
+    /// Sends a call and waits for its reply. First reads and discards the outstanding reply to the previous call, if
+    /// any.
     pub fn call(&mut self, call: &[u8], clock: &Clock, deadline: Timestamp) -> Result<Reply, CallError> {
         if self.awaits_reply {
             self.read_reply(clock, deadline)?;
@@ -99,19 +102,19 @@
         let mut sent = 0;
         while sent < call.len() {
             let on_timeout = if sent == 0 { CallError::NotSent } else { CallError::TimedOut };
-            let remaining = time_left(clock, deadline).ok_or(on_timeout)?;
+            let remaining = remaining_until(clock, deadline).ok_or(on_timeout)?;
             let _ = self.stream.set_write_timeout(Some(remaining));
             match self.stream.write(&call[sent..]) {
                 Ok(0) => return Err(CallError::Broken),
                 Ok(written) => sent += written,
                 Err(e) if sent == 0 && !is_timeout(&e) => return Err(CallError::NotSent),
-                Err(e) => return Err(failure(&e)),
+                Err(e) => return Err(call_error(&e)),
             }
         }
         Ok(())
     }
 
-    /// Waits for the reply to the call that went out last.
+    /// Waits for the reply to the call that was sent last.
     fn read_reply(&mut self, clock: &Clock, deadline: Timestamp) -> Result<Reply, CallError> {
         let mut deadline = deadline;
         loop {
@@ -119,35 +122,35 @@
                 engine_http::decode(&self.input).map_err(|_| CallError::Broken)?
             {
                 self.input.drain(..length);
-                // 100 and its like only announce a reply.
+                // An informational response (1xx) precedes the final reply.
                 if reply.status / 100 == 1 {
                     continue;
                 }
                 self.awaits_reply = false;
-                // Rows with something behind them: a length that is too short looks the same as noise that does not
-                // belong to them. Asked for again on another connection, they come whole.
+                // Bytes after the rows: a Content-Length that is too small can't be told from stray bytes. The page is
+                // fetched again on another connection.
                 if reply.status == 200 && !self.input.is_empty() {
                     return Err(CallError::Broken);
                 }
                 return Ok(reply);
             }
-            let remaining = time_left(clock, deadline).ok_or(CallError::TimedOut)?;
+            let remaining = remaining_until(clock, deadline).ok_or(CallError::TimedOut)?;
             let _ = self.stream.set_read_timeout(Some(remaining));
-            let before = self.input.len();
-            self.input.resize(before + READ_SIZE, 0);
-            let read = self.stream.read(&mut self.input[before..]);
-            self.input.truncate(before + *read.as_ref().unwrap_or(&0));
+            let old_length = self.input.len();
+            self.input.resize(old_length + READ_CHUNK_BYTES, 0);
+            let read = self.stream.read(&mut self.input[old_length..]);
+            self.input.truncate(old_length + *read.as_ref().unwrap_or(&0));
             match read {
                 Ok(0) => return Err(CallError::Broken),
-                Ok(_) if before == 0 => deadline = deadline.min(clock.now() + REPLY_PAUSE_TIMEOUT),
+                Ok(_) if old_length == 0 => deadline = deadline.min(clock.now() + REPLY_REMAINDER_TIMEOUT),
                 Ok(_) => {}
-                Err(e) => return Err(failure(&e)),
+                Err(e) => return Err(call_error(&e)),
             }
         }
     }
 }
 
-fn time_left(clock: &Clock, deadline: Timestamp) -> Option<StdDuration> {
+fn remaining_until(clock: &Clock, deadline: Timestamp) -> Option<StdDuration> {
     Some(clock.remaining(deadline)).filter(|remaining| !remaining.is_zero())
 }
 
@@ -155,18 +158,19 @@
     matches!(error.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock)
 }
 
-fn failure(error: &io::Error) -> CallError {
+fn call_error(error: &io::Error) -> CallError {
     if is_timeout(error) { CallError::TimedOut } else { CallError::Broken }
 }
 
-/// An idle connection to a process, or a new one. Only for a holder of a permit.
+/// Takes an idle connection to an engine process or opens a new one. The caller must hold a connection permit.
 pub(super) fn connect(
     state: &State,
     instance: EngineInstance,
     deadline: Timestamp,
 ) -> Result<Connection, ConnectError> {
     while let Some(reused) = state.engine_connections.take_idle(instance, state.clock.now()) {
-        // A wait that is shorter than most answers; a new connection costs its engine work, and may not come up.
+        // Waiting is cheaper than a new connection: the wait is shorter than most replies, while a new connection costs
+        // the engine work and may fail.
         state.sleep(reused.usable_from.since(state.clock.now()));
         if reused.connection.is_reusable() {
             return Ok(reused.connection);
--- a/crates/gateway/src/engine/load_report.rs
+++ b/crates/gateway/src/engine/load_report.rs
@@ -1,12 +1,12 @@
-//! Load reports that engines are asked for.
+//! Fetches load reports from engines.
 
 use super::connection::connect;
 use crate::codec::engine_http;
 use crate::state::State;
 use larchfall_policy::types::LoadReport;
 
-/// Asks an engine for its load report and tells the policy. Attempts come first: where there is no permit, none is
-/// asked for.
+/// Fetches an engine's load report and passes the report to the policy. Returns `None` when the call fails, or when no
+/// connection permit is free: attempts take precedence over load reports.
 pub fn fetch(state: &State, engine: usize) -> Option<LoadReport> {
     let instance = state.policy.engine_instance(engine)?;
     let _permit = state.engine_connections.acquire(0, None)?;
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! What this gateway says to engines: attempts, load reports, and the connections that carry both. Nothing here knows
-//! which protocol a request came by.
+//! Communication with engines: attempts, load reports, and the connections for both. Independent of the protocol by
+//! which a client sent its request.
 
 pub mod attempt;
 pub mod cancellation;
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -1,6 +1,6 @@
-//! Polls an engine for the end of an attempt whose call went out.
+//! Polls an engine for the end of a statement after the starting call was sent.
 
-use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_reusable};
+use super::attempt::{Attempt, AttemptCheck, AttemptEnd, POLL_TIMEOUT, RETRY_DELAY, keep_if_reusable};
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::{CallError, ConnectError, Connection};
 use crate::codec::engine_http::{self, Reply};
@@ -9,7 +9,7 @@
 use larchfall_policy::types::{LastObservation, Outcome, ProgressUpdate, RoutingDecision};
 
 impl Attempt<'_> {
-    /// Polls until the attempt's end is known, beginning with the reply to the call that started it.
+    /// Polls until the end of the attempt is known. Starts with the reply to the call that started the statement.
     pub(super) fn poll_until_end(
         &self,
         connection: Connection,
@@ -18,7 +18,7 @@
         let mut connection = Some(connection);
         let mut reply = first_reply;
         let mut call_time = self.started;
-        let mut cut_offs = 0;
+        let mut lost_connections = 0;
         loop {
             match reply {
                 Ok(reply) if reply.status == 202 => {
@@ -28,28 +28,31 @@
                     return self.collect_pages(connection, reply);
                 }
                 Ok(reply) if reply.status == 500 || reply.is_declined() => {
-                    return self.on_failure_reply(connection, &reply, cut_offs);
+                    return self.on_failure_reply(connection, &reply, lost_connections);
                 }
-                // The attempt's own time ran out, not the engine's: the reply that is owed still comes here.
+                // The attempt's deadline passed before the poll's timeout: the connection is kept for the outstanding
+                // reply.
                 Err(CallError::TimedOut)
                     if connection.as_ref().is_some_and(Connection::awaits_reply)
                         && self.is_past_deadline() => {}
-                // Cut off, or a reply that no engine gives to this call: its end is polled for on another connection.
+                // The connection was lost, or the reply doesn't belong to this call: polling goes on over another
+                // connection.
                 Ok(_) | Err(_) => {
                     drop(connection.take());
-                    cut_offs += 1;
-                    self.on_cut_off(cut_offs);
+                    lost_connections += 1;
+                    self.on_connection_lost(lost_connections);
                 }
             }
             match self.check() {
-                Check::Continue => {}
-                Check::Cancel => return self.cancel(connection, CANCEL_TIMEOUT, Outcome::Cancelled),
-                Check::TimedOut => return self.time_out(connection),
+                AttemptCheck::Continue => {}
+                AttemptCheck::Cancel => return self.cancel(connection, CANCEL_TIMEOUT, Outcome::Cancelled),
+                AttemptCheck::TimedOut => return self.time_out(connection),
             }
             let mut open = match connection.map_or_else(|| self.connect(self.deadline()), Ok) {
                 Ok(open) => open,
-                // Whoever ran there is gone, and what it ran with it, unless it only takes no more calls.
-                Err(ConnectError::Refused) => return self.end(LastObservation::Refused, Outcome::Reset),
+                // The engine process has ended, and the statement with it, unless the process only refuses new
+                // connections.
+                Err(ConnectError::Refused) => return self.finish(LastObservation::Refused, Outcome::Reset),
                 Err(ConnectError::Unreachable) => {
                     connection = None;
                     reply = Err(CallError::TimedOut);
@@ -63,7 +66,7 @@
         }
     }
 
-    /// The engine runs the statement, and may have told how far it is.
+    /// Handles a 202 reply: the statement is running, and the reply may carry a progress update.
     fn on_progress(
         &self,
         connection: Option<Connection>,
@@ -72,63 +75,72 @@
     ) -> Option<Connection> {
         self.same_process.set(true);
         if let Some(update) = reply.progress {
-            self.state.policy.record_progress(self.request, self.number, update);
+            self.state.policy.record_progress(self.request_index, self.attempt_number, update);
         }
         let connection = keep_if_reusable(connection, reply.closes_connection);
-        // Guards against an engine that has nothing to tell and does not hold the call back.
-        if reply.progress.is_none() && self.state.clock.now().since(call_time) < RETRY_PAUSE {
-            self.state.sleep(RETRY_PAUSE);
+        // Prevents a busy loop with an engine that replies at once without a progress update.
+        if reply.progress.is_none() && self.state.clock.now().since(call_time) < RETRY_DELAY {
+            self.state.sleep(RETRY_DELAY);
         }
         connection
     }
 
-    /// The engine says that the statement failed, or that it declined it.
-    fn on_failure_reply(&self, connection: Option<Connection>, reply: &Reply, cut_offs: usize) -> AttemptEnd {
-        self.put_back(keep_if_reusable(connection, reply.closes_connection));
+    /// Ends the attempt after a reply that reports a failed or declined statement.
+    fn on_failure_reply(
+        &self,
+        connection: Option<Connection>,
+        reply: &Reply,
+        lost_connections: usize,
+    ) -> AttemptEnd {
+        self.return_connection(keep_if_reusable(connection, reply.closes_connection));
         let mut end = if reply.is_declined() {
-            self.end(LastObservation::Declined, Outcome::Rejected)
-        } else if cut_offs == 0 {
-            self.end(LastObservation::Ended, Outcome::Errored)
+            self.finish(LastObservation::Declined, Outcome::Rejected)
+        } else if lost_connections == 0 {
+            self.finish(LastObservation::Ended, Outcome::Errored)
         } else {
-            // This is no reply to the starting call itself: whoever replies may not know the statement yet, or not be
-            // the process that has it.
-            self.end(LastObservation::Unknown, Outcome::Errored)
+            // The connection was lost since the starting call: the replying process may not have received the statement
+            // yet, or may not be the process that received the starting call.
+            self.finish(LastObservation::Unknown, Outcome::Errored)
         };
         end.load_report = reply.load;
         end
     }
 
-    /// The connection was cut. Its first replacement is opened at once, later ones after a pause.
-    fn on_cut_off(&self, cut_offs: usize) {
-        self.state.policy.record_progress(self.request, self.number, ProgressUpdate::ConnectionLost);
-        let pause = RETRY_PAUSE.min(self.deadline().since(self.state.clock.now()));
-        if pause > Duration::ZERO && cut_offs > 1 {
-            self.state.sleep(pause);
+    /// Records a lost connection. The first replacement is opened at once, later ones after a delay.
+    fn on_connection_lost(&self, lost_connections: usize) {
+        self.state.policy.record_progress(
+            self.request_index,
+            self.attempt_number,
+            ProgressUpdate::ConnectionLost,
+        );
+        let delay = RETRY_DELAY.min(self.deadline().since(self.state.clock.now()));
+        if delay > Duration::ZERO && lost_connections > 1 {
+            self.state.sleep(delay);
         }
     }
 
-    /// The attempt's time is up.
+    /// Ends the attempt at its deadline. In key order, the cancellation is left to `cancel_timed_out`.
     fn time_out(&self, connection: Option<Connection>) -> AttemptEnd {
         if self.context.in_order {
             self.cancel_connection.set(connection);
             return AttemptEnd { is_cancel_pending: true, ..AttemptEnd::not_sent(Outcome::TimedOut) };
         }
-        // No other request waits for its end, and the answer is due.
+        // No other request waits for the end of the statement, and the client is due its answer.
         self.cancel_in_background(connection);
-        self.end(LastObservation::Silent, Outcome::TimedOut)
+        self.finish(LastObservation::Silent, Outcome::TimedOut)
     }
 
-    /// What to do between two calls.
-    pub(super) fn check(&self) -> Check {
-        if self.state.policy.disconnection(self.request) == Some(Disconnection::CancelAttempts) {
-            return Check::Cancel;
+    /// Checks, between two calls, whether the attempt is to be cancelled or has passed its deadline.
+    pub(super) fn check(&self) -> AttemptCheck {
+        if self.state.policy.disconnection(self.request_index) == Some(Disconnection::CancelAttempts) {
+            return AttemptCheck::Cancel;
         }
         if self.is_past_deadline() {
-            return Check::TimedOut;
+            return AttemptCheck::TimedOut;
         }
-        match self.state.policy.route(self.request) {
-            RoutingDecision::CancelAttempt(number) if number == self.number => Check::Cancel,
-            _ => Check::Continue,
+        match self.state.policy.route(self.request_index) {
+            RoutingDecision::CancelAttempt(number) if number == self.attempt_number => AttemptCheck::Cancel,
+            _ => AttemptCheck::Continue,
         }
     }
 }
--- a/crates/gateway/src/engine/result_pages.rs
+++ b/crates/gateway/src/engine/result_pages.rs
@@ -1,6 +1,6 @@
-//! Reads the pages of a result, from the first to the last, as its reader has room.
+//! Fetches the pages of a result in order, as fast as the result reader takes them.
 
-use super::attempt::{Attempt, AttemptEnd, Check, POLL_TIMEOUT, RETRY_PAUSE, keep_if_reusable};
+use super::attempt::{Attempt, AttemptCheck, AttemptEnd, POLL_TIMEOUT, RETRY_DELAY, keep_if_reusable};
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::Connection;
 use crate::codec::engine_http::{self, Reply};
@@ -8,27 +8,28 @@
 use larchfall_policy::types::{LastObservation, LoadReport, Outcome, ProgressUpdate};
 use slog::warn;
 
-/// An engine holds no page back.
+/// Timeout of a call for a page. Engines reply to these calls without delay.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
-/// While a reader has no room the engine is polled this often, or it would cancel the statement.
+/// Interval of polls while the result reader has no room. Without polls the engine would cancel the statement.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Calls for one page before it counts as lost.
-const MAX_PAGE_TRIES: usize = 4;
+/// Maximum number of calls for one page; after that the page counts as lost.
+const MAX_CALLS_PER_PAGE: usize = 4;
+/// Maximum number of pages of a result. A result that announces more pages is discarded.
 const MAX_PAGES: u32 = 64;
 
 impl Attempt<'_> {
-    /// Reads all pages of a result, in order. A page that is lost makes the attempt errored, never a short result.
-    pub(super) fn collect_pages(&self, connection: Option<Connection>, first: Reply) -> AttemptEnd {
-        // Whoever has the result has the request.
+    /// Fetches all pages of a result in order. A lost page fails the attempt; an incomplete result is never returned.
+    pub(super) fn collect_pages(&self, connection: Option<Connection>, first_reply: Reply) -> AttemptEnd {
+        // Only the process that received the statement has its result.
         self.same_process.set(true);
-        let load_report = first.load;
-        let pages = first.page_count.unwrap_or(1);
+        let load_report = first_reply.load;
+        let pages = first_reply.page_count.unwrap_or(1);
         if pages > MAX_PAGES {
             warn!(self.state.log, "result ignored"; "pages" => pages);
             return self.abandon_result(connection, Outcome::Errored, load_report);
         }
-        let mut connection = keep_if_reusable(connection, first.closes_connection);
-        self.context.reader.push_rows(first.body);
+        let mut connection = keep_if_reusable(connection, first_reply.closes_connection);
+        self.context.reader.push_rows(first_reply.body);
         for number in 1..pages {
             if let Some(outcome) = self.wait_for_reader(&mut connection) {
                 return self.abandon_result(connection, outcome, load_report);
@@ -41,30 +42,31 @@
             };
             self.context.reader.push_rows(page);
         }
-        self.put_back(connection);
-        // The complete result is the engine's word, on whichever connection its last page came.
+        self.return_connection(connection);
+        // The complete result proves that the statement has ended, whichever connection carried the last page.
         self.same_process.set(true);
-        AttemptEnd { load_report, ..self.end(LastObservation::Ended, Outcome::Returned) }
+        AttemptEnd { load_report, ..self.finish(LastObservation::Ended, Outcome::Returned) }
     }
 
-    /// Waits until the reader has room, and keeps the statement alive meanwhile; returns an outcome if the attempt is
-    /// over before.
+    /// Waits until the result reader has room, and polls the engine meanwhile. Returns an outcome if the attempt ends
+    /// during the wait.
     fn wait_for_reader(&self, connection: &mut Option<Connection>) -> Option<Outcome> {
         while !self.context.reader.has_room() {
-            self.state.sleep(RETRY_PAUSE);
+            self.state.sleep(RETRY_DELAY);
             match self.check() {
-                Check::Continue => {}
-                Check::Cancel => return Some(Outcome::Cancelled),
-                Check::TimedOut => return Some(Outcome::TimedOut),
+                AttemptCheck::Continue => {}
+                AttemptCheck::Cancel => return Some(Outcome::Cancelled),
+                AttemptCheck::TimedOut => return Some(Outcome::TimedOut),
             }
-            if self.state.clock.now().since(self.last_call.get()) >= KEEP_ALIVE_INTERVAL {
+            if self.state.clock.now().since(self.last_call_end.get()) >= KEEP_ALIVE_INTERVAL {
                 self.keep_alive(connection);
             }
         }
         None
     }
 
-    /// Polls the engine once. A statement that is not there any more is noticed when the next page is asked for.
+    /// Polls the engine once, so that the engine doesn't cancel the statement. Ignores the content of the reply: if the
+    /// statement no longer exists, the call for the next page fails.
     fn keep_alive(&self, connection: &mut Option<Connection>) {
         if connection.is_none() {
             *connection = self.connect(self.deadline()).ok();
@@ -74,11 +76,12 @@
             let reply = self.call(&mut open, &poll, POLL_TIMEOUT);
             *connection = reply.ok().and_then(|reply| keep_if_reusable(Some(open), reply.closes_connection));
         }
-        self.last_call.set(self.state.clock.now());
+        self.last_call_end.set(self.state.clock.now());
     }
 
-    /// Ends an attempt whose result is not read to its end: the engine keeps what was not fetched, and counts the
-    /// statement as running until it is told. What the reader has handed to the client already ends the request.
+    /// Ends an attempt whose result was not read completely. Cancels the statement, because the engine keeps pages that
+    /// were not fetched and counts the statement as running until then. If the reader has already passed rows to the
+    /// client, the request can't be retried.
     fn abandon_result(
         &self,
         connection: Option<Connection>,
@@ -90,14 +93,15 @@
             self.cancel(connection, CANCEL_TIMEOUT, outcome)
         } else {
             self.cancel_in_background(connection);
-            self.end(LastObservation::Silent, outcome)
+            self.finish(LastObservation::Silent, outcome)
         };
         AttemptEnd { load_report, is_truncated, ..end }
     }
 
+    /// Fetches one page, with several tries; `None` when the page is lost.
     fn fetch_page(&self, connection: &mut Option<Connection>, number: u32) -> Option<Vec<u8>> {
         let call = engine_http::encode_page_call(self.instance.address, &self.context.id, number);
-        for _ in 0..MAX_PAGE_TRIES {
+        for _ in 0..MAX_CALLS_PER_PAGE {
             if connection.is_none() {
                 *connection = self.connect(self.deadline()).ok();
             }
@@ -107,14 +111,14 @@
                     *connection = keep_if_reusable(connection.take(), reply.closes_connection);
                     return Some(reply.body);
                 }
-                // The engine no longer has it.
+                // The engine no longer has the page.
                 Ok(reply) if reply.status == 500 => return None,
-                // Another reply than the one asked for: a duplicate of one that came before.
+                // The connection was lost, or the reply is the duplicate of an earlier one.
                 _ => {
                     drop(connection.take());
                     self.state.policy.record_progress(
-                        self.request,
-                        self.number,
+                        self.request_index,
+                        self.attempt_number,
                         ProgressUpdate::ConnectionLost,
                     );
                 }
--- a/crates/gateway/tests/gateway/cli.rs
+++ b/crates/gateway/tests/gateway/cli.rs
@@ -17,7 +17,10 @@
     ("\"sockets\":256|\"sockets\":3", "limits: too little memory or too few sockets"),
     ("s-00000001|00000001", "known.notices, rev 1: instanceId '00000001'"),
     ("10.0.0.1:7|10.0.0.1", "known.notices, rev 1: hostPort"),
-    ("\"lifecycle\":\"up\"|\"lifecycle\":\"ill\"", "known.notices, rev 1: unknown lifecycle 'ill'"),
+    (
+        "\"lifecycle\":\"up\"|\"lifecycle\":\"ill\"",
+        "known.notices, rev 1: lifecycle 'ill' is not up, draining or removed",
+    ),
     ("\"zone\":\"east\"|\"zone\":\"moon\"", "known.notices, rev 1: zone 'moon' is not in the settings"),
     ("read_like|write_like", "settings: classes[0].effect: unknown word 'write_like'"),
     ("\"classes\":|\"others\":", "settings.classes: no service group"),
--- a/crates/gateway/tests/gateway/codecs/discovery.rs
+++ b/crates/gateway/tests/gateway/codecs/discovery.rs
@@ -50,10 +50,10 @@
     state[23] = 0;
     assert!(decode(&state).is_ok());
     for (input, says) in [
-        (vec![0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0], "frame of 8 bytes"),
-        (vec![0xff, 0xff, 0xff, 0xff], "frame of 4294967295 bytes"),
-        (unknown_kind, "frame of unknown kind 9"),
-        (odd, "records of 1 bytes"),
+        (vec![0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0], "frame length is 8 bytes, not between 9 and 4194304"),
+        (vec![0xff, 0xff, 0xff, 0xff], "frame length is 4294967295 bytes, not between 9 and 4194304"),
+        (unknown_kind, "frame kind is 9, not 0, 1 or 2"),
+        (odd, "records have 1 bytes, not a multiple of 27"),
     ] {
         let error = decode(&input).expect_err(says);
         assert_eq!(error.to_string(), says);
--- a/crates/gateway/tests/gateway/codecs/message_pack.rs
+++ b/crates/gateway/tests/gateway/codecs/message_pack.rs
@@ -159,16 +159,16 @@
         (
             "an answer",
             array(vec![1.into(), 7.into(), Value::Nil, Value::Nil]),
-            Decoded::Malformed("unknown type of message"),
+            Decoded::Malformed("unknown message type"),
         ),
         (
             "an id past 32 bits",
             array(vec![0.into(), (1u64 << 40).into(), "ping".into(), Value::Array(vec![])]),
-            Decoded::Malformed("message id is no number"),
+            Decoded::Malformed("message id is not an unsigned 32-bit integer"),
         ),
-        ("a map", bytes(&Value::Map(vec![])), Decoded::Malformed("message is no array")),
-        ("text of HTTP", b"GET / HTTP/1.1\r\n\r\n".to_vec(), Decoded::Malformed("message is no array")),
-        ("a byte that MessagePack never uses", vec![0xc1], Decoded::Malformed("message is no array")),
+        ("a map", bytes(&Value::Map(vec![])), Decoded::Malformed("message is not an array")),
+        ("text of HTTP", b"GET / HTTP/1.1\r\n\r\n".to_vec(), Decoded::Malformed("message is not an array")),
+        ("a byte that MessagePack never uses", vec![0xc1], Decoded::Malformed("message is not an array")),
         ("deep nesting", deep, Decoded::Malformed("not MessagePack")),
         ("a length past all bounds, not there yet", vec![0xc6, 0xff, 0xff, 0xff, 0xff], Decoded::Incomplete),
         (
--- a/crates/gateway/tests/gateway/sockets/malformed.rs
+++ b/crates/gateway/tests/gateway/sockets/malformed.rs
@@ -19,7 +19,7 @@
         bytes
     };
     let cases: [(&[u8], &str); 5] = [
-        (b"GET / HTTP/1.1\r\n\r\n", "reason: malformed, detail: message is no array"),
+        (b"GET / HTTP/1.1\r\n\r\n", "reason: malformed, detail: message is not an array"),
         (&[0x91; 64], "reason: malformed, detail: not MessagePack"),
         (&[0x93, 0x02, 0xa1, b'x', 0x90], "reason: malformed, detail: unknown notification"),
         (&[0xc1; 8], "reason: malformed"),
