--- a/crates/gateway/src/client/message_pack/listener.rs
+++ b/crates/gateway/src/client/message_pack/listener.rs
@@ -35,7 +35,7 @@
     loop {
         let now = state.clock.now();
         if state.client_connections.len() + spare >= max_connections {
-            state.client_connections.close_idle(spare, now - RECENT_ACTIVITY);
+            state.client_connections.evict_idle(spare, now - RECENT_ACTIVITY);
         }
         if state.client_connections.len() >= max_connections
             || state.stall_detector.is_event_poll_overdue(now)
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -40,7 +40,7 @@
         return Err(Response { headers, ..responses::invalid_call(503, "this front ends") });
     }
     let invalid = |reason: &str| {
-        state.counters.update(|counters| counters.unusable += 1);
+        state.counters.update_gateway(|counters| counters.invalid_requests += 1);
         responses::invalid_call(400, reason)
     };
     if call.body.is_empty() {
@@ -54,7 +54,7 @@
     let request = request_fields::build_client_request(&fields, id_number, &id, &call.body)
         .map_err(|error| invalid(&error.to_string()))?;
     let Some(result) = service.pages.open(received) else {
-        state.counters.update(|counters| counters.over_limits += 1);
+        state.counters.update_gateway(|counters| counters.over_limits += 1);
         return Err(responses::rejected(state.settings.max_retry_after));
     };
     let admitted = admission::admit(state, &request, received, |index| {
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -10,7 +10,7 @@
 use larchfall_leases::messages::{MemberId, Payload, paginate};
 use larchfall_operator_config::{QuotaConfig, QuotaKinds};
 use larchfall_policy::time::{Duration, Timestamp};
-use larchfall_policy::types::{RequestClass, SlowStartPolicy};
+use larchfall_policy::types::{RequestClass, SlowStartConfig};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::{CapacityDemand, Demand};
 use larchfall_quotas::manager::{QuotaManager, QuotaSettings, QuotaStatus, RequestTerms};
@@ -27,8 +27,8 @@
 /// What of the platform's settings quotas are worked out from.
 pub struct QuotaInputs {
     /// How many gateways there are at most.
-    pub gateways: usize,
-    slow_start: SlowStartPolicy,
+    pub max_gateways: usize,
+    slow_start: SlowStartConfig,
     classes: Vec<RequestClass>,
     tenants: Vec<Tenant>,
 }
@@ -43,7 +43,7 @@
     pub fn new(platform: &Settings) -> QuotaInputs {
         let tenant = |name: &String| Tenant { name: name.clone(), capacity: Capacity::tenant(name) };
         QuotaInputs {
-            gateways: platform.policy.topology.gateways,
+            max_gateways: platform.policy.topology.gateway_count,
             slow_start: platform.policy.slow_start.clone(),
             classes: platform.policy.classes.clone(),
             tenants: platform.names.tenants.iter().map(tenant).collect(),
@@ -69,7 +69,7 @@
     ) -> QuotaExchange {
         let QuotaConfig { allocators, lifetime, kinds } = config;
         let strict = QuotaTerms {
-            max_gateways: inputs.gateways,
+            max_gateways: inputs.max_gateways,
             length: lifetime,
             drift_margin_per_mille: margin,
             usage_window: inputs.slow_start.window,
@@ -91,7 +91,7 @@
     /// How much this gateway wants of each capacity that is allocated.
     fn wanted(&self, state: &State, demand: &Demand) -> Vec<CapacityDemand> {
         let mut wanted = Vec::new();
-        for ready in state.policy.ready_for_quotas(&self.inputs.slow_start) {
+        for ready in state.policy.quota_engines(&self.inputs.slow_start) {
             let weight = demand.of_engine(&ready.engine, &self.inputs.classes);
             if self.kinds.slow_start && ready.in_slow_start {
                 wanted.push(CapacityDemand { capacity: Capacity::SlowStart(ready.id), weight });
--- a/crates/gateway/src/codec/engine_http.rs
+++ b/crates/gateway/src/codec/engine_http.rs
@@ -206,7 +206,7 @@
 /// Parses a progress update from its kind and value; `None` for an unknown kind.
 fn parse_progress(kind: &str, value: f64) -> Option<ProgressUpdate> {
     match kind {
-        "advance" => Some(ProgressUpdate::Done(value)),
+        "advance" => Some(ProgressUpdate::FractionDone(value)),
         "disk" => Some(ProgressUpdate::SpillsMb(value)),
         "stall" if value < 1.5 => Some(ProgressUpdate::WaitsForMemory),
         "stall" => Some(ProgressUpdate::WaitsForDataLock),
@@ -221,7 +221,7 @@
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite());
         match name.trim() {
             "inflight" | "concurrent" => load_report.in_flight = value,
-            "util" | "load_share" => load_report.busy = value,
+            "util" | "load_share" => load_report.busy_fraction = value,
             _ => {}
         }
     }
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -4,7 +4,7 @@
 use crate::codec::Decoded;
 use crate::codec::discovery::{self, Frame, WatchEvent};
 use crate::state::State;
-use crate::state::clock::timeout;
+use crate::state::clock::to_std_timeout;
 use larchfall_policy::time::{Duration, Timestamp};
 use may::net::TcpStream;
 use nanorand::{Rng, WyRand};
@@ -57,7 +57,7 @@
 
 /// Starts a client for the service at this address. Replaces the previous client, if any.
 pub fn start_client(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
-    let client = state.discovery.next_client();
+    let client = state.discovery.next_client_id();
     let state = state.clone();
     may::go!(move || run(&state, address, seed, client));
 }
@@ -67,7 +67,7 @@
     for engine in state.policy.apply_discovery_event(event) {
         state.engine_connections.close_idle(engine);
     }
-    state.counters.update(|counters| counters.discovery_events += 1);
+    state.counters.update_gateway(|counters| counters.discovery_events += 1);
 }
 
 /// Connects again and again until another client replaces this one. `seed` randomizes the reconnect delays.
@@ -102,10 +102,10 @@
     /// Connects, sends the watch request, and applies frames until the connection ends.
     fn run(&mut self, address: SocketAddrV4) -> Disconnect {
         let address = SocketAddr::V4(address);
-        let Ok(mut stream) = TcpStream::connect_timeout(&address, timeout(CONNECT_TIMEOUT)) else {
+        let Ok(mut stream) = TcpStream::connect_timeout(&address, to_std_timeout(CONNECT_TIMEOUT)) else {
             return Disconnect::NotConnected;
         };
-        let _ = stream.set_read_timeout(Some(timeout(SILENCE_TIMEOUT)));
+        let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE_TIMEOUT)));
         if stream.write_all(&discovery::encode_watch_request(self.state.policy.discovery_revision())).is_err()
         {
             return Disconnect::NotWritten;
@@ -124,7 +124,7 @@
                 Ok(0) => return Disconnect::Closed,
                 Ok(_) if is_final_read => {
                     is_final_read = false;
-                    let _ = stream.set_read_timeout(Some(timeout(SILENCE_TIMEOUT)));
+                    let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE_TIMEOUT)));
                 }
                 Ok(_) => {}
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) if is_final_read => {
@@ -132,7 +132,7 @@
                 }
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
                     is_final_read = true;
-                    let _ = stream.set_read_timeout(Some(timeout(FINAL_READ_TIMEOUT)));
+                    let _ = stream.set_read_timeout(Some(to_std_timeout(FINAL_READ_TIMEOUT)));
                 }
                 Err(_) => return Disconnect::Reset,
             }
@@ -158,8 +158,8 @@
             match discovery::decode(&self.input) {
                 Ok(Some(Decoded { value: frame, length })) => {
                     self.frames += 1;
-                    state.discovery.record_heard(state.clock.now());
-                    state.policy.confirm_endpoints(sent);
+                    state.discovery.record_contact(state.clock.now());
+                    state.policy.confirm_endpoint_list(sent);
                     if let Frame::Event(event) = frame {
                         apply_event(state, &event);
                     }
--- a/crates/gateway/src/engine/cancellation.rs
+++ b/crates/gateway/src/engine/cancellation.rs
@@ -42,7 +42,7 @@
         let blocks_key = outcome == Outcome::Cancelled && self.context.in_order;
         let mut deadline = cancel_started + if blocks_key { ENGINE_POLL_EXPIRY } else { timeout };
         // A connected client is answered in time even if the ordering key has to stay blocked for longer.
-        if self.state.policy.disconnection(self.request_index).is_none() {
+        if self.state.policy.disconnect_action(self.request_index).is_none() {
             deadline = deadline.min(self.deadline().max(cancel_started + timeout));
         }
         loop {
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -4,7 +4,7 @@
 use super::cancellation::CANCEL_TIMEOUT;
 use super::connection::{CallError, ConnectError, Connection};
 use crate::codec::engine_http::{self, Reply};
-use crate::state::policy_handle::Disconnection;
+use crate::state::policy_handle::DisconnectAction;
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{LastObservation, Outcome, ProgressUpdate, RoutingDecision};
 
@@ -132,7 +132,7 @@
 
     /// Checks, between two calls, whether the attempt is to be cancelled or has passed its deadline.
     pub(super) fn check(&self) -> AttemptCheck {
-        if self.state.policy.disconnection(self.request_index) == Some(Disconnection::CancelAttempts) {
+        if self.state.policy.disconnect_action(self.request_index) == Some(DisconnectAction::CancelAttempts) {
             return AttemptCheck::Cancel;
         }
         if self.is_past_deadline() {
--- a/crates/gateway/src/engine/result_pages.rs
+++ b/crates/gateway/src/engine/result_pages.rs
@@ -51,7 +51,7 @@
     /// Waits until the result reader has room, and polls the engine meanwhile. Returns an outcome if the attempt ends
     /// during the wait.
     fn wait_for_reader(&self, connection: &mut Option<Connection>) -> Option<Outcome> {
-        while !self.context.reader.has_room() {
+        while !self.context.reader.has_capacity() {
             self.state.sleep(RETRY_DELAY);
             match self.check() {
                 AttemptCheck::Continue => {}
