--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -81,8 +81,8 @@
         tenant,
         key: client_request.ordering_key,
         deadline: state.shutdown.deadline().map_or(deadline, |shutdown| deadline.min(shutdown)),
-        work_hint: client_request.work_estimate,
-        memory_hint_mb: client_request.memory_mb,
+        work_hint: client_request.work_hint,
+        memory_hint_mb: client_request.memory_hint_mb,
         data_set: data_set(client_request.statement).unwrap_or(0),
     })
 }
--- a/crates/gateway/src/client/close_reason.rs
+++ b/crates/gateway/src/client/close_reason.rs
@@ -29,6 +29,7 @@
         matches!(self, CloseReason::ClientClosed | CloseReason::ClientReset)
     }
 
+    /// Code of the reason in log lines.
     pub(super) fn code(self) -> &'static str {
         match self {
             CloseReason::ClientClosed => "client-closed",
--- a/crates/gateway/src/client/message_pack/inbox.rs
+++ b/crates/gateway/src/client/message_pack/inbox.rs
@@ -14,6 +14,7 @@
 /// disconnection is then seen before its requests are admitted.
 const READ_AHEAD_BYTES: usize = 16 * 1024;
 
+/// Input buffer with the position of the scan for the next message.
 #[derive(Default)]
 pub(super) struct Inbox {
     bytes: Vec<u8>,
@@ -36,6 +37,7 @@
 }
 
 impl Inbox {
+    /// Whether no input is buffered, not even part of a message.
     pub(super) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
--- a/crates/gateway/src/client/message_pack/requests.rs
+++ b/crates/gateway/src/client/message_pack/requests.rs
@@ -22,7 +22,7 @@
         handled += length;
         match message {
             Message::Ping { message_id } => {
-                record_message_id(writer, message_id)?;
+                register_message_id(writer, message_id)?;
                 state.counters.update_gateway(|counters| counters.pings += 1);
                 writer.send(message_id, &Response::Pong);
             }
@@ -32,12 +32,12 @@
                 }
             }
             Message::InvalidRequest { message_id, reason } => {
-                record_message_id(writer, message_id)?;
+                register_message_id(writer, message_id)?;
                 state.counters.update_gateway(|counters| counters.invalid_requests += 1);
                 writer.send(message_id, &Response::Errored(&reason.to_string()));
             }
             Message::Request { message_id, request } => {
-                if record_message_id(writer, message_id)? {
+                if register_message_id(writer, message_id)? {
                     admit(state, writer, message_id, &request, sent);
                 } else {
                     reject_over_limits(state, writer, message_id);
@@ -51,7 +51,7 @@
 }
 
 /// Records a message id. Returns whether a request may be opened under it; a reused id ends the connection.
-fn record_message_id(writer: &ResponseWriter, message_id: u32) -> Result<bool, CloseReason> {
+fn register_message_id(writer: &ResponseWriter, message_id: u32) -> Result<bool, CloseReason> {
     match writer.register_message_id(message_id) {
         MessageIdCheck::Accepted => Ok(true),
         MessageIdCheck::TooManyOpen => Ok(false),
--- a/crates/gateway/src/client/paged_rest/calls.rs
+++ b/crates/gateway/src/client/paged_rest/calls.rs
@@ -8,7 +8,7 @@
 
 const STATEMENT_PATH: &str = "/v1/statement";
 const INFO_PATH: &str = "/v1/info";
-/// Response body for `INFO_PATH`, in the form that clients of the protocol expect.
+/// Response body for `INFO_PATH`: a coordinator that has started.
 const INFO_BODY: &[u8] = br#"{"nodeVersion":{"version":"larchfall"},"coordinator":true,"starting":false}"#;
 
 /// Handles a call and returns its response. A call for a page may block until the page is ready.
--- a/crates/gateway/src/client/paged_rest/connection.rs
+++ b/crates/gateway/src/client/paged_rest/connection.rs
@@ -21,6 +21,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_millis(10_000);
 /// Timeout for writing a response. A client that has not read the response by then is assumed not to read at all.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
+/// Maximum number of bytes per read from the socket.
 const CHUNK_BYTES: usize = 4 * 1024;
 /// How often an idle connection checks whether the shutdown of this gateway is complete.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -136,6 +137,7 @@
         Ok(())
     }
 
+    /// Writes a complete response. A timeout counts as a client that doesn't read.
     fn write(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
         let _ = self.stream.set_write_timeout(Some(to_std_timeout(WRITE_TIMEOUT)));
         self.stream.write_all(bytes).map_err(|e| match e.kind() {
--- a/crates/gateway/src/client/paged_rest/pages.rs
+++ b/crates/gateway/src/client/paged_rest/pages.rs
@@ -71,7 +71,7 @@
     document::encode(&page.content, page.end, PageLinks { id, info, next })
 }
 
-/// Counts a result as read when its last page is returned for the first time.
+/// Counts a result as delivered when its last page is returned for the first time.
 pub(super) fn count_delivered(state: &State, final_answer: Option<FinalAnswer>) {
     if let Some(FinalAnswer::Delivered(_)) = final_answer {
         state.counters.update_gateway(|counters| counters.results_delivered += 1);
--- a/crates/gateway/src/client/paged_rest/request_fields.rs
+++ b/crates/gateway/src/client/paged_rest/request_fields.rs
@@ -38,9 +38,9 @@
         parse_optional(fields.order_key.as_deref(), "key", client_request::parse_ordering_key)?;
     let class = fields.class.as_deref().ok_or(FieldError::Missing { field: "group" })?;
     let timeout = parse_optional(fields.timeout.as_deref(), "time-limit", client_request::parse_timeout)?;
-    let work_estimate = parse_optional(fields.work.as_deref(), "work", client_request::parse_work_estimate)?;
-    let memory_mb =
-        parse_optional(fields.memory.as_deref(), "memory", client_request::parse_memory_estimate)?;
+    let work_hint = parse_optional(fields.work.as_deref(), "work", client_request::parse_work_hint)?;
+    let memory_hint_mb =
+        parse_optional(fields.memory.as_deref(), "memory", client_request::parse_memory_hint)?;
     Ok(ClientRequest {
         class,
         id,
@@ -49,8 +49,8 @@
         timeout,
         idempotency_key,
         ordering_key,
-        work_estimate: work_estimate.flatten(),
-        memory_mb: memory_mb.flatten(),
+        work_hint: work_hint.flatten(),
+        memory_hint_mb: memory_hint_mb.flatten(),
         statement,
     })
 }
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -75,6 +75,7 @@
     }
 }
 
+/// Waits for the first page and returns the response. A rejected request is answered with status 429 instead of a page.
 fn first_page_response(
     state: &State,
     service: &RestService,
--- a/crates/gateway/src/codec/client_request.rs
+++ b/crates/gateway/src/codec/client_request.rs
@@ -3,12 +3,13 @@
 
 use larchfall_policy::time::Duration;
 
-/// Largest timeout or work estimate, in milliseconds: one day. No client means a longer one.
+/// Largest timeout or work hint, in milliseconds: one day. No client means a longer one.
 const MAX_MILLISECONDS: f64 = 86_400_000.0;
-/// Largest memory estimate, in megabytes: 1 TB. No query uses that much, and no engine could be asked for more.
+/// Largest memory hint, in megabytes: 1 TB. No query uses that much, and no engine could be asked for more than that.
 const MAX_MEGABYTES: f64 = 1_048_576.0;
 /// Number of hex digits of a request id, and the maximum number of an ordering key.
 const ID_HEX_DIGITS: usize = 16;
+/// Maximum length of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
 /// A request with parsed fields, whose class and tenant have not been looked up yet.
@@ -28,10 +29,10 @@
     pub idempotency_key: Option<&'a str>,
     /// Requests with the same key run one at a time, in order.
     pub ordering_key: Option<u64>,
-    /// Estimated processing time on one core; `None` if unknown.
-    pub work_estimate: Option<Duration>,
-    /// Estimated memory in megabytes; `None` if unknown.
-    pub memory_mb: Option<f64>,
+    /// The client's estimate of the processing time on one core; `None` if unknown.
+    pub work_hint: Option<Duration>,
+    /// The client's estimate of the memory in megabytes; `None` if unknown.
+    pub memory_hint_mb: Option<f64>,
     /// Statement for the engine.
     pub statement: &'a [u8],
 }
@@ -68,13 +69,14 @@
     parse_number_up_to(text, MAX_MILLISECONDS).filter(|ms| *ms >= 1.0).map(|ms| Duration::from_secs(ms / 1e3))
 }
 
-/// Parses an estimate of the processing time on one core, in milliseconds. Zero means unknown and returns `Some(None)`.
-pub fn parse_work_estimate(text: &str) -> Option<Option<Duration>> {
+/// Parses a client's estimate of the processing time on one core, in milliseconds. Zero means unknown and returns
+/// `Some(None)`.
+pub fn parse_work_hint(text: &str) -> Option<Option<Duration>> {
     parse_number_up_to(text, MAX_MILLISECONDS)
         .map(|ms| Some(Duration::from_secs(ms / 1e3)).filter(|_| ms > 0.0))
 }
 
-/// Parses an estimate of memory in megabytes. Zero means unknown and returns `Some(None)`.
-pub fn parse_memory_estimate(text: &str) -> Option<Option<f64>> {
+/// Parses a client's estimate of memory in megabytes. Zero means unknown and returns `Some(None)`.
+pub fn parse_memory_hint(text: &str) -> Option<Option<f64>> {
     parse_number_up_to(text, MAX_MEGABYTES).map(|mb| Some(mb).filter(|_| mb > 0.0))
 }
--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -11,6 +11,7 @@
 const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Length of the revision and the frame kind, which precede the records.
 const FRAME_HEADER_BYTES: usize = 9;
+/// Length of the record of one endpoint.
 const RECORD_BYTES: usize = 27;
 
 /// An entry of the endpoint list.
@@ -140,8 +141,8 @@
 }
 
 /// The field `known` of the configuration: the endpoint list at the time when the configuration was written. Error
-/// messages for an invalid configuration contain the names of this struct and of those that follow, which therefore
-/// don't change.
+/// messages for an invalid configuration contain the names of this struct and of `KnownEvent`, `KnownList` and
+/// `KnownEntry`, so these names must not change.
 #[derive(Deserialize)]
 pub struct Known {
     /// Revision of the list.
@@ -220,6 +221,7 @@
     })
 }
 
+/// Index of a name in a list of the settings. `field` is the configuration field for the error message.
 fn index_of(names: &[String], field: &'static str, name: &str) -> Result<usize, EndpointError> {
     let unknown_name = || EndpointError::UnknownName { field, value: name.to_owned() };
     names.iter().position(|known| known == name).ok_or_else(unknown_name)
--- a/crates/gateway/src/codec/engine_http.rs
+++ b/crates/gateway/src/codec/engine_http.rs
@@ -79,7 +79,7 @@
     /// Progress of the statement; `None` if the reply has no known progress update.
     pub progress: Option<ProgressUpdate>,
     /// The engine's load; its fields are `None` where the engine reported nothing.
-    pub load: LoadReport,
+    pub load_report: LoadReport,
     /// Whether the engine closes the connection after this reply.
     pub closes_connection: bool,
     /// Rows of a page; empty for most other replies.
@@ -159,7 +159,7 @@
         } else if is_header("Figure") {
             self.progress_value = value.parse::<f64>().ok().filter(|value| value.is_finite());
         } else if is_header("X-Stats") {
-            reply.load = parse_load_report(value);
+            reply.load_report = parse_load_report(value);
         }
         Ok(())
     }
--- a/crates/gateway/src/codec/message_pack/decode.rs
+++ b/crates/gateway/src/codec/message_pack/decode.rs
@@ -18,8 +18,8 @@
     pub(super) const TENANT: &str = "owner";
     pub(super) const IDEMPOTENCY_KEY: &str = "opkey";
     pub(super) const ORDERING_KEY: &str = "subject";
-    pub(super) const WORK_ESTIMATE_MS: &str = "ms";
-    pub(super) const MEMORY_ESTIMATE_MB: &str = "est_mb";
+    pub(super) const WORK_HINT_MS: &str = "ms";
+    pub(super) const MEMORY_HINT_MB: &str = "est_mb";
 }
 
 /// A message from a client. Every message except `Abort` has an id, which its response repeats.
@@ -32,7 +32,7 @@
         /// The decoded request.
         request: ClientRequest<'a>,
     },
-    /// A keep-alive message, to which the gateway only responds.
+    /// A message that only asks for a response.
     Ping {
         /// Message id, unique on the connection.
         message_id: u32,
@@ -164,6 +164,7 @@
     }
 }
 
+/// A request id as text and as a number.
 struct RequestId<'a> {
     text: &'a str,
     number: u64,
@@ -185,8 +186,8 @@
         client_request::is_valid_idempotency_key(text).then_some(text)
     })?;
     let ordering_key = fields.optional(field::ORDERING_KEY, client_request::parse_ordering_key)?;
-    let work_estimate = fields.optional(field::WORK_ESTIMATE_MS, client_request::parse_work_estimate)?;
-    let memory_mb = fields.optional(field::MEMORY_ESTIMATE_MB, client_request::parse_memory_estimate)?;
+    let work_hint = fields.optional(field::WORK_HINT_MS, client_request::parse_work_hint)?;
+    let memory_hint_mb = fields.optional(field::MEMORY_HINT_MB, client_request::parse_memory_hint)?;
     Ok(ClientRequest {
         class,
         id: id.text,
@@ -195,8 +196,8 @@
         timeout: Some(timeout),
         idempotency_key,
         ordering_key,
-        work_estimate: work_estimate.flatten(),
-        memory_mb: memory_mb.flatten(),
+        work_hint: work_hint.flatten(),
+        memory_hint_mb: memory_hint_mb.flatten(),
         statement,
     })
 }
--- a/crates/gateway/src/codec/statement.rs
+++ b/crates/gateway/src/codec/statement.rs
@@ -70,6 +70,7 @@
     }
 }
 
+/// Whether a byte can be part of an unquoted name. Bytes of non-ASCII characters are accepted.
 fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
 }
@@ -119,9 +120,9 @@
     std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
-/// Returns the data set of the first schema name in a statement. Schema names occur only before a dot, so a name that
-/// also occurs without a dot before and after it is taken for a table alias, like `t_1` in `from sales_17.orders t_1
-/// where t_1.id = 3`.
+/// Returns the data set of the first schema name in a statement. Schema names occur only before a dot. A name that also
+/// occurs without a dot before or after it is therefore taken for a table alias, like `t_1` in
+/// `from sales_17.orders t_1 where t_1.id = 3`.
 pub fn data_set(statement: &[u8]) -> Option<u32> {
     let mut qualifiers: Vec<&[u8]> = Vec::new();
     let mut unqualified: Vec<&[u8]> = Vec::new();
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -139,6 +139,8 @@
         }
     }
 
+    /// Appends the bytes of one read to `input`, and returns their number; 0 when the service has closed the
+    /// connection.
     fn receive(&mut self, stream: &mut TcpStream) -> Result<usize, ErrorKind> {
         let old_length = self.input.len();
         self.input.resize(old_length + READ_CHUNK_BYTES, 0);
--- a/crates/gateway/src/engine/attempt.rs
+++ b/crates/gateway/src/engine/attempt.rs
@@ -15,8 +15,8 @@
 use std::cell::Cell;
 use std::sync::Arc;
 
-/// Timeout of one poll. Engines hold a poll for at most 250 ms, so a connection without a reply by then is treated as
-/// hung and replaced. A longer timeout would delay results that are ready and make their engine look slow.
+/// Timeout of one poll. Engines hold a poll for at most 250 ms, so a connection without a reply after this timeout is
+/// treated as hung and replaced. A longer timeout would delay results that are ready and make their engine look slow.
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_millis(350);
 /// Delay between two tries to reach an engine.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -124,6 +124,7 @@
         self.state.shutdown.deadline().map_or(deadline, |shutdown| deadline.min(shutdown))
     }
 
+    /// Whether the attempt's deadline has passed.
     pub(super) fn is_past_deadline(&self) -> bool {
         self.state.clock.now() >= self.deadline()
     }
@@ -150,11 +151,11 @@
                 self.return_connection(Some(connection));
                 return AttemptEnd::not_sent(Outcome::NotSent);
             }
-            // As no byte of the call was sent, the call can be repeated on a new connection.
+            // If no byte of the call was sent, the loop repeats the call on a new connection.
             match self.call(&mut connection, &self.start_call(), POLL_TIMEOUT) {
                 Err(CallError::NotSent) => {}
                 reply => {
-                    // A reply on the same connection comes from the process that received or declined the call.
+                    // Every reply on this connection comes from the process that received or declined the call.
                     self.same_process.set(true);
                     return self.poll_until_end(connection, reply);
                 }
--- a/crates/gateway/src/engine/connection.rs
+++ b/crates/gateway/src/engine/connection.rs
@@ -98,6 +98,7 @@
         self.read_reply(clock, deadline)
     }
 
+    /// Sends a complete call. Returns `NotSent` only if no byte of the call was sent.
     fn send(&mut self, call: &[u8], clock: &Clock, deadline: Timestamp) -> Result<(), CallError> {
         let mut sent = 0;
         while sent < call.len() {
@@ -150,6 +151,7 @@
     }
 }
 
+/// Time left until `deadline`; `None` once the deadline has passed.
 fn remaining_until(clock: &Clock, deadline: Timestamp) -> Option<StdDuration> {
     Some(clock.remaining(deadline)).filter(|remaining| !remaining.is_zero())
 }
--- a/crates/gateway/src/engine/load_report.rs
+++ b/crates/gateway/src/engine/load_report.rs
@@ -18,6 +18,6 @@
     if !reply.closes_connection {
         state.engine_connections.put_back(connection, state.clock.now());
     }
-    state.policy.record_load_report(instance, reply.load);
-    Some(reply.load)
+    state.policy.record_load_report(instance, reply.load_report);
+    Some(reply.load_report)
 }
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -102,7 +102,7 @@
             // yet, or may not be the process that received the starting call.
             self.finish(LastObservation::Unknown, Outcome::Errored)
         };
-        end.load_report = reply.load;
+        end.load_report = reply.load_report;
         end
     }
 
--- a/crates/gateway/src/engine/result_pages.rs
+++ b/crates/gateway/src/engine/result_pages.rs
@@ -22,7 +22,7 @@
     pub(super) fn collect_pages(&self, connection: Option<Connection>, first_reply: Reply) -> AttemptEnd {
         // Only the process that received the statement has its result.
         self.same_process.set(true);
-        let load_report = first_reply.load;
+        let load_report = first_reply.load_report;
         let pages = first_reply.page_count.unwrap_or(1);
         if pages > MAX_PAGES {
             warn!(self.state.log, "result ignored"; "pages" => pages);
--- a/crates/gateway/tests/gateway/codecs/engine_http.rs
+++ b/crates/gateway/tests/gateway/codecs/engine_http.rs
@@ -49,7 +49,7 @@
             b"HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Stats: inflight:7;util:0.61\r\nContent-Length: 4\r\n\r\n1\ta\n",
             Ok(Some(Reply {
                 page_count: Some(2),
-                load: LoadReport { in_flight: Some(7.0), busy_fraction: Some(0.61) },
+                load_report: LoadReport { in_flight: Some(7.0), busy_fraction: Some(0.61) },
                 body: b"1\ta\n".to_vec(),
                 ..reply(200)
             })),
--- a/crates/gateway/tests/gateway/codecs/message_pack.rs
+++ b/crates/gateway/tests/gateway/codecs/message_pack.rs
@@ -43,8 +43,8 @@
         timeout: Some(Duration::from_millis(1500)),
         idempotency_key: Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
         ordering_key: Some(0x7f3a_9c21_e0b4_d655),
-        work_estimate: Some(Duration::from_micros(820_500)),
-        memory_mb: Some(96.0),
+        work_hint: Some(Duration::from_micros(820_500)),
+        memory_hint_mb: Some(96.0),
         statement: b"select 1",
     };
     assert_eq!(decoded.value, Message::Request { message_id: 7, request: wanted });
