--- a/crates/gateway/src/cluster/event_loop.rs
+++ b/crates/gateway/src/cluster/event_loop.rs
@@ -16,11 +16,13 @@
 /// or are dropped there, so that a flood of datagrams takes no more processor time than this number and leaves the
 /// core to requests.
 const MAX_DATAGRAMS_PER_WINDOW: usize = 100;
+/// Length of a receive window.
 const RECEIVE_WINDOW: Duration = Duration::from_millis(100);
 /// Longest wait for a datagram if no timer is due earlier.
 const MAX_WAIT: Duration = Duration::from_millis(60_000);
 /// Shortest wait: the coroutine library takes a timeout of zero for no timeout.
 const MIN_WAIT: Duration = Duration::from_millis(1);
+/// Pause after a failed receive.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
 /// Limits how many datagrams are received in each receive window.
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -155,6 +155,7 @@
         }
     }
 
+    /// Time until [`LeaseService::on_timer`] is due.
     pub(super) fn time_to_next_timer(&self) -> Duration {
         let now = self.now();
         let time_to_quota_request = self
@@ -179,11 +180,14 @@
         !self.supervisor.is_any_running() && !lock(&self.manager).holds_any()
     }
 
+    /// Gives up all leases at once, since a later process uses this gateway's name.
     pub(super) fn on_name_taken(&self, state: &State, cluster: &Cluster) {
         let output = lock(&self.manager).on_name_taken(self.now());
         self.apply_output(state, cluster, output);
     }
 
+    /// Updates the live members and the fitness of this gateway, runs the lease manager, and then updates programs, load
+    /// reports and quotas.
     pub(super) fn on_timer(&self, state: &Arc<State>, cluster: &Arc<Cluster>) {
         let now = self.now();
         *lock(&self.last_timer) = now;
--- a/crates/gateway/src/cluster/status_query.rs
+++ b/crates/gateway/src/cluster/status_query.rs
@@ -10,7 +10,9 @@
 
 /// First byte of queries and pages; it differs from the versions of the other protocols on the cluster socket.
 pub const VERSION: u8 = 3;
+/// Maximum size of a query or page, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1200;
+/// CRC-32C, at the end of queries and pages.
 const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 /// Number of times that a query is sent before it fails.
 const MAX_ATTEMPTS: usize = 5;
--- a/crates/gateway/src/cluster/supervisor/mod.rs
+++ b/crates/gateway/src/cluster/supervisor/mod.rs
@@ -16,6 +16,7 @@
 
 /// Time between two checks for supervising processes that exited.
 const POLL_INTERVAL: StdDuration = StdDuration::from_millis(20);
+/// Maximum number of requests that wait for the supervisor thread.
 const REQUEST_QUEUE_CAPACITY: usize = 1024;
 /// Delay before a program that exited is started again, if the lease still lasts.
 const RESTART_DELAY: Duration = Duration::from_millis(1000);
--- a/crates/gateway/src/cluster/supervisor/process.rs
+++ b/crates/gateway/src/cluster/supervisor/process.rs
@@ -108,6 +108,8 @@
     Command::new(program).args(arguments).stdin(Stdio::null()).stdout(io::stderr()).process_group(0).spawn()
 }
 
+/// Waits until the program exits and returns its exit status. Terminates and kills the program when the lease
+/// requires it.
 fn supervise(
     mut child: Child,
     grace: Duration,
