--- a/crates/policy/tests/policy/selection.rs
+++ b/crates/policy/tests/policy/selection.rs
@@ -13,15 +13,17 @@
         config.topology.gateway_count = gateways;
         config.classes[REPORT].allowed_kinds = Some(vec![1]);
         let mut gateway = config.start(8);
-        (8..16).for_each(|engine| {
-            gateway.policy.update_engine(at_ms(0), engine, Engine { kind: 1, ..ready_engine() });
+        (0..8).for_each(|offset| {
+            gateway.policy.update_engine(at_ms(0), 8 + offset, Engine { kind: 1, ..ready_engine() });
         });
         assert!(reports == 0 || gateway.count_sent(reports, REPORT) < reports, "kind 1 is not full");
         let engines: Vec<_> =
             (0..data_loads).filter_map(|_| sent_to(gateway.admit(3, request(DATA_LOAD)).1)).collect();
         assert_eq!(engines.len(), data_loads, "{gateways} gateways, {reports} reports");
-        let to_kind_1 = engines.iter().filter(|engine| **engine >= 8).count();
-        assert!(to_kind_1 <= max_to_kind_1, "{gateways} gateways: {engines:?}");
+        assert!(
+            engines.iter().filter(|engine| **engine >= 8).count() <= max_to_kind_1,
+            "{gateways} gateways: {engines:?}"
+        );
     }
 }
 
@@ -50,14 +52,16 @@
             } else {
                 (100, busy_fraction.map(|_| 0.5))
             };
-            let duration = Duration::from_millis(duration_ms);
+            let (duration, reported_work) =
+                (Duration::from_millis(duration_ms), Some(Duration::from_millis(100)));
+            let load_report = LoadReport { in_flight: None, busy_fraction };
             let result = AttemptResult {
                 outcome: Outcome::Returned,
                 duration,
                 request_finished: true,
                 evidence: ENDED_BY_ENGINE,
-                reported_work: Some(Duration::from_millis(100)),
-                load_report: LoadReport { in_flight: None, busy_fraction },
+                reported_work,
+                load_report,
             };
             gateway.policy.on_attempt_finished(at_ms(time) + duration, index, 0, &result);
             gateway.policy.tick(at_ms(time + 900));
