--- a/crates/gateway/src/state/stall_detector.rs
+++ b/crates/gateway/src/state/stall_detector.rs
@@ -1,5 +1,5 @@
 //! Detects stalls, that is, periods in which this process did not run because the machine was paused or the CPU core
-//! was busy. Data that is read right after a stall may have arrived at any time during the stall.
+//! was busy with other processes. Data that is read right after a stall may have arrived at any time during the stall.
 
 use super::lock;
 use larchfall_policy::time::{Duration, Timestamp};
@@ -7,11 +7,11 @@
 
 /// Maximum time between two runs of the timer thread.
 pub const TIMER_PERIOD: Duration = Duration::from_millis(20);
-/// A longer gap between two runs counts as a stall rather than as a late timer.
+/// Gap between two recorded runs above which the gap counts as a stall rather than as a late timer.
 const STALL_THRESHOLD: Duration = Duration::from_millis(35);
 /// Maximum length of a stall that is merged from several stalls in close succession.
 const MAX_MERGED_STALL: Duration = Duration::from_millis(2000);
-/// Longer stalls are reported in the log.
+/// Length of a stall above which the stall is reported in the log.
 const REPORTED_STALL: Duration = Duration::from_millis(250);
 /// Minimum length of a stall after which attempts wait for the discovery service. Watch events that arrived during such
 /// a stall may be past their grace period when they are read.
