--- a/crates/gateway/src/codec/discovery.rs
+++ b/crates/gateway/src/codec/discovery.rs
@@ -47,7 +47,7 @@
 /// A frame from the discovery service.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    /// Sent while the list doesn't change.
+    /// Sign of life without a change of the list.
     Heartbeat,
     /// The list changed.
     Event(WatchEvent),
--- a/crates/gateway/src/codec/engine_http.rs
+++ b/crates/gateway/src/codec/engine_http.rs
@@ -72,7 +72,7 @@
     pub status: u16,
     /// Whether the engine states that the statement never ran.
     pub declined: bool,
-    /// Number of pages of the result; `None` if the reply is not the first page of a result.
+    /// Number of pages of the result; `None` if the engine didn't send it.
     pub page_count: Option<u32>,
     /// Number of this page; `None` if the engine didn't send it.
     pub page_number: Option<u32>,
@@ -82,7 +82,7 @@
     pub load_report: LoadReport,
     /// Whether the engine closes the connection after this reply.
     pub closes_connection: bool,
-    /// Rows of a page; empty for most other replies.
+    /// Body of the reply: complete rows, if the reply is a page.
     pub body: Vec<u8>,
 }
 
--- a/crates/gateway/src/discovery/client.rs
+++ b/crates/gateway/src/discovery/client.rs
@@ -30,7 +30,7 @@
 
 /// Why a connection to the discovery service ended. `Display` gives the code that the log uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Disconnect {
+enum DisconnectReason {
     NotConnected,
     NotWritten,
     /// A reload has started another client, for another address.
@@ -41,25 +41,25 @@
     Silent,
 }
 
-impl fmt::Display for Disconnect {
+impl fmt::Display for DisconnectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Disconnect::NotConnected => "no-connection",
-            Disconnect::NotWritten => "not-written",
-            Disconnect::Replaced => "replaced",
-            Disconnect::Malformed => "malformed",
-            Disconnect::Closed => "closed",
-            Disconnect::Reset => "reset",
-            Disconnect::Silent => "silent",
+            DisconnectReason::NotConnected => "no-connection",
+            DisconnectReason::NotWritten => "not-written",
+            DisconnectReason::Replaced => "replaced",
+            DisconnectReason::Malformed => "malformed",
+            DisconnectReason::Closed => "closed",
+            DisconnectReason::Reset => "reset",
+            DisconnectReason::Silent => "silent",
         })
     }
 }
 
 /// Starts a client for the service at this address. Replaces the previous client, if any.
 pub fn start_client(state: &Arc<State>, address: SocketAddrV4, seed: u64) {
-    let client = state.discovery.next_client_id();
+    let client_id = state.discovery.next_client_id();
     let state = state.clone();
-    may::go!(move || run(&state, address, seed, client));
+    may::go!(move || run(&state, address, seed, client_id));
 }
 
 /// Applies a watch event to the endpoint list, and closes idle connections to removed engines.
@@ -71,11 +71,11 @@
 }
 
 /// Connects again and again until another client replaces this one. `seed` randomizes the reconnect delays.
-fn run(state: &State, address: SocketAddrV4, seed: u64, client: u64) {
+fn run(state: &State, address: SocketAddrV4, seed: u64, client_id: u64) {
     let mut random = WyRand::new_seed(seed);
     let mut reconnect_delay = MIN_RECONNECT_DELAY;
-    while state.discovery.is_current_client(client) {
-        let mut connection = Connection { state, client, frames: 0, input: Vec::new() };
+    while state.discovery.is_current_client(client_id) {
+        let mut connection = Connection { state, client_id, frames: 0, input: Vec::new() };
         let reason = connection.run(address);
         info!(state.log, "discovery connection ended"; "reason" => reason.to_string(), "frames" => connection.frames);
         reconnect_delay = if connection.frames > 0 {
@@ -91,7 +91,7 @@
 struct Connection<'a> {
     state: &'a State,
     /// Number of the client that opened the connection; a replaced client stops applying events.
-    client: u64,
+    client_id: u64,
     /// Number of frames received on the connection.
     frames: u64,
     /// Bytes that were received and not yet decoded.
@@ -100,15 +100,15 @@
 
 impl Connection<'_> {
     /// Connects, sends the watch request, and applies frames until the connection ends.
-    fn run(&mut self, address: SocketAddrV4) -> Disconnect {
+    fn run(&mut self, address: SocketAddrV4) -> DisconnectReason {
         let address = SocketAddr::V4(address);
         let Ok(mut stream) = TcpStream::connect_timeout(&address, to_std_timeout(CONNECT_TIMEOUT)) else {
-            return Disconnect::NotConnected;
+            return DisconnectReason::NotConnected;
         };
         let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE_TIMEOUT)));
         if stream.write_all(&discovery::encode_watch_request(self.state.policy.discovery_revision())).is_err()
         {
-            return Disconnect::NotWritten;
+            return DisconnectReason::NotWritten;
         }
         let mut is_final_read = false;
         let mut sent = self.state.clock.now();
@@ -121,20 +121,20 @@
             // Frames that are read after a stall may have been sent when the stall began.
             sent = self.state.stall_detector.earliest_send_time(read_started, self.state.clock.now());
             match received {
-                Ok(0) => return Disconnect::Closed,
+                Ok(0) => return DisconnectReason::Closed,
                 Ok(_) if is_final_read => {
                     is_final_read = false;
                     let _ = stream.set_read_timeout(Some(to_std_timeout(SILENCE_TIMEOUT)));
                 }
                 Ok(_) => {}
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) if is_final_read => {
-                    return Disconnect::Silent;
+                    return DisconnectReason::Silent;
                 }
                 Err(ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
                     is_final_read = true;
                     let _ = stream.set_read_timeout(Some(to_std_timeout(FINAL_READ_TIMEOUT)));
                 }
-                Err(_) => return Disconnect::Reset,
+                Err(_) => return DisconnectReason::Reset,
             }
         }
     }
@@ -150,11 +150,11 @@
     }
 
     /// Applies all complete frames in `input`, which were sent at `sent` or later.
-    fn apply_received(&mut self, sent: Timestamp) -> Result<(), Disconnect> {
+    fn apply_received(&mut self, sent: Timestamp) -> Result<(), DisconnectReason> {
         let state = self.state;
         // The revisions of a replaced service may be higher than the current revision of its successor.
-        if !state.discovery.is_current_client(self.client) {
-            return Err(Disconnect::Replaced);
+        if !state.discovery.is_current_client(self.client_id) {
+            return Err(DisconnectReason::Replaced);
         }
         loop {
             match discovery::decode(&self.input) {
@@ -170,7 +170,7 @@
                 Ok(None) => return Ok(()),
                 Err(error) => {
                     warn!(state.log, "discovery event rejected"; "reason" => error.to_string());
-                    return Err(Disconnect::Malformed);
+                    return Err(DisconnectReason::Malformed);
                 }
             }
         }
--- a/crates/gateway/src/engine/polling.rs
+++ b/crates/gateway/src/engine/polling.rs
@@ -17,12 +17,12 @@
     ) -> AttemptEnd {
         let mut connection = Some(connection);
         let mut reply = first_reply;
-        let mut call_time = self.started;
+        let mut call_started = self.started;
         let mut lost_connections = 0;
         loop {
             match reply {
                 Ok(reply) if reply.status == 202 => {
-                    connection = self.on_progress(connection, &reply, call_time);
+                    connection = self.on_progress(connection, &reply, call_started);
                 }
                 Ok(reply) if reply.status == 200 && reply.page_count.is_some() => {
                     return self.collect_pages(connection, reply);
@@ -35,8 +35,8 @@
                 Err(CallError::TimedOut)
                     if connection.as_ref().is_some_and(Connection::awaits_reply)
                         && self.is_past_deadline() => {}
-                // The connection was lost, or the reply doesn't belong to this call: polling goes on over another
-                // connection.
+                // The connection was lost or timed out, or no engine sends such a reply to this call: polling continues
+                // over another connection.
                 Ok(_) | Err(_) => {
                     drop(connection.take());
                     lost_connections += 1;
@@ -60,7 +60,7 @@
                 }
             };
             let poll = engine_http::encode_page_call(self.instance.address, &self.context.id, 0);
-            call_time = self.state.clock.now();
+            call_started = self.state.clock.now();
             reply = self.call(&mut open, &poll, POLL_TIMEOUT);
             connection = Some(open);
         }
@@ -71,7 +71,7 @@
         &self,
         connection: Option<Connection>,
         reply: &Reply,
-        call_time: Timestamp,
+        call_started: Timestamp,
     ) -> Option<Connection> {
         self.same_process.set(true);
         if let Some(update) = reply.progress {
@@ -79,7 +79,7 @@
         }
         let connection = keep_if_reusable(connection, reply.closes_connection);
         // Prevents a busy loop with an engine that replies at once without a progress update.
-        if reply.progress.is_none() && self.state.clock.now().since(call_time) < RETRY_DELAY {
+        if reply.progress.is_none() && self.state.clock.now().since(call_started) < RETRY_DELAY {
             self.state.sleep(RETRY_DELAY);
         }
         connection
