--- a/crates/policy/src/cancellation.rs
+++ b/crates/policy/src/cancellation.rs
@@ -1,7 +1,7 @@
 //! Cancellation of attempts in flight, where finishing an attempt would cost more than a new attempt or none.
 //!
-//! Cancelled are attempts at silent ejected engines, attempts much slower than estimated because of a bad query plan or a
-//! slow engine, and attempts that hold memory while they wait for a data lock.
+//! Cancelled are attempts at silent ejected engines, attempts much slower than estimated because of a bad query plan
+//! or a slow engine, and attempts that hold memory while they wait for a data lock.
 
 use crate::engine_record::EngineRecord;
 use crate::request_record::RequestRecord;
@@ -9,7 +9,7 @@
 use crate::types::{Capabilities, Idempotency, RequestClass};
 use std::collections::BTreeMap;
 
-/// Progress update intervals without an update after which an attempt counts as silent.
+/// Number of progress update intervals without an update after which an attempt counts as silent.
 const OVERDUE_INTERVALS: f64 = 1.6;
 
 /// Time after the last progress update from which an attempt counts as silent; `None` if engines send no updates.
@@ -17,7 +17,8 @@
     capabilities.progress_interval.map(|interval| interval * OVERDUE_INTERVALS)
 }
 
-/// Marks at most one attempt of a request as cancelled, and returns its number. Only idempotent requests are cancelled.
+/// Marks at most one attempt of a request as cancelled, and returns its number. Only idempotent requests are
+/// cancelled.
 pub(crate) fn cancel_one_attempt(
     record: &mut RequestRecord,
     class: &RequestClass,
@@ -30,9 +31,9 @@
         return None;
     }
     let objective = class.latency_objective_for(record.work_estimate);
-    // A request is cancelled for its pace only once: if the next attempt is as slow, the estimate was wrong, and another
-    // cancellation would waste more work.
-    let checks_pace = !record.went_off_estimate;
+    // A request is cancelled for its pace only once: if the next attempt is as slow, the estimate was wrong, and
+    // another cancellation would waste more work.
+    let checks_pace = !record.cancelled_off_estimate;
     for attempt in record.in_flight.iter_mut().filter(|attempt| !attempt.cancelled) {
         let ejected = engines.get(&attempt.engine).is_some_and(|engine| engine.outlier_detector.is_ejected());
         let silent = attempt.is_silent(update_overdue_after(capabilities), now);
@@ -45,7 +46,7 @@
             && now.since(attempt.sent_time) > objective;
         if (ejected && silent) || off_estimate || only_holds_memory {
             attempt.cancelled = true;
-            record.went_off_estimate |= off_estimate;
+            record.cancelled_off_estimate |= off_estimate;
             return Some(attempt.number);
         }
     }
