--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -12,7 +12,7 @@
 }
 
 fn not_negative(field: impl Into<String>, value: f64) -> Checked {
-    if value.is_finite() && value >= 0.0 { Ok(()) } else { refuse(field, Problem::Negative { value }) }
+    if value.is_finite() && value >= 0.0 { Ok(()) } else { refuse(field, Problem::NotNonNegative { value }) }
 }
 
 pub(crate) fn check(raw: &Raw) -> Checked {
@@ -43,7 +43,7 @@
     let mut seen = HashSet::new();
     for (i, name) in names.enumerate() {
         if name.is_empty() {
-            return refuse(format!("{field}[{i}]"), Problem::Unnamed);
+            return refuse(format!("{field}[{i}]"), Problem::EmptyName);
         }
         if !seen.insert(name) {
             return refuse(format!("{field}[{i}]"), Problem::Duplicate { name: name.clone() });
@@ -74,7 +74,7 @@
 fn check_allowed(field: &str, allowed: Option<&[usize]>, length: usize) -> Checked {
     let Some(allowed) = allowed else { return Ok(()) };
     if allowed.is_empty() {
-        return refuse(field, Problem::NoneAllowed);
+        return refuse(field, Problem::EmptyAllowList);
     }
     match allowed.iter().find(|index| **index >= length) {
         Some(&index) => refuse(field, Problem::IndexOutOfRange { index, length }),
@@ -102,12 +102,12 @@
     for (name, named) in lists_by_class {
         // Settings without any class are refused elsewhere.
         if named > classes && classes > 0 {
-            return refuse(format!("domain.{name}"), Problem::TooManyClasses { named, classes });
+            return refuse(format!("domain.{name}"), Problem::TooManyEntries { named, classes });
         }
     }
     let named = domain.kind_cores.len();
     if named > 0 && named < raw.kinds.len() {
-        return refuse("domain.size_cores", Problem::TooFewKinds { named, kinds: raw.kinds.len() });
+        return refuse("domain.size_cores", Problem::TooFewEntries { named, kinds: raw.kinds.len() });
     }
     Ok(())
 }
@@ -116,7 +116,7 @@
     not_negative("safety.fall_multiple", safety.overload_multiple)?;
     let value = safety.initial_capacity_factor;
     if !(0.0..=1.0).contains(&value) {
-        return refuse("safety.cold_from", Problem::NoFraction { value });
+        return refuse("safety.cold_from", Problem::NotAFraction { value });
     }
     if safety.overload_window > 0 && safety.overload_multiple > 0.0 && value <= 0.0 {
         return refuse("safety.cold_from", Problem::NoInitialCapacity);
--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -64,7 +64,7 @@
 
 fn idempotency(class: &RawClass, path: &str) -> Result<Idempotency, SettingsError> {
     let unknown = |field: &str, value: &str| {
-        SettingsError::field(format!("{path}.{field}"), Problem::UnknownWord { value: value.to_owned() })
+        SettingsError::field(format!("{path}.{field}"), Problem::UnknownValue { value: value.to_owned() })
     };
     match class.idempotency.as_str() {
         "read_like" => Ok(Idempotency::Idempotent),
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -26,9 +26,9 @@
     #[error("no place in zones")]
     ZoneOutOfRange { zone: usize, zones: usize },
     #[error("no number from zero up")]
-    Negative { value: f64 },
+    NotNonNegative { value: f64 },
     #[error("without a name")]
-    Unnamed,
+    EmptyName,
     #[error("'{name}' comes twice")]
     Duplicate { name: String },
     #[error("missing or zero: nothing can be answered in time")]
@@ -38,19 +38,19 @@
     #[error("missing or zero where repeats are known by a key")]
     NoDeduplicationWindow,
     #[error("leaves no engine open")]
-    NoneAllowed,
+    EmptyAllowList,
     #[error("names a place that is not in the settings")]
     IndexOutOfRange { index: usize, length: usize },
     #[error("of {named} classes, and there are {classes}")]
-    TooManyClasses { named: usize, classes: usize },
+    TooManyEntries { named: usize, classes: usize },
     #[error("does not name each of models")]
-    TooFewKinds { named: usize, kinds: usize },
+    TooFewEntries { named: usize, kinds: usize },
     #[error("no share between 0 and 1")]
-    NoFraction { value: f64 },
+    NotAFraction { value: f64 },
     #[error("missing or zero where an engine in slow start falls at a multiple of it")]
     NoInitialCapacity,
     #[error("missing or zero where further attempts have a budget")]
     NoRetryWindow,
     #[error("unknown word '{value}'")]
-    UnknownWord { value: String },
+    UnknownValue { value: String },
 }
--- a/crates/gateway/src/cli/subsets.rs
+++ b/crates/gateway/src/cli/subsets.rs
@@ -56,7 +56,7 @@
 /// The engines that the configuration names.
 fn listed_engines(config: &Config) -> Vec<ReadyEngine> {
     let mut engines = EngineTable::default();
-    for event in &config.known {
+    for event in &config.endpoint_list {
         engines.apply(event);
     }
     engines.ready().into_iter().map(|ready| ReadyEngine { id: ready.id, engine: ready.engine }).collect()
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -103,7 +103,7 @@
         let now = (platform.steady_clock)();
         // The disk is opened on gateways that are not voters too, since a reload of the settings may make them
         // voters.
-        let mut disk = config.record_folder.as_ref().map(|folder| (platform.open_disk)(folder));
+        let mut disk = config.voter_record_directory.as_ref().map(|folder| (platform.open_disk)(folder));
         let is_voter = config.settings.voters.contains(&member_id.name);
         let record = load_voter_record(state, disk.as_mut(), is_voter);
         let settings = config.settings;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -41,7 +41,7 @@
     /// Address of the discovery service.
     pub discovery: SocketAddrV4,
     /// Endpoint list at the time the file was written.
-    pub known: Vec<WatchEvent>,
+    pub endpoint_list: Vec<WatchEvent>,
     /// The platform's settings.
     pub settings: Settings,
 }
@@ -116,7 +116,7 @@
     Ok(Config {
         listen: address("listen", &file.listen)?,
         discovery: address("board", &file.discovery)?,
-        known: discovery::known_events(&file.known, &settings.names)?,
+        endpoint_list: discovery::known_events(&file.known, &settings.names)?,
         name: file.name,
         seed,
         limits,
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -96,7 +96,7 @@
         if let Some((cluster, membership)) = self.cluster.as_ref().zip(membership) {
             cluster.reload(&self.state, membership.settings, leases);
         }
-        for event in &config.known {
+        for event in &config.endpoint_list {
             discovery::apply_event(&self.state, event);
         }
         info!(self.state.log, "configuration reloaded"; "discovery" => config.discovery.to_string());
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -62,7 +62,7 @@
     let quota_inputs = QuotaInputs::new(&config.settings);
     let subsetting =
         operator_config.subsetting.map(|subsetting| SubsettingInputs::new(subsetting, &config.settings));
-    let Config { listen, seed, discovery, known, settings, .. } = config;
+    let Config { listen, seed, discovery, endpoint_list, settings, .. } = config;
     let state = Arc::new(state::build(StateSettings {
         platform: settings,
         limits,
@@ -73,7 +73,7 @@
     }));
     // The configuration's endpoint list counts as if the discovery service had just sent it.
     state.policy.confirm_endpoint_list(state.clock.now());
-    for event in &known {
+    for event in &endpoint_list {
         discovery::apply_event(&state, event);
     }
     let event_poll_probe = timer::EventPollProbe::open().map_err(StartupError::SocketPair)?;
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -7,7 +7,7 @@
     #[error("{path}: {error}")]
     Unreadable { path: String, error: std::io::Error },
     #[error("{path}: {error}")]
-    Refused { path: String, error: ConfigError },
+    Invalid { path: String, error: ConfigError },
 }
 
 /// Why the text of a file can't be used.
@@ -19,7 +19,7 @@
     Syntax { line: usize, message: String },
     /// The same where the parser names no place.
     #[error("{message}")]
-    SyntaxAnywhere { message: String },
+    SyntaxWithoutLine { message: String },
     #[error("line {line}: {table}.{field}: {problem}")]
     Field { line: usize, table: &'static str, field: &'static str, problem: Problem },
     #[error("line {line}: duty: needs a [duties] table")]
@@ -37,11 +37,11 @@
     #[error("wanted 1 to {maximum} bytes")]
     NameLength { value: String, maximum: usize },
     #[error("no IPv4 address with a port")]
-    NoIpv4Address { value: String },
+    InvalidIpv4Address { value: String },
     #[error("no address with a port")]
-    NoAddress { value: String },
+    InvalidAddress { value: String },
     #[error("wanted an address and its bits, as 10.0.0.0/24")]
-    NoNetwork { value: String },
+    InvalidNetwork { value: String },
     #[error("others need an address and a port of it")]
     UnreachableAddress { address: std::net::SocketAddrV4 },
     #[error("others that are asked to help need as long again within a period")]
@@ -49,17 +49,17 @@
     #[error("needs a [fronts] table")]
     NeedsMembership,
     #[error("wanted the names of 3, 5 or 7 fronts")]
-    VoterNames { names: Vec<String> },
+    InvalidVoterNames { names: Vec<String> },
     #[error("electors would grant less than lease-ms")]
     MaximumBelowLease { maximum_ms: u64, lease_ms: u64 },
     #[error("what is read each probe-ms would be old before it is read again")]
     StaleBeforeNextProbe { fresh_ms: u64, probe_ms: u64 },
     #[error("wanted 1 to {maximum} bytes that no other duty has")]
-    RoleName { value: String, maximum: usize },
+    InvalidRoleName { value: String, maximum: usize },
     #[error("names no program")]
     EmptyCommand,
     #[error("wanted http:// or https://, host and port")]
-    BaseUrl { value: String },
+    InvalidBaseUrl { value: String },
     #[error("a result must be kept for longer than a call for a page is held back")]
     RetentionTooShort { retention_ms: u64, poll_ms: u64 },
     #[error("no source names the service group")]
--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -27,7 +27,7 @@
     /// Voters, leases and roles.
     pub settings: LeaseSettings,
     /// The folder for what a voter remembers; `None`: it remembers nothing over a restart.
-    pub record_folder: Option<PathBuf>,
+    pub voter_record_directory: Option<PathBuf>,
     /// Below which a gateway holds no role.
     pub fitness: FitnessThresholds,
     /// Load reports that one gateway asks engines for, for all.
@@ -168,7 +168,7 @@
         better_margin: MIN_IMPROVEMENT,
     };
     let fitness = fitness(&table, &raw)?;
-    Ok(LeaseConfig { settings, record_folder: raw.record, fitness, load_sharing, quotas, programs })
+    Ok(LeaseConfig { settings, voter_record_directory: raw.record, fitness, load_sharing, quotas, programs })
 }
 
 /// The names of the gateways that vote: an odd number of them, none twice.
@@ -183,7 +183,7 @@
         Ok(names)
     } else {
         let names = list.get_ref().iter().map(|name| name.get_ref().clone()).collect();
-        Err(table.refuse(list, field, Problem::VoterNames { names }))
+        Err(table.refuse(list, field, Problem::InvalidVoterNames { names }))
     }
 }
 
@@ -250,7 +250,7 @@
     for raw in raw_programs {
         let role = raw.name.get_ref().clone();
         if !(1..=MAX_NAME_BYTES).contains(&role.len()) || !roles.insert(role.clone()) {
-            let problem = Problem::RoleName { value: role, maximum: MAX_NAME_BYTES };
+            let problem = Problem::InvalidRoleName { value: role, maximum: MAX_NAME_BYTES };
             return Err(table.refuse(&raw.name, "name", problem));
         }
         let command = raw.command.get_ref().clone();
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -61,7 +61,7 @@
 pub fn read(path: &str, names: &Names) -> Result<OperatorConfig, ReadError> {
     let unreadable = |error| ReadError::Unreadable { path: path.to_owned(), error };
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    parse(&text, names).map_err(|error| ReadError::Refused { path: path.to_owned(), error })
+    parse(&text, names).map_err(|error| ReadError::Invalid { path: path.to_owned(), error })
 }
 
 /// Checks the text of a file against the names of the platform's settings.
@@ -86,6 +86,6 @@
     let message = error.message().to_owned();
     match error.span() {
         Some(span) => ConfigError::Syntax { line: table::line(text, span.start), message },
-        None => ConfigError::SyntaxAnywhere { message },
+        None => ConfigError::SyntaxWithoutLine { message },
     }
 }
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -130,7 +130,7 @@
 
 fn address(table: &Table, value: &Spanned<String>, field: &'static str) -> Result<SocketAddrV4, ConfigError> {
     let address = value.get_ref();
-    let refused = |_| table.refuse(value, field, Problem::NoIpv4Address { value: address.clone() });
+    let refused = |_| table.refuse(value, field, Problem::InvalidIpv4Address { value: address.clone() });
     address.parse().map_err(refused)
 }
 
@@ -141,5 +141,5 @@
     let address = address.parse().ok();
     let prefix_len = bits.parse().ok().filter(|bits| *bits <= 32);
     let parsed = address.zip(prefix_len).map(|(address, prefix_len)| Network { address, prefix_len });
-    parsed.ok_or_else(|| table.refuse(value, "networks", Problem::NoNetwork { value: network.clone() }))
+    parsed.ok_or_else(|| table.refuse(value, "networks", Problem::InvalidNetwork { value: network.clone() }))
 }
--- a/crates/operator-config/src/paged_rest.rs
+++ b/crates/operator-config/src/paged_rest.rs
@@ -69,12 +69,12 @@
 pub(crate) fn check(text: &str, raw: RawRest, names: &Names) -> Result<PagedRestConfig, ConfigError> {
     let table = Table::new(text, "rest");
     let listen = raw.listen.get_ref();
-    let refused = |_| table.refuse(&raw.listen, "listen", Problem::NoAddress { value: listen.clone() });
+    let refused = |_| table.refuse(&raw.listen, "listen", Problem::InvalidAddress { value: listen.clone() });
     let listen = listen.parse().map_err(refused)?;
     if let Some(base) = &raw.base {
         let value = base.get_ref();
         if !(value.starts_with("http://") || value.starts_with("https://")) {
-            return Err(table.refuse(base, "base", Problem::BaseUrl { value: value.clone() }));
+            return Err(table.refuse(base, "base", Problem::InvalidBaseUrl { value: value.clone() }));
         }
     }
     let poll_timeout = table.duration(&raw.poll_ms, "poll-ms", 1, 60_000)?;
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -116,7 +116,7 @@
     assert_eq!((settings.min_hold, &settings.cluster[..]), (ms(20_000), "harbor"));
     let roles = ["keeper:0", "keeper:1", "nightly", "probing:0", "probing:1", "probing:2"];
     assert_eq!(settings.roles, list(&roles));
-    assert_eq!(leases.record_folder, Some("/var/lib/larchfall".into()));
+    assert_eq!(leases.voter_record_directory, Some("/var/lib/larchfall".into()));
     assert_eq!(
         (leases.fitness.max_discovery_silence, leases.fitness.unhealthy_score),
         (Some(ms(8_000)), Some(4))
