--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -1,69 +1,69 @@
-//! What the command line asks for.
+//! Parses the command line.
 
 use super::help;
 use crate::cluster::status_query::Topic;
 use larchfall_policy::time::Duration;
 use lexopt::prelude::*;
 
-/// The files that the command line names.
+/// Paths of the two configuration files; `None` for a file that the command line does not name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FilePaths {
-    /// The configuration.
+    /// The configuration that the platform provides.
     pub config: Option<String>,
-    /// The operator's own settings.
+    /// The operator's own settings, in TOML.
     pub operator_config: Option<String>,
 }
 
-/// What the program is to do.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run a gateway.
+    /// Runs a gateway.
     Serve(FilePaths),
-    /// Read both files and say what is wrong.
+    /// Validates both files and reports the first error.
     Check(FilePaths),
-    /// Ask a running gateway.
+    /// Queries a running gateway.
     Status {
-        /// What it is asked about.
+        /// The status table to query.
         topic: Topic,
-        /// The files that it runs with.
+        /// The files that the running gateway was started with.
         files: FilePaths,
     },
-    /// Work out which engines gateways would use.
+    /// Computes which engines each of a number of gateways would use.
     Subsets {
-        /// The files that they would run with.
+        /// The files that the gateways would run with.
         files: FilePaths,
-        /// How many gateways.
+        /// How many gateways; 0 if the option is absent.
         gateways: usize,
-        /// Where a chart of it is to be written.
+        /// Path of the SVG chart; `None` for no chart.
         chart: Option<String>,
     },
-    /// Run a program for as long as a lease lasts; for gateways themselves.
+    /// Runs a program while a lease lasts. Gateways start this command themselves.
     Supervise {
-        /// Time between the program being told to end and being killed.
+        /// Time between the request to stop the program and its kill.
         grace: Duration,
         /// The program and its arguments.
         program: Vec<String>,
     },
-    /// Print the version.
+    /// Prints the version.
     Version,
-    /// Print this text.
+    /// Prints this help text.
     Help(&'static str),
 }
 
-/// Why a command line can't be understood.
+/// Why a command line is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ArgumentsError {
-    /// An option that is not known, or lacks its value, or comes with the wrong command.
+    /// An option is unknown, lacks its value or does not belong to the command.
     #[error(transparent)]
     Option(#[from] lexopt::Error),
-    /// The first word is no command.
+    /// The first argument that is not an option names no command.
     #[error("unknown command '{0}'")]
     UnknownCommand(String),
 }
 
-/// The first word of the command line.
+/// The command's name on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verb {
+enum Subcommand {
     Serve,
     Check,
     Status(Topic),
@@ -73,42 +73,42 @@
     Help,
 }
 
-impl Verb {
-    fn parse(word: &str) -> Result<Verb, ArgumentsError> {
-        Ok(match word {
-            "serve" => Verb::Serve,
-            "check" => Verb::Check,
-            // The second word of each is its name in earlier versions, which operators' scripts may use.
-            "members" | "fronts" => Verb::Status(Topic::Members),
-            "leases" | "duties" => Verb::Status(Topic::Leases),
-            "quotas" | "shares" => Verb::Status(Topic::Quotas),
-            "engines" => Verb::Status(Topic::Engines),
-            "subsets" => Verb::Subsets,
-            // Called by gateways, perhaps of another version than this file: so it keeps its word.
-            "mind" => Verb::Supervise,
-            "version" => Verb::Version,
-            "help" => Verb::Help,
+impl Subcommand {
+    fn parse(name: &str) -> Result<Subcommand, ArgumentsError> {
+        Ok(match name {
+            "serve" => Subcommand::Serve,
+            "check" => Subcommand::Check,
+            // The second name of each command is the one of earlier releases, which operators' scripts may use.
+            "members" | "fronts" => Subcommand::Status(Topic::Members),
+            "leases" | "duties" => Subcommand::Status(Topic::Leases),
+            "quotas" | "shares" => Subcommand::Status(Topic::Quotas),
+            "engines" => Subcommand::Status(Topic::Engines),
+            "subsets" => Subcommand::Subsets,
+            // Running gateways start this command, possibly from a newer executable than their own, so its name must stay.
+            "mind" => Subcommand::Supervise,
+            "version" => Subcommand::Version,
+            "help" => Subcommand::Help,
             other => return Err(ArgumentsError::UnknownCommand(other.to_owned())),
         })
     }
 
     fn help(self) -> &'static str {
         match self {
-            Verb::Serve => help::SERVE,
-            Verb::Check => help::CHECK,
-            Verb::Status(_) => help::STATUS,
-            Verb::Subsets => help::SUBSETS,
-            Verb::Version => help::VERSION,
-            Verb::Supervise | Verb::Help => help::PROGRAM,
+            Subcommand::Serve => help::SERVE,
+            Subcommand::Check => help::CHECK,
+            Subcommand::Status(_) => help::STATUS,
+            Subcommand::Subsets => help::SUBSETS,
+            Subcommand::Version => help::VERSION,
+            Subcommand::Supervise | Subcommand::Help => help::PROGRAM,
         }
     }
 }
 
-/// What was read of the command line so far.
+/// The arguments parsed so far.
 #[derive(Default)]
 struct Arguments {
-    verb: Option<Verb>,
-    help: bool,
+    subcommand: Option<Subcommand>,
+    show_help: bool,
     files: FilePaths,
     gateways: usize,
     chart: Option<String>,
@@ -116,60 +116,64 @@
     program: Vec<String>,
 }
 
-/// Reads the arguments that follow the program's name.
+/// Parses the arguments after the program's name.
 pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Command, ArgumentsError> {
     let mut parser = lexopt::Parser::from_args(arguments);
-    let mut read = Arguments::default();
-    while read.next(&mut parser)? {}
-    Ok(read.into_command())
+    let mut parsed = Arguments::default();
+    while parsed.parse_next(&mut parser)? {}
+    Ok(parsed.into_command())
 }
 
 impl Arguments {
-    /// Reads one argument; false where there is none left.
-    fn next(&mut self, parser: &mut lexopt::Parser) -> Result<bool, ArgumentsError> {
+    /// Parses one argument with its value; returns false if none is left.
+    fn parse_next(&mut self, parser: &mut lexopt::Parser) -> Result<bool, ArgumentsError> {
         let Some(argument) = parser.next()? else { return Ok(false) };
         match argument {
-            Short('h') | Long("help") => self.help = true,
+            Short('h') | Long("help") => self.show_help = true,
             Long("config") if self.takes_files() => {
                 self.files.config = Some(parser.value()?.string()?);
             }
             Long("site") if self.takes_files() => {
                 self.files.operator_config = Some(parser.value()?.string()?);
             }
-            Long("fronts") if self.verb == Some(Verb::Subsets) => self.gateways = parser.value()?.parse()?,
-            Long("chart") if self.verb == Some(Verb::Subsets) => {
+            Long("fronts") if self.subcommand == Some(Subcommand::Subsets) => {
+                self.gateways = parser.value()?.parse()?
+            }
+            Long("chart") if self.subcommand == Some(Subcommand::Subsets) => {
                 self.chart = Some(parser.value()?.string()?);
             }
-            Long("end-ms") if self.verb == Some(Verb::Supervise) => {
+            Long("end-ms") if self.subcommand == Some(Subcommand::Supervise) => {
                 self.grace = Some(Duration::from_millis(parser.value()?.parse()?));
             }
-            Value(word) if self.verb == Some(Verb::Supervise) => {
-                let words = std::iter::once(word).chain(parser.raw_args()?);
-                self.program = words.map(|word| word.to_string_lossy().into_owned()).collect();
+            Value(program) if self.subcommand == Some(Subcommand::Supervise) => {
+                let arguments = std::iter::once(program).chain(parser.raw_args()?);
+                self.program = arguments.map(|argument| argument.to_string_lossy().into_owned()).collect();
+            }
+            Value(name) if self.subcommand.is_none() => {
+                self.subcommand = Some(Subcommand::parse(&name.to_string_lossy())?);
             }
-            Value(word) if self.verb.is_none() => self.verb = Some(Verb::parse(&word.to_string_lossy())?),
             other => return Err(other.unexpected().into()),
         }
         Ok(true)
     }
 
     fn takes_files(&self) -> bool {
-        !matches!(self.verb, Some(Verb::Version | Verb::Supervise | Verb::Help))
+        !matches!(self.subcommand, Some(Subcommand::Version | Subcommand::Supervise | Subcommand::Help))
     }
 
     fn into_command(self) -> Command {
-        let Arguments { verb, help, files, gateways, chart, grace, program } = self;
-        if help {
-            return Command::Help(verb.map_or(help::PROGRAM, Verb::help));
+        let Arguments { subcommand, show_help, files, gateways, chart, grace, program } = self;
+        if show_help {
+            return Command::Help(subcommand.map_or(help::PROGRAM, Subcommand::help));
         }
-        match verb.unwrap_or(Verb::Serve) {
-            Verb::Serve => Command::Serve(files),
-            Verb::Check => Command::Check(files),
-            Verb::Status(topic) => Command::Status { topic, files },
-            Verb::Subsets => Command::Subsets { files, gateways, chart },
-            Verb::Supervise => Command::Supervise { grace: grace.unwrap_or(Duration::ZERO), program },
-            Verb::Version => Command::Version,
-            Verb::Help => Command::Help(help::PROGRAM),
+        match subcommand.unwrap_or(Subcommand::Serve) {
+            Subcommand::Serve => Command::Serve(files),
+            Subcommand::Check => Command::Check(files),
+            Subcommand::Status(topic) => Command::Status { topic, files },
+            Subcommand::Subsets => Command::Subsets { files, gateways, chart },
+            Subcommand::Supervise => Command::Supervise { grace: grace.unwrap_or(Duration::ZERO), program },
+            Subcommand::Version => Command::Version,
+            Subcommand::Help => Command::Help(help::PROGRAM),
         }
     }
 }
--- a/crates/gateway/src/cli/help.rs
+++ b/crates/gateway/src/cli/help.rs
@@ -1,28 +1,28 @@
-//! What the program says of its own use.
+//! Help texts of the command line.
 
 pub(super) const PROGRAM: &str = "\
 larchfall keeps short and long queries apart on shared query engines.
 
 usage: larchfall [serve] [--config FILE] [--site FILE]   run a gateway (the default)
-       larchfall check [--config FILE] [--site FILE]     read both files and say what is wrong
+       larchfall check [--config FILE] [--site FILE]     validate both files and report an error
        larchfall members --config FILE --site FILE       members that the running gateway knows, and their state
-       larchfall leases --config FILE --site FILE        who holds which lease, as the running gateway knows it
-       larchfall quotas --config FILE --site FILE        its quotas, and the quotas that it allocates itself
-       larchfall engines --config FILE --site FILE       health of each engine, as it and others observed it
+       larchfall leases --config FILE --site FILE        holder of each lease, as the running gateway knows it
+       larchfall quotas --config FILE --site FILE        quotas of the running gateway, and those that it allocates
+       larchfall engines --config FILE --site FILE       health of each engine, as observed by the running gateway and others
        larchfall subsets --config FILE --site FILE --fronts N [--chart FILE.svg]
-                                                         what [subsets] comes to over N gateways; none is asked
+                                                         engines that each of N gateways would use under [subsets]; queries no gateway
        larchfall version                                 print the version
-       larchfall help                                    print this
+       larchfall help                                    print this help
 
 The former names of three commands still work: fronts (members), duties (leases) and shares (quotas).
 
-  --config FILE   the configuration; else the environment's NODE_CONFIG names it
-  --site FILE     the operator's own settings in TOML; what it does not name is off
+  --config FILE   the configuration; defaults to the path in the environment variable NODE_CONFIG
+  --site FILE     the operator's own settings in TOML; a feature whose table is absent is off
   -h, --help      print help
 
-On SIGUSR1 a gateway logs its counters; on SIGHUP it reads its files again and follows the discovery service that
-they name; on SIGTERM it answers the requests that it has admitted and ends.
-Exit codes: 0 done, 1 failed while running, 2 wrong arguments or configuration.
+On SIGUSR1 a gateway logs its counters; on SIGHUP it reloads its files and connects to the discovery service that
+they name; on SIGTERM it answers the requests that it has admitted and exits.
+Exit codes: 0 success, 1 failure at run time, 2 invalid arguments or configuration.
 ";
 
 pub(super) const SERVE: &str = "\
@@ -34,20 +34,20 @@
 pub(super) const CHECK: &str = "\
 usage: larchfall check [--config FILE] [--site FILE]
 
-Reads both files and says what is wrong.
+Validates both files and reports an error.
 ";
 
 pub(super) const STATUS: &str = "\
 usage: larchfall members|leases|quotas|engines [--config FILE] [--site FILE]
 
-Asks the gateway that runs with these files, on its own machine. The former names fronts (members), duties (leases)
+Queries the gateway that runs with these files, on the same machine. The former names fronts (members), duties (leases)
 and shares (quotas) still work.
 ";
 
 pub(super) const SUBSETS: &str = "\
 usage: larchfall subsets --config FILE --site FILE --fronts N [--chart FILE.svg]
 
-Works out which of N gateways would use which of the engines that the configuration names.
+Computes which engines of the configuration's endpoint list each of N gateways would use.
 ";
 
 pub(super) const VERSION: &str = "\
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: parses the arguments and runs the command.
 
 pub mod arguments;
 mod check;
@@ -18,33 +18,33 @@
 use std::process::ExitCode;
 use subsets::SubsetsError;
 
-/// The arguments or the files are wrong.
+/// Exit code for invalid arguments or files.
 const EXIT_USAGE: u8 = 2;
-/// Something failed while it ran.
+/// Exit code for a failure while a command runs.
 const EXIT_FAILURE: u8 = 1;
 
-/// Why a command failed, in the words that follow the program's name on standard error.
+/// Why a command failed; printed on standard error after the program's name.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The command line can't be understood.
-    #[error("{0}; see larchfall help")]
+    /// The command line is invalid.
+    #[error("{0}; see 'larchfall help'")]
     Arguments(#[from] ArgumentsError),
-    /// One of the two files is missing or wrong.
+    /// The configuration or the operator's file is missing or invalid.
     #[error(transparent)]
     Files(#[from] FilesError),
-    /// Signals could not be caught.
-    #[error("signals: {0}")]
+    /// The signal handlers could not be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(io::Error),
-    /// The gateway did not start.
+    /// The gateway could not start.
     #[error(transparent)]
     Startup(#[from] StartupError),
-    /// A running gateway can't be asked without its address.
+    /// The operator's file lacks the address at which the running gateway answers status queries.
     #[error("the site file has no [fronts] table; give --site FILE")]
     NoClusterAddress,
-    /// The running gateway did not answer.
+    /// The status query to the running gateway failed.
     #[error(transparent)]
     Status(io::Error),
-    /// The engines that gateways would use could not be shown.
+    /// The engines of each gateway could not be computed or drawn.
     #[error(transparent)]
     Subsets(#[from] SubsetsError),
 }
@@ -64,12 +64,12 @@
     }
 }
 
-/// Runs the program on the machine as it is.
+/// Runs the program with the machine's own clocks and disk.
 pub fn main() -> ExitCode {
     main_on(Platform::default())
 }
 
-/// Runs the program with other clocks or another disk than the machine's: for fault tests.
+/// Runs the program with the given clocks and disk. Fault tests replace those of the machine.
 pub fn main_on(platform: Platform) -> ExitCode {
     let arguments = std::env::args().skip(1);
     match arguments::parse(arguments).map_err(CommandError::from).and_then(|command| run(command, platform)) {
@@ -95,7 +95,7 @@
 }
 
 fn serve(paths: FilePaths, platform: Platform) -> Result<(), CommandError> {
-    // Before the files are read: a signal that comes meanwhile must not be lost.
+    // Registered before the files are read, so that a signal in the meantime is not lost.
     let signals = RegisteredSignals::register().map_err(CommandError::Signals)?;
     let files = paths.load()?;
     Ok(startup::run(files, platform, signals)?)
--- a/crates/gateway/src/cli/status.rs
+++ b/crates/gateway/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `larchfall members`, `leases`, `quotas` and `engines`: asks a running gateway about itself.
+//! `larchfall members`, `leases`, `quotas` and `engines`: prints a status table of a running gateway.
 
 use super::CommandError;
 use super::arguments::FilePaths;
@@ -11,12 +11,12 @@
     let membership = membership.ok_or(CommandError::NoClusterAddress)?;
     let rows = status_query::fetch_rows(membership.listen, &membership.settings.cluster, topic)
         .map_err(CommandError::Status)?;
-    println!("{}", format_table(header(topic), rows));
+    println!("{}", format_table(column_titles(topic), rows));
     Ok(())
 }
 
-/// Operators' scripts read these: they keep their words.
-fn header(topic: Topic) -> &'static [&'static str] {
+/// The column titles of a status table. Operators' scripts match them, so they must not change.
+fn column_titles(topic: Topic) -> &'static [&'static str] {
     match topic {
         Topic::Members => &["front", "standing", "generation", "address", "zone", "since s", "heard s ago"],
         Topic::Leases => &["duty", "holder", "token", "left ms", "last ended here"],
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of one gateway, read whole and checked before anything starts.
+//! The configuration file of a gateway, which is validated as a whole before the gateway starts.
 
 use crate::codec::discovery::{self, DiscoveryError, Known, WatchEvent};
 use crate::state::limits::Limits;
@@ -8,8 +8,8 @@
 use std::io;
 use std::net::SocketAddrV4;
 
-/// The file as it is written. Refusals of a wrong shape show the names of these structs and how many fields they have, so
-/// they keep their names.
+/// The deserialized JSON file. Error messages of serde show the names of this struct and of [`RawLimits`] and their
+/// numbers of fields, so the names stay the same across releases.
 #[derive(Deserialize)]
 struct Raw {
     name: String,
@@ -28,102 +28,102 @@
     sockets: usize,
 }
 
-/// A checked configuration.
+/// A validated configuration.
 pub struct Config {
-    /// Name of this gateway, on each line of its log.
+    /// Name of this gateway, which is a field of each log line.
     pub name: String,
-    /// Where clients connect with MessagePack-RPC.
+    /// Address on which clients connect with MessagePack-RPC.
     pub listen: SocketAddrV4,
-    /// Seed of all random choices.
+    /// Seed of the gateway's random choices.
     pub seed: u64,
-    /// Connections, requests and bytes, by what the machine allows.
+    /// Limits on connections, requests and bytes, computed from the machine's memory and sockets.
     pub limits: Limits,
     /// Address of the discovery service.
     pub discovery: SocketAddrV4,
-    /// Endpoint list at the time the file was written.
+    /// The endpoint list when the file was written, used until the discovery service sends a newer one.
     pub endpoint_list: Vec<WatchEvent>,
-    /// The platform's settings.
+    /// The settings that the platform provides.
     pub settings: Settings,
 }
 
-/// What is wrong with a configuration; the texts name the field.
+/// Why a configuration is invalid. Each text names the field.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No JSON, or of another shape.
+    /// The text is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// An address without a port, or no address at all.
-    #[error("{field}: '{text}' is no address with a port")]
+    /// The field is not an IPv4 address with a port.
+    #[error("{field}: '{text}' is not an IPv4 address with a port")]
     Address {
         /// Name of the field in the file.
         field: &'static str,
-        /// What stands there.
+        /// The invalid value.
         text: String,
     },
-    /// The settings name no request class.
-    #[error("settings.classes: no service group is named")]
+    /// The settings have no request class.
+    #[error("settings.classes: must list at least one request class")]
     NoRequestClass,
-    /// The seed is not hexadecimal, or longer than 64 bits.
-    #[error("seed: '{0}' is not hex")]
+    /// The seed is not hexadecimal or has more than 64 bits.
+    #[error("seed: '{0}' is not hexadecimal of at most 64 bits")]
     Seed(String),
-    /// The machine is too small to serve any client.
-    #[error("limits: too little memory or too few sockets to serve anybody")]
+    /// The memory or the number of sockets is too small to serve a client.
+    #[error("limits: memory_mb or sockets is too small to serve a client")]
     Limits,
-    /// A field of the platform's settings.
+    /// The platform's settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An entry of the endpoint list.
+    /// The endpoint list is invalid.
     #[error(transparent)]
     EndpointList(#[from] DiscoveryError),
 }
 
-/// Why a configuration file was rejected.
+/// Why a configuration file could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
-    /// The file can't be read.
+    /// The file could not be read.
     #[error("{path}: {source}")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// What it says is wrong.
+    /// The contents of the file are invalid.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// The first error found.
         source: ConfigError,
     },
 }
 
-/// Reads and checks a configuration file.
+/// Reads and validates a configuration file.
 pub fn read(path: &str) -> Result<Config, ConfigFileError> {
     let text = std::fs::read(path).map_err(|source| ConfigFileError::Io { path: path.to_owned(), source })?;
     parse(&text).map_err(|source| ConfigFileError::Invalid { path: path.to_owned(), source })
 }
 
-/// Checks the text of a configuration file.
+/// Validates the text of a configuration file.
 pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
-    let file: Raw = serde_json::from_slice(text)?;
-    let settings = larchfall_config::read(file.settings.to_string().as_bytes())?;
+    let raw: Raw = serde_json::from_slice(text)?;
+    let settings = larchfall_config::read(raw.settings.to_string().as_bytes())?;
     if settings.names.classes.is_empty() {
         return Err(ConfigError::NoRequestClass);
     }
-    let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed.clone()))?;
-    let limits = Limits::new(file.limits.memory_mb, file.limits.sockets).ok_or(ConfigError::Limits)?;
+    let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| ConfigError::Seed(raw.seed.clone()))?;
+    let limits = Limits::new(raw.limits.memory_mb, raw.limits.sockets).ok_or(ConfigError::Limits)?;
     Ok(Config {
-        listen: address("listen", &file.listen)?,
-        discovery: address("board", &file.discovery)?,
-        endpoint_list: discovery::known_events(&file.known, &settings.names)?,
-        name: file.name,
+        listen: parse_address("listen", &raw.listen)?,
+        discovery: parse_address("board", &raw.discovery)?,
+        endpoint_list: discovery::known_events(&raw.known, &settings.names)?,
+        name: raw.name,
         seed,
         limits,
         settings,
     })
 }
 
-fn address(field: &'static str, text: &str) -> Result<SocketAddrV4, ConfigError> {
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddrV4, ConfigError> {
     text.parse().map_err(|_| ConfigError::Address { field, text: text.to_owned() })
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,10 @@
-//! The real gateway: larchfall's policy on real sockets. A request comes by one of the protocols in `client`, is admitted in
-//! `admission`, lives in `request` and is sent by `engine`; `codec` turns bytes into typed values, `state` is what memory
-//! keeps. `cli` is the command line; `startup`, `reload` and `shutdown` are the life of the process; `cluster` is what
-//! gateways do among themselves.
+//! The gateway process: connects larchfall's policy to sockets, clocks and files.
+//!
+//! - `client` accepts requests by MessagePack-RPC and by the paged REST protocol, `admission` admits or rejects them,
+//!   `request` tracks their attempts, and `engine` sends the attempts to engines.
+//! - `codec` converts between bytes and typed values, and `state` holds what the coroutines share.
+//! - `cli` parses the command line; `startup`, `reload` and `shutdown` manage the life of the process.
+//! - `cluster` communicates with the other gateways: membership, leases, quotas and health gossip.
 
 #![deny(missing_docs)]
 
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,26 +1,30 @@
-//! Log lines on standard output, written by a thread of their own: a slow reader stalls no request. Lines that it can't
-//! take in time are dropped and counted.
+//! Logs to standard output from a separate thread, so that a slow reader of the output delays no request. Lines that
+//! don't fit into the queue are dropped, and the log reports their number.
 
 use slog::{Drain, Logger, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use std::io::stdout;
 
-const QUEUED_LINES: usize = 2048;
+/// Log lines that wait to be written before further lines are dropped.
+const LOG_QUEUE_LINES: usize = 2048;
 
-/// A running logger.
+/// A logger whose writer thread is running.
 pub struct Logging {
-    /// Adds this gateway's name to each line.
+    /// Root logger, which adds the gateway's name to each line.
     pub logger: Logger,
-    /// Writes out what is queued when it is dropped.
+    /// Writes the queued lines when dropped.
     pub flush_on_drop: AsyncGuard,
 }
 
-/// Starts the thread that writes the log.
-pub fn start(gateway: &str) -> Logging {
-    let lines = slog_term::FullFormat::new(slog_term::PlainDecorator::new(stdout())).build().fuse();
-    let (drain, flush_on_drop) = Async::new(lines)
-        .chan_size(QUEUED_LINES)
+/// Starts the writer thread. Each line has `gateway_name` in its `gateway` field.
+pub fn start(gateway_name: &str) -> Logging {
+    let line_writer = slog_term::FullFormat::new(slog_term::PlainDecorator::new(stdout())).build().fuse();
+    let (async_drain, flush_on_drop) = Async::new(line_writer)
+        .chan_size(LOG_QUEUE_LINES)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    Logging { logger: Logger::root(drain.fuse(), o!("gateway" => gateway.to_owned())), flush_on_drop }
+    Logging {
+        logger: Logger::root(async_drain.fuse(), o!("gateway" => gateway_name.to_owned())),
+        flush_on_drop,
+    }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `larchfall`.
+//! The executable `larchfall`.
 
 fn main() -> std::process::ExitCode {
     larchfall_gateway::cli::main()
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,5 +1,5 @@
-//! What leases need of the machine: a steady clock that also runs during system sleep, the Unix clock, and a directory
-//! for the voter record. Fault tests put others in their place; the shipped program has no way to.
+//! The clocks and the disk of the machine that leases depend on: a steady clock that also runs during system sleep, the
+//! Unix clock, and a directory for the voter record. Fault tests replace them; the released program can't.
 
 use larchfall_leases::voter_record::Disk;
 use larchfall_policy::time::{Duration, Timestamp};
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 use std::time::SystemTime;
 
-/// The machine as leases see it.
+/// The clocks and the disk that leases use.
 #[derive(Clone)]
 pub struct Platform {
-    /// Time since the machine started, its sleep included.
+    /// Time since boot, including system sleep.
     pub steady_clock: Arc<dyn Fn() -> Timestamp + Send + Sync>,
-    /// Time since 1970 as the machine has it now: it may jump.
+    /// Unix time. It may jump when the machine's clock is set.
     pub unix_clock: Arc<dyn Fn() -> Duration + Send + Sync>,
-    /// Opens the directory that keeps the voter record.
+    /// Opens the directory of the voter record.
     pub open_disk: fn(&Path) -> Box<dyn Disk>,
 }
 
@@ -31,25 +31,25 @@
     }
 }
 
-/// Time since the machine started, its sleep included.
+/// Time since boot, including system sleep.
 pub fn boot_time() -> Timestamp {
     let now = clock_gettime(ClockId::Boottime);
     Timestamp::from_micros(now.tv_sec.max(0) as u64 * 1_000_000 + now.tv_nsec.max(0) as u64 / 1000)
 }
 
-/// Time since 1970; zero where the machine's clock is set before that.
+/// Unix time; zero if the machine's clock is set to a time before 1970.
 pub fn unix_time() -> Duration {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     Duration::from_micros(since_epoch.as_micros() as u64)
 }
 
-/// A directory of the file system.
+/// A directory of the file system as the disk of the voter record.
 pub struct Directory {
     path: PathBuf,
 }
 
 impl Directory {
-    /// The directory at this path, which has to exist by the time it is written to.
+    /// Uses the directory at `path`, which must exist before the first write.
     pub fn new(path: &Path) -> Directory {
         Directory { path: path.to_owned() }
     }
--- a/crates/gateway/src/startup/cluster.rs
+++ b/crates/gateway/src/startup/cluster.rs
@@ -1,4 +1,4 @@
-//! Joins the other gateways, where the operator's file has a `[fronts]` table.
+//! Joins the cluster of gateways if the operator's file has a `[fronts]` table.
 
 use super::StartupError;
 use crate::cluster::health_gossip::HealthGossipService;
@@ -15,21 +15,22 @@
 use slog::info;
 use std::sync::Arc;
 
-/// What the operator's file says of gateways among themselves.
+/// The tables of the operator's file that concern the cluster of gateways.
 pub(super) struct ClusterSettings {
     pub(super) membership: MembershipConfig,
     pub(super) leases: Option<LeaseConfig>,
     pub(super) health_gossip: Option<HealthGossipConfig>,
 }
 
-/// The open socket between gateways, and the writer of the voter record where there is one.
+/// The cluster with its bound UDP socket.
 pub(super) struct JoinedCluster {
     pub(super) cluster: Arc<Cluster>,
+    /// Writes the voter record; `None` without a directory for it.
     pub(super) record_writer: Option<VoterRecordWriter>,
 }
 
-/// Opens the socket between gateways. Who else is there is found out once it runs; until then as many gateways count as
-/// the platform's settings name.
+/// Binds the socket between gateways. Members are discovered only after [`Cluster::run`] starts; until then, the policy
+/// uses the number of gateways in the platform's settings.
 pub(super) fn join(
     state: &State,
     settings: ClusterSettings,
@@ -44,34 +45,35 @@
         requests_per_second: membership.requests_per_second,
     };
     let now = state.clock.now();
-    let gateway_count =
-        membership.fleet_size.map(|count| FleetSize::new(count, quota_inputs.max_gateways, now));
-    // The time of its start, so that each process under this name is another one than the one before.
-    let me = MemberId { name: membership.name, generation: now.micros() };
+    let fleet_size =
+        membership.fleet_size.map(|settings| FleetSize::new(settings, quota_inputs.max_gateways, now));
+    // The start time as the generation distinguishes this process from earlier ones of the same name.
+    let member_id = MemberId { name: membership.name, generation: now.micros() };
     let cluster_name = membership.settings.cluster.clone();
-    let members = Membership::new(&me.name, me.generation, info, membership.settings, seed, now);
-    let member_name = me.name.clone();
-    let opened = leases
+    let membership_state =
+        Membership::new(&member_id.name, member_id.generation, info, membership.settings, seed, now);
+    let member_name = member_id.name.clone();
+    let opened_leases = leases
         .map(|settings| {
-            LeaseService::open(state, LeaseSetup { settings, member_id: me, seed, platform, quota_inputs })
+            LeaseService::open(state, LeaseSetup { settings, member_id, seed, platform, quota_inputs })
         })
         .transpose()
         .map_err(StartupError::Leases)?;
-    let (leases, record_writer) = match opened {
+    let (leases, record_writer) = match opened_leases {
         Some(OpenedLeases { service, record_writer }) => (Some(service), record_writer),
         None => (None, None),
     };
-    let address = membership.listen;
+    let listen_address = membership.listen;
     let cluster = Cluster::open(ClusterSetup {
-        listen_address: address,
-        membership: members,
+        listen_address,
+        membership: membership_state,
         cluster_name,
         member_name,
-        fleet_size: gateway_count,
+        fleet_size,
         leases,
         health_gossip: health_gossip.map(|settings| HealthGossipService::new(state, settings, seed, now)),
     })
-    .map_err(|source| StartupError::ClusterAddress { address, source })?;
+    .map_err(|source| StartupError::ClusterAddress { address: listen_address, source })?;
     info!(state.log, "listening to members"; "name" => cluster.member_name(), "address" => cluster.advertised_address().to_string());
     Ok(JoinedCluster { cluster, record_writer })
 }
--- a/crates/gateway/src/startup/error.rs
+++ b/crates/gateway/src/startup/error.rs
@@ -1,66 +1,66 @@
-//! Why a gateway did not start, and the exit code for it.
+//! Errors that stop a gateway from starting, and their exit codes.
 
 use std::io;
 use std::net::SocketAddrV4;
 
-/// A wrong configuration, as the exit code says it.
+/// Exit code for an invalid configuration.
 const EXIT_CONFIGURATION: u8 = 2;
-/// A failure while the gateway starts or runs.
+/// Exit code for a failure while the gateway starts or runs.
 const EXIT_FAILURE: u8 = 1;
 
-/// Why a gateway did not start.
+/// Why a gateway could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
-    /// Another program listens there, or the address is not this machine's.
-    #[error("listen: {address}: {source}")]
+    /// The address for clients is in use or is not an address of this machine.
+    #[error("listen: cannot bind {address}: {source}")]
     Listen {
-        /// The address from the files.
+        /// The address from the configuration or from the operator's file.
         address: SocketAddrV4,
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system has no random bytes for the secret in the addresses of pages.
-    #[error("no chance to be had for addresses: {0}")]
+    /// The operating system returned no random bytes for the secret in the URLs of result pages.
+    #[error("no random bytes for the secret in result page URLs: {0}")]
     Randomness(getrandom::Error),
-    /// The paged REST protocol takes all of the clients' connections.
-    #[error("rest.connections: none are left for MessagePack-RPC")]
+    /// The connections of the paged REST protocol use up the limit of client connections.
+    #[error("rest.connections: must leave client connections for MessagePack-RPC")]
     NoConnectionsLeft,
-    /// The paged REST protocol would run more queries at once than engines are left for.
-    #[error("rest.in-hand: more than half of {engine_connections} connections to engines")]
+    /// The paged REST protocol may run more queries at once than half of the engine connections.
+    #[error("rest.in-hand: must not exceed half of the {engine_connections} engine connections")]
     TooManyQueries {
-        /// Connections to engines that this gateway may open.
+        /// How many connections to engines this gateway may open.
         engine_connections: usize,
     },
-    /// The timer's wait for events could not be opened.
-    #[error("a pair of sockets: {0}")]
+    /// The socket pair that measures the delay of event polls could not be opened.
+    #[error("cannot create a socket pair: {0}")]
     SocketPair(io::Error),
-    /// The signals could not be waited for.
-    #[error("signals: {0}")]
+    /// The streams of registered signals could not be opened.
+    #[error("cannot wait for signals: {0}")]
     Signals(io::Error),
-    /// The address between gateways can't be bound.
-    #[error("fronts.address: {address}: {source}")]
+    /// The address for other gateways could not be bound.
+    #[error("fronts.address: cannot bind {address}: {source}")]
     ClusterAddress {
-        /// The address from the file.
+        /// The address from the operator's file.
         address: SocketAddrV4,
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Supervision of the operator's programs did not start.
-    #[error("duties: {0}")]
+    /// The thread that supervises the operator's programs could not be started.
+    #[error("duties: cannot start the supervisor of programs: {0}")]
     Leases(io::Error),
-    /// The thread that writes the voter record did not start.
-    #[error("the thread that keeps records: {0}")]
+    /// The thread that writes the voter record could not be started.
+    #[error("cannot start the thread that writes the voter record: {0}")]
     RecordThread(io::Error),
-    /// The timer's thread did not start.
-    #[error("the timer's thread: {0}")]
+    /// The timer thread could not be started.
+    #[error("cannot start the timer thread: {0}")]
     TimerThread(io::Error),
     /// The coroutine that runs the gateway panicked.
-    #[error("the coroutine that waits for signals panicked")]
-    Panicked,
+    #[error("the main coroutine panicked")]
+    MainCoroutinePanicked,
 }
 
 impl StartupError {
-    /// The exit code of the program: 2 where its files are wrong, else 1.
+    /// The exit code of the program: 2 if its files or an address in them are invalid, else 1.
     pub fn exit_code(&self) -> u8 {
         match self {
             StartupError::Listen { .. }
@@ -73,7 +73,7 @@
             | StartupError::Leases(_)
             | StartupError::RecordThread(_)
             | StartupError::TimerThread(_)
-            | StartupError::Panicked => EXIT_FAILURE,
+            | StartupError::MainCoroutinePanicked => EXIT_FAILURE,
         }
     }
 }
--- a/crates/gateway/src/startup/listener.rs
+++ b/crates/gateway/src/startup/listener.rs
@@ -1,10 +1,11 @@
-//! Opens listeners for clients.
+//! Binds the TCP listeners for clients.
 
 use super::StartupError;
 use may::net::TcpListener;
 use std::net::SocketAddrV4;
 
-/// may's own listener shares its port with any other of ours: a plain one finds out whether the port is free.
+/// Binds a listener. may's listener sets `SO_REUSEPORT`, so it also binds a port that another gateway of the same user
+/// listens on; a listener of the standard library is bound and closed first to detect a port in use.
 pub(super) fn bind(address: SocketAddrV4) -> Result<TcpListener, StartupError> {
     std::net::TcpListener::bind(address)
         .map(drop)
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -1,4 +1,4 @@
-//! The start of a gateway, from its files to the coroutines that run until the end.
+//! Starts a gateway: binds its addresses, builds its state and spawns its threads and coroutines.
 
 mod cluster;
 mod error;
@@ -30,19 +30,22 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Bytes of each coroutine's stack. Only pages that were touched count as memory; see docs/gateway.md.
-const STACK_BYTES: usize = 64 * 1024;
-/// Coroutines that are made at the start and kept for reuse. Each has touched two pages of its stack: a thousand, the
-/// crate's default, are 8 MB and two thousand page faults of a gateway that uses some dozens.
+/// Bytes of each coroutine's stack. Only touched pages occupy memory; see docs/gateway.md.
+const COROUTINE_STACK_BYTES: usize = 64 * 1024;
+/// Coroutines that are allocated at startup and kept for reuse. Each touches two pages of its stack, so the default of
+/// the `may` crate, 1000, would cost 8 MB and 2000 page faults; a gateway uses some dozens of coroutines.
 const POOLED_COROUTINES: usize = 64;
 
-/// Runs a gateway to its end.
+/// Runs a gateway until it has shut down.
 pub fn run(
     loaded: LoadedFiles,
     platform: Platform,
     registered_signals: RegisteredSignals,
 ) -> Result<(), StartupError> {
-    may::config().set_workers(1).set_stack_size(STACK_BYTES / size_of::<usize>()).set_worker_pin(false);
+    may::config()
+        .set_workers(1)
+        .set_stack_size(COROUTINE_STACK_BYTES / size_of::<usize>())
+        .set_worker_pin(false);
     may::config().set_pool_capacity(POOLED_COROUTINES);
     let LoadedFiles { config_path, config, operator_config } = loaded;
     let files = ConfigFiles {
@@ -51,12 +54,12 @@
     };
     let operator_config = operator_config.map(|file| file.config).unwrap_or_default();
 
-    // Listeners first: an address that is taken is found before anything runs.
+    // Listeners are bound first, so that an address in use is reported before any work starts.
     let listener = listener::bind(config.listen)?;
     let paged_rest = operator_config.paged_rest.clone();
     let paged_rest = paged_rest.map(|settings| PagedRest::open(settings, config.seed)).transpose()?;
     let limits = paged_rest::remaining_limits(config.limits, paged_rest.as_ref())?;
-    // Dropped at the end of this function, so that the last lines are written.
+    // Flushes the queued log lines when this function returns.
     let Logging { logger, flush_on_drop: _flush_on_drop } = logging::start(&config.name);
 
     let quota_inputs = QuotaInputs::new(&config.settings);
@@ -71,7 +74,7 @@
         load_sharing: operator_config.leases.as_ref().and_then(|leases| leases.load_sharing),
         clock: Clock::start((platform.unix_clock)()),
     }));
-    // The configuration's endpoint list counts as if the discovery service had just sent it.
+    // The endpoint list of the configuration is as valid as one that the discovery service has just sent.
     state.policy.confirm_endpoint_list(state.clock.now());
     for event in &endpoint_list {
         discovery::apply_event(&state, event);
@@ -93,18 +96,18 @@
         seed,
     };
     gateway.start_timer()?;
-    let ended = may::go!(move || gateway.run()).join();
+    let result = may::go!(move || gateway.run()).join();
     state.log_counters();
-    ended.map_err(|_| StartupError::Panicked)
+    result.map_err(|_| StartupError::MainCoroutinePanicked)
 }
 
 fn log_addresses(
     state: &State,
     listener: &TcpListener,
-    configured: SocketAddrV4,
+    configured_address: SocketAddrV4,
     paged_rest: Option<&PagedRest>,
 ) {
-    let address = listener.local_addr().unwrap_or(configured.into());
+    let address = listener.local_addr().unwrap_or(configured_address.into());
     info!(state.log, "listening"; "clients" => state.limits.client_connections, "engine_connections" => state.limits.engine_connections,
         "requests" => state.limits.requests, "address" => address.to_string());
     if let Some(paged_rest) = paged_rest {
@@ -112,8 +115,8 @@
     }
 }
 
-/// Opens the socket between gateways and starts the thread that writes the voter record, where the operator's file has
-/// them.
+/// Joins the cluster and starts the thread that writes the voter record. Returns `None` if the operator's file has no
+/// `[fronts]` table.
 fn join_cluster(
     state: &Arc<State>,
     operator_config: OperatorConfig,
@@ -132,7 +135,7 @@
     Ok(Some(cluster))
 }
 
-/// All that runs, before it does.
+/// Everything that a gateway needs to run; its threads and coroutines are not yet started.
 struct Gateway {
     state: Arc<State>,
     listener: TcpListener,
@@ -147,23 +150,23 @@
 }
 
 impl Gateway {
-    fn service(&self) -> Option<Arc<RestService>> {
+    fn rest_service(&self) -> Option<Arc<RestService>> {
         self.paged_rest.as_ref().map(|rest| rest.service.clone())
     }
 
     fn start_timer(&self) -> Result<(), StartupError> {
         let state = self.state.clone();
-        let service = self.service();
+        let rest_service = self.rest_service();
         std::thread::Builder::new()
             .name("timer".to_owned())
-            .spawn(move || timer::run(&state, service.as_ref()))
+            .spawn(move || timer::run(&state, rest_service.as_ref()))
             .map_err(StartupError::TimerThread)?;
         Ok(())
     }
 
-    /// Starts all coroutines, and waits until the gateway has ended.
+    /// Starts all coroutines and waits until the gateway has shut down.
     fn run(self) {
-        let service = self.service();
+        let rest_service = self.rest_service();
         let Gateway { state, cluster, signals, .. } = self;
         if let Some(cluster) = cluster.clone() {
             let state = state.clone();
@@ -175,29 +178,30 @@
         discovery::start_client(&state, self.discovery, self.seed);
         let reloader = Reloader {
             state: state.clone(),
-            service: service.clone(),
+            service: rest_service.clone(),
             cluster: cluster.clone(),
             files: self.files,
             seed: self.seed,
         };
         may::go!(move || reloader.run(signals.reload));
-        let watching = state.clone();
-        may::go!(move || timer::record_event_polls(&watching, self.event_poll_probe));
-        let accepting = state.clone();
-        may::go!(move || client::message_pack::accept(&accepting, &self.listener));
+        let poll_state = state.clone();
+        may::go!(move || timer::record_event_polls(&poll_state, self.event_poll_probe));
+        let accept_state = state.clone();
+        may::go!(move || client::message_pack::accept(&accept_state, &self.listener));
         if let Some(PagedRest { service, listener, .. }) = self.paged_rest {
             let state = state.clone();
             may::go!(move || client::paged_rest::accept(&state, &listener, &service));
         }
         log_counters_on_signal(&state, cluster.clone(), signals.log_counters);
-        shutdown::wait_and_shut_down(&state, signals.terminate, service.as_ref(), cluster.as_deref());
+        shutdown::wait_and_shut_down(&state, signals.terminate, rest_service.as_ref(), cluster.as_deref());
     }
 }
 
-fn log_counters_on_signal(state: &Arc<State>, cluster: Option<Arc<Cluster>>, mut signal: SignalStream) {
+/// Logs the counters and the status of the cluster on each signal, in a coroutine of its own.
+fn log_counters_on_signal(state: &Arc<State>, cluster: Option<Arc<Cluster>>, mut signals: SignalStream) {
     let state = state.clone();
     may::go!(move || {
-        while signal.wait() {
+        while signals.wait() {
             state.log_counters();
             if let Some(cluster) = &cluster {
                 cluster.log_status(&state);
--- a/crates/gateway/src/startup/paged_rest.rs
+++ b/crates/gateway/src/startup/paged_rest.rs
@@ -1,4 +1,4 @@
-//! The paged REST protocol at the start: its service, its listener, and its part of the connections.
+//! Starts the paged REST protocol: creates its service, binds its listener and reserves its client connections.
 
 use super::StartupError;
 use super::listener::bind;
@@ -9,7 +9,7 @@
 use slog::{Logger, info};
 use std::sync::Arc;
 
-/// The service with its open listener.
+/// The paged REST service with its bound listener.
 pub(super) struct PagedRest {
     pub(super) service: Arc<RestService>,
     pub(super) listener: TcpListener,
@@ -30,7 +30,8 @@
     }
 }
 
-/// What is left to the other protocol of the machine's limits.
+/// Subtracts the client connections of the paged REST protocol from the limits, which leaves those of MessagePack-RPC.
+/// Fails if none are left, or if the paged REST protocol may use more than half of the engine connections.
 pub(super) fn remaining_limits(
     limits: Limits,
     paged_rest: Option<&PagedRest>,
--- a/crates/gateway/src/startup/state.rs
+++ b/crates/gateway/src/startup/state.rs
@@ -1,4 +1,4 @@
-//! Builds what the gateway's coroutines share, from the checked configuration.
+//! Builds the state that the gateway's coroutines share, from the validated configuration.
 
 use crate::discovery;
 use crate::engine::cancellation::UNOBSERVED_ATTEMPT_LIFETIME;
@@ -21,20 +21,22 @@
 use slog::Logger;
 use std::sync::{Arc, Mutex};
 
-/// What the state is built from.
+/// The inputs of [`build`].
 pub(super) struct StateSettings {
+    /// The settings that the platform provides.
     pub(super) platform: Settings,
     pub(super) limits: Limits,
+    /// Seed of the policy's random choices.
     pub(super) seed: u64,
     pub(super) log: Logger,
-    /// Load reports shared between gateways, where the operator's file has them.
+    /// Settings for sharing load reports between gateways; `None` if the operator's file does not enable it.
     pub(super) load_sharing: Option<LoadSharingSettings>,
     pub(super) clock: Clock,
 }
 
 pub(super) fn build(settings: StateSettings) -> State {
     let StateSettings { platform, limits, seed, log, load_sharing, clock } = settings;
-    let settings = TransportSettings::new(&platform);
+    let transport_settings = TransportSettings::new(&platform);
     let capabilities = Capabilities {
         unobserved_attempt_lifetime: Some(UNOBSERVED_ATTEMPT_LIFETIME),
         idle_connection_lifetime: ConnectionPool::idle_lifetime(platform.engine_idle_timeout),
@@ -48,8 +50,8 @@
         clock,
         stall_detector: StallDetector::start(clock.now()),
         log,
-        counters: Counters::new(settings.classes.len()),
-        settings,
+        counters: Counters::new(transport_settings.classes.len()),
+        settings: transport_settings,
         limits,
         policy: PolicyHandle::new(policy, clock, limits.requests, timers.clone()),
         timers,
--- a/crates/gateway/tests/gateway/cli.rs
+++ b/crates/gateway/tests/gateway/cli.rs
@@ -10,11 +10,11 @@
 const WRONG_CONFIGURATIONS: &[(&str, &str)] = &[
     ("", "EOF"),
     ("{", "EOF"),
-    ("\"listen\":\"127.0.0.1:0\"|\"listen\":\"here\"", "listen: 'here' is no address"),
+    ("\"listen\":\"127.0.0.1:0\"|\"listen\":\"here\"", "listen: 'here' is not an IPv4 address"),
     ("\"listen\":\"127.0.0.1:0\",|", "missing field `listen`"),
-    ("\"board\":\"127.0.0.1:9\"|\"board\":\"\"", "board: '' is no address"),
-    ("8c1f30d27a5be964|xyz", "seed: 'xyz' is not hex"),
-    ("\"sockets\":256|\"sockets\":3", "limits: too little memory or too few sockets"),
+    ("\"board\":\"127.0.0.1:9\"|\"board\":\"\"", "board: '' is not an IPv4 address"),
+    ("8c1f30d27a5be964|xyz", "seed: 'xyz' is not hexadecimal"),
+    ("\"sockets\":256|\"sockets\":3", "limits: memory_mb or sockets is too small"),
     ("s-00000001|00000001", "known.notices, rev 1: instanceId '00000001'"),
     ("10.0.0.1:7|10.0.0.1", "known.notices, rev 1: hostPort"),
     (
@@ -23,7 +23,7 @@
     ),
     ("\"zone\":\"east\"|\"zone\":\"moon\"", "known.notices, rev 1: zone 'moon' is not in the settings"),
     ("read_like|write_like", "settings: classes[0].effect: unknown word 'write_like'"),
-    ("\"classes\":|\"others\":", "settings.classes: no service group"),
+    ("\"classes\":|\"others\":", "settings.classes: must list at least one request class"),
     // Missing, out of range, or against each other.
     ("\"instances\":1,\"me\":0|\"instances\":1,\"me\":1", "settings: me: not under instances"),
     ("\"az\":0|\"az\":1", "settings: az: no place in zones"),
