--- a/crates/fault-tests/src/simulation/leases/mod.rs
+++ b/crates/fault-tests/src/simulation/leases/mod.rs
@@ -48,8 +48,8 @@
         terms: LeaseTerms { length: ms(3_000), drift_margin_per_mille: 60 },
         voter_limits: VoterLimits { longest_lease: ms(6_000), max_roles: 1_000, persistent },
         roles: (0..roles).map(|role| format!("duty:{role:03}")).collect(),
-        min_hold: ms(5_000),
-        better_margin: 0.1,
+        min_hold_time: ms(5_000),
+        better_holder_margin: 0.1,
     }
 }
 
--- a/crates/gateway/src/cluster/leases/load_reports.rs
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -28,7 +28,7 @@
         let Some(sharing) = &state.shared_load_reports else { return };
         let role_count = {
             let mut sharing = lock(sharing);
-            if sharing.start_round(state.clock.now()) { sharing.roles() } else { 0 }
+            if sharing.start_health_checks(state.clock.now()) { sharing.role_count() } else { 0 }
         };
         for index in 0..role_count {
             let engines: Vec<ReadyEngine> = ready_engines
@@ -48,7 +48,7 @@
                 may::go!(move || {
                     let report = load_report::fetch(&state, allowed.into_action().engine);
                     if let (Some(report), Some(sharing)) = (report, &state.shared_load_reports) {
-                        lock(sharing).record_own(to_shared_report(id, report), state.clock.now());
+                        lock(sharing).record_own_report(to_shared_report(id, report), state.clock.now());
                     }
                     let is_last = pending_checks.fetch_sub(1, Ordering::Relaxed) == 1;
                     if let Some(leases) = cluster.leases.as_ref().filter(|_| is_last) {
@@ -63,7 +63,7 @@
     /// Stops when the lease is no longer held.
     fn send_load_reports(&self, state: &State, cluster: &Cluster, index: usize) {
         let Some(sharing) = &state.shared_load_reports else { return };
-        let reports = lock(sharing).take_unsent(index, state.clock.now());
+        let reports = lock(sharing).take_unsent_reports(index, state.clock.now());
         let role = health_check_role(index);
         for page in paginate(reports, MAX_LIST_BYTES) {
             let fenced = lock(&self.manager).permit(&role, self.now()).map(|permit| permit.fence(page));
@@ -84,7 +84,7 @@
     pub(super) fn on_load_reports(&self, state: &State, reports: &Fenced<Vec<SharedLoadReport>>) {
         let Some(sharing) = &state.shared_load_reports else { return };
         let accepted: Option<Vec<SharedLoadReport>> = lock(sharing)
-            .on_reports(reports, state.clock.now())
+            .accept_reports(reports, state.clock.now())
             .map(|accepted| accepted.into_iter().copied().collect());
         let Some(accepted) = accepted else {
             warn!(state.log, "load reports rejected"; "token" => reports.token, "lease" => &reports.role);
@@ -94,7 +94,7 @@
             increment(&self.counters.load_reports);
             let report = LoadReport {
                 in_flight: shared.in_flight.map(f64::from),
-                busy_fraction: shared.busy.map(f64::from),
+                busy_fraction: shared.busy_fraction.map(f64::from),
             };
             state.policy.record_shared_load_report(shared.engine, report);
         }
@@ -108,6 +108,6 @@
         engine: u64::from(engine_id),
         age_us: 0,
         in_flight: to_f32(report.in_flight),
-        busy: to_f32(report.busy_fraction),
+        busy_fraction: to_f32(report.busy_fraction),
     }
 }
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -176,7 +176,7 @@
 
     /// Returns whether no lease is held and no program runs, so that the gateway may end.
     pub(super) fn is_finished(&self) -> bool {
-        !self.supervisor.is_any_running() && !lock(&self.manager).holds_any()
+        !self.supervisor.is_any_running() && !lock(&self.manager).holds_any_role()
     }
 
     pub(super) fn on_name_taken(&self, state: &State, cluster: &Cluster) {
--- a/crates/gateway/src/cluster/leases/status.rs
+++ b/crates/gateway/src/cluster/leases/status.rs
@@ -4,7 +4,7 @@
 use crate::cluster::counters::counter_value;
 use crate::state::{State, lock};
 use larchfall_leases::load_sharing::ReportAges;
-use larchfall_leases::manager::{KnownLease, LastEnd, RoleStatus};
+use larchfall_leases::manager::{LastEnd, ListedLease, RoleStatus};
 use larchfall_policy::time::Timestamp;
 use larchfall_quotas::fairness::Fairness;
 use larchfall_quotas::manager::{AllocationStatus, QuotaStatus};
@@ -25,20 +25,20 @@
     pub(in crate::cluster) fn lease_rows(&self) -> Vec<Vec<String>> {
         let now = self.now();
         let row = |status: RoleStatus| {
-            let own_lease = status.held.map(|held| ActiveLease {
+            let own_lease = status.held_lease.map(|held| ActiveLease {
                 holder: self.member_id.name.clone(),
                 token: held.token,
                 expires_at: held.expires_at,
             });
-            let to_active_lease = |known: &KnownLease| ActiveLease {
+            let to_active_lease = |known: &ListedLease| ActiveLease {
                 holder: known.holder.name.clone(),
                 token: known.token,
                 expires_at: known.expires_at,
             };
-            let lease = own_lease.or_else(|| status.known.map(to_active_lease));
+            let lease = own_lease.or_else(|| status.listed_lease.map(to_active_lease));
             let remaining_ms = lease.as_ref().map_or(0, |lease| lease.expires_at.since(now).micros() / 1000);
-            let last_end = status.last_end.map_or(String::new(), |LastEnd { reason, at }| {
-                format!("{} {:.1} s ago", reason.status_word(), now.since(at).secs())
+            let last_end = status.last_end.map_or(String::new(), |LastEnd { reason, ended_at }| {
+                format!("{} {:.1} s ago", reason.status_word(), now.since(ended_at).secs())
             });
             vec![
                 status.role.to_owned(),
@@ -48,7 +48,7 @@
                 last_end,
             ]
         };
-        lock(&self.manager).statuses(now).map(row).collect()
+        lock(&self.manager).role_statuses(now).map(row).collect()
     }
 
     /// One row for each capacity: name, this gateway's quota fraction, and `handed out` if the quota was granted or
@@ -89,7 +89,7 @@
         if let Some(sharing) = &state.shared_load_reports {
             let engine_ids = state.policy.ready_engines().into_iter().map(|engine| u64::from(engine.id));
             let sharing = lock(sharing);
-            rejected_reports = sharing.rejected();
+            rejected_reports = sharing.rejected_messages();
             report_ages = sharing.report_ages(engine_ids, state.clock.now());
         }
         info!(state.log, "lease counters"; "received" => counter_value(&counters.received),
--- a/crates/leases/src/fencing.rs
+++ b/crates/leases/src/fencing.rs
@@ -2,7 +2,7 @@
 //!
 //! An action towards something that can check tokens is sent as [`Fenced`] and rejected there once a newer token was seen
 //! ([`TokenFence`]). Towards something that can't, only actions are allowed that state what a late second one costs
-//! ([`SafeWhenLate`]).
+//! ([`SafeAfterExpiry`]).
 
 use larchfall_policy::time::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -32,9 +32,9 @@
 }
 
 /// An action that may be done towards something that checks no token.
-pub trait SafeWhenLate {
+pub trait SafeAfterExpiry {
     /// What it costs when a gateway whose lease is over does it once more.
-    const COST_WHEN_LATE: &'static str;
+    const EFFECT_AFTER_EXPIRY: &'static str;
 }
 
 /// An action that a permit allowed; only [`ActionPermit::allow`] makes one.
@@ -53,7 +53,7 @@
     }
 
     /// Allows an action that does no harm when it comes late.
-    pub fn allow<T: SafeWhenLate>(&self, action: T) -> AllowedAction<T> {
+    pub fn allow<T: SafeAfterExpiry>(&self, action: T) -> AllowedAction<T> {
         AllowedAction(action)
     }
 }
--- a/crates/leases/src/manager/hand_over.rs
+++ b/crates/leases/src/manager/hand_over.rs
@@ -60,7 +60,7 @@
         let newest_token = holding.newest().token;
         state.raise_highest_token(newest_token);
         state.phase = Phase::Watching { not_before: retry_at };
-        state.known = None;
+        state.listed_lease = None;
         state.vacant_since = None;
         for token in BTreeSet::from([token, newest_token]) {
             let notice = ReleaseNotice { role: role.to_owned(), token, remaining_sends: RELEASE_SENDS };
@@ -94,7 +94,7 @@
             return;
         }
         holding.ending = Some(Ending { reason, successor: successor.clone() });
-        state.last_end = Some(LastEnd { reason, at: now });
+        state.last_end = Some(LastEnd { reason, ended_at: now });
         output.report(role, LeaseEventKind::Ending { token: holding.candidacy.token, reason, successor });
     }
 
@@ -104,8 +104,8 @@
             output.report(role, LeaseEventKind::Lost { token: holding.candidacy.token, reason });
             let newest_token = holding.newest().token;
             state.raise_highest_token(newest_token);
-            state.last_end = Some(LastEnd { reason, at: now });
-            state.known = None;
+            state.last_end = Some(LastEnd { reason, ended_at: now });
+            state.listed_lease = None;
             state.vacant_since = Some(now);
         }
         state.phase = Phase::Watching { not_before: now };
@@ -135,14 +135,15 @@
 
     /// Checked as often as leases are renewed: ordering many gateways costs more than all else here.
     fn has_better_holder(&self, role: &str, held_since: Timestamp, now: Timestamp) -> bool {
-        let min_hold = self.settings.min_hold;
-        if now < self.next_renewal || now.since(held_since) < min_hold {
+        let min_hold_time = self.settings.min_hold_time;
+        if now < self.next_renewal || now.since(held_since) < min_hold_time {
             return false;
         }
-        let is_settled_other =
-            |(name, since): &(&String, &Timestamp)| **name != self.me.name && now.since(**since) >= min_hold;
+        let is_settled_other = |(name, since): &(&String, &Timestamp)| {
+            **name != self.me.name && now.since(**since) >= min_hold_time
+        };
         let others = self.live_members.iter().filter(is_settled_other).map(|(name, _)| name.as_str());
-        spread::better_holder(role, &self.me.name, others, self.settings.better_margin).is_some()
+        spread::better_holder(role, &self.me.name, others, self.settings.better_holder_margin).is_some()
     }
 
     /// Tells all voters what was released.
--- a/crates/leases/src/manager/incoming.rs
+++ b/crates/leases/src/manager/incoming.rs
@@ -101,7 +101,7 @@
         let Some(state) = self.roles.get_mut(role).filter(|state| !state.is_held()) else { return };
         state.raise_highest_token(token);
         state.eager_until = eager_until;
-        state.known = None;
+        state.listed_lease = None;
         // One that asks already goes on, and asks again soon if it came too early.
         if matches!(state.phase, Phase::Watching { .. }) {
             state.campaign(now);
--- a/crates/leases/src/manager/listings.rs
+++ b/crates/leases/src/manager/listings.rs
@@ -1,7 +1,7 @@
 //! Finding out who holds what: voters are asked for their leases in turn.
 
 use super::LeaseManager;
-use super::output::{KnownLease, Output};
+use super::output::{ListedLease, Output};
 use super::role_state::RoleState;
 use crate::messages::{LeaseInfo, Payload};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -49,19 +49,19 @@
     /// What one voter has granted of this role, if anything. A voter that knows of no lease is outweighed by another that
     /// does, as long as that lease lasts.
     fn on_listing(&mut self, lease: Option<&LeaseInfo>, now: Timestamp) {
-        let running = self.known.as_ref().filter(|known| now < known.expires_at);
+        let running = self.listed_lease.as_ref().filter(|known| now < known.expires_at);
         match lease {
             Some(lease) => {
                 if running.is_none_or(|known| known.token <= lease.token) {
                     let expires_at = now + Duration::from_micros(lease.remaining_us);
                     let holder = lease.holder.clone();
-                    self.known = Some(KnownLease { holder, token: lease.token, expires_at });
+                    self.listed_lease = Some(ListedLease { holder, token: lease.token, expires_at });
                 }
                 self.vacant_since = None;
                 self.raise_highest_token(lease.token);
             }
             None if running.is_none() => {
-                self.known = None;
+                self.listed_lease = None;
                 self.vacant_since = self.vacant_since.or(Some(now));
             }
             None => {}
--- a/crates/leases/src/manager/mod.rs
+++ b/crates/leases/src/manager/mod.rs
@@ -17,7 +17,7 @@
 mod settings;
 
 pub use output::{
-    EndReason, HeldLease, KnownLease, LastEnd, LeaseEvent, LeaseEventKind, OutgoingMessage, Output,
+    EndReason, HeldLease, LastEnd, LeaseEvent, LeaseEventKind, ListedLease, OutgoingMessage, Output,
     RoleStatus,
 };
 pub use settings::{LeaseSettings, SettingsError};
@@ -182,16 +182,16 @@
         if self.permit(role, now).is_some() {
             return Some(&self.me.name);
         }
-        let known = self.roles.get(role)?.known.as_ref().filter(|known| now < known.expires_at)?;
+        let known = self.roles.get(role)?.listed_lease.as_ref().filter(|known| now < known.expires_at)?;
         Some(&known.holder.name)
     }
 
     /// What this gateway knows of each role.
-    pub fn statuses(&self, now: Timestamp) -> impl Iterator<Item = RoleStatus<'_>> {
+    pub fn role_statuses(&self, now: Timestamp) -> impl Iterator<Item = RoleStatus<'_>> {
         self.roles.iter().map(move |(role, state)| RoleStatus {
             role,
-            known: state.known.as_ref().filter(|known| now < known.expires_at),
-            held: self
+            listed_lease: state.listed_lease.as_ref().filter(|known| now < known.expires_at),
+            held_lease: self
                 .permit(role, now)
                 .map(|permit| HeldLease { token: permit.token, expires_at: permit.expires_at }),
             last_end: state.last_end,
@@ -199,7 +199,7 @@
     }
 
     /// Whether any role is held here, hand-overs that are not finished among them.
-    pub fn holds_any(&self) -> bool {
+    pub fn holds_any_role(&self) -> bool {
         self.roles.values().any(RoleState::is_held)
     }
 
@@ -240,7 +240,7 @@
     /// Notices what became of a role, and returns whether this gateway now begins to ask for it.
     fn check_role(&mut self, role: &str, check: TimerCheck, output: &mut Output) -> bool {
         let Some(state) = self.roles.get_mut(role) else { return false };
-        if let Some(expired) = state.known.take_if(|known| known.expires_at <= check.now) {
+        if let Some(expired) = state.listed_lease.take_if(|known| known.expires_at <= check.now) {
             state.vacant_since = Some(expired.expires_at);
         }
         let Some(state) = self.roles.get(role) else { return false };
@@ -270,7 +270,7 @@
     /// last: one that restarts over and over would acquire it and drop it each time.
     fn preference_order(&self, role: &str, now: Timestamp) -> Vec<&str> {
         let is_settled = |name: &&str| {
-            self.live_members.get(*name).is_some_and(|since| now.since(*since) >= self.settings.min_hold)
+            self.live_members.get(*name).is_some_and(|since| now.since(*since) >= self.settings.min_hold_time)
         };
         let names = self.live_members.keys().map(String::as_str).chain([self.me.name.as_str()]);
         let (settled, recent): (BTreeSet<&str>, BTreeSet<&str>) = names.partition(is_settled);
--- a/crates/leases/src/manager/output.rs
+++ b/crates/leases/src/manager/output.rs
@@ -114,7 +114,7 @@
 
 /// A lease as a voter last listed it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KnownLease {
+pub struct ListedLease {
     /// The process that holds it.
     pub holder: MemberId,
     /// The fencing token.
@@ -138,7 +138,7 @@
     /// Why.
     pub reason: EndReason,
     /// When.
-    pub at: Timestamp,
+    pub ended_at: Timestamp,
 }
 
 /// What this gateway knows of one role.
@@ -147,9 +147,9 @@
     /// The role.
     pub role: &'a str,
     /// The lease of another gateway, or of this one, that a voter listed.
-    pub known: Option<&'a KnownLease>,
+    pub listed_lease: Option<&'a ListedLease>,
     /// The lease that is held here.
-    pub held: Option<HeldLease>,
+    pub held_lease: Option<HeldLease>,
     /// How it last came to end here.
     pub last_end: Option<LastEnd>,
 }
--- a/crates/leases/src/manager/reconfigure.rs
+++ b/crates/leases/src/manager/reconfigure.rs
@@ -19,7 +19,7 @@
         now: Timestamp,
     ) -> Result<Output, SettingsError> {
         if !settings.voters.majorities_intersect(&self.settings.voters) {
-            return Err(SettingsError::MajoritiesMayMiss);
+            return Err(SettingsError::MajoritiesMayNotIntersect);
         }
         let longest_lease = self.settings.voter_limits.longest_lease.max(settings.voter_limits.longest_lease);
         if settings.voters != self.settings.voters {
@@ -48,7 +48,7 @@
     fn begin_voter_change(&mut self, longest_lease: Duration, now: Timestamp) -> Result<(), SettingsError> {
         let pause = longest_lease * LEASES_BETWEEN_VOTER_CHANGES;
         if self.voters_changed_at.is_some_and(|changed_at| now.since(changed_at) < pause) {
-            return Err(SettingsError::VotersJustChanged);
+            return Err(SettingsError::VotersChangedRecently);
         }
         self.voters_changed_at = Some(now);
         self.previous_voters = Some(PreviousVoters {
--- a/crates/leases/src/manager/role_state.rs
+++ b/crates/leases/src/manager/role_state.rs
@@ -1,6 +1,6 @@
 //! What a gateway remembers of one role.
 
-use super::output::{EndReason, KnownLease, LastEnd};
+use super::output::{EndReason, LastEnd, ListedLease};
 use crate::candidacy::Candidacy;
 use larchfall_policy::time::Timestamp;
 use std::collections::BTreeSet;
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct RoleState {
     pub(super) phase: Phase,
-    pub(super) known: Option<KnownLease>,
+    pub(super) listed_lease: Option<ListedLease>,
     /// Since when nobody is known to hold it.
     pub(super) vacant_since: Option<Timestamp>,
     /// The highest token heard of.
@@ -73,7 +73,7 @@
     pub(super) fn new() -> RoleState {
         RoleState {
             phase: Phase::Watching { not_before: Timestamp::default() },
-            known: None,
+            listed_lease: None,
             vacant_since: None,
             highest_token: 0,
             eager_until: Timestamp::default(),
--- a/crates/leases/src/manager/settings.rs
+++ b/crates/leases/src/manager/settings.rs
@@ -20,9 +20,9 @@
     /// Roles that this gateway may hold.
     pub roles: BTreeSet<String>,
     /// A holder keeps a role at least this long, and a better one must have lived as long.
-    pub min_hold: Duration,
+    pub min_hold_time: Duration,
     /// How much higher another's score has to be for it to be better, of a scale from 0 to 1.
-    pub better_margin: f64,
+    pub better_holder_margin: f64,
 }
 
 /// Why settings that were read again are rejected as a whole.
@@ -33,8 +33,8 @@
         "electors: a majority of these may miss one of those before: name both for a time, these as electors and those \
          as electors-before"
     )]
-    MajoritiesMayMiss,
+    MajoritiesMayNotIntersect,
     /// Voters were changed just now.
     #[error("electors: were changed just now; others may not have read it, and new ones are still silent")]
-    VotersJustChanged,
+    VotersChangedRecently,
 }
--- a/crates/leases/tests/messages.rs
+++ b/crates/leases/tests/messages.rs
@@ -94,7 +94,12 @@
 
 /// Payloads about work under roles, likewise.
 fn payloads_about_work() -> Vec<(Payload, &'static str)> {
-    let load_report = |engine, age_us, in_flight, busy| SharedLoadReport { engine, age_us, in_flight, busy };
+    let load_report = |engine, age_us, in_flight, busy_fraction| SharedLoadReport {
+        engine,
+        age_us,
+        in_flight,
+        busy_fraction,
+    };
     vec![
         (
             Payload::LoadReports(Fenced {
--- a/crates/leases/tests/roles.rs
+++ b/crates/leases/tests/roles.rs
@@ -42,15 +42,15 @@
 
 #[test]
 fn load_reports_are_accepted_from_the_newest_holder_while_they_are_fresh() {
-    let settings = LoadSharingSettings { roles: 2, interval: ms(100), max_age: ms(300) };
+    let settings = LoadSharingSettings { role_count: 2, check_interval: ms(100), max_report_age: ms(300) };
     let mut holder = LoadReportSharing::new(settings, at(0));
     let mut other = LoadReportSharing::new(settings, at(0));
     let engine = (0..).find(|e| role_index(*e, 2) == 1).unwrap();
-    let report = SharedLoadReport { engine, age_us: 0, in_flight: Some(2.0), busy: None };
-    holder.record_own(report, at(10));
-    let sent = holder.take_unsent(1, at(60));
+    let report = SharedLoadReport { engine, age_us: 0, in_flight: Some(2.0), busy_fraction: None };
+    holder.record_own_report(report, at(10));
+    let sent = holder.take_unsent_reports(1, at(60));
     assert_eq!(sent, [SharedLoadReport { age_us: 50_000, ..report }]);
-    assert_eq!(holder.take_unsent(1, at(60)), [], "sent once");
+    assert_eq!(holder.take_unsent_reports(1, at(60)), [], "sent once");
     // (role, token, when, reports accepted; none: rejected)
     let cases = [
         (health_check_role(1), 5, 70, Some(1)),
@@ -62,7 +62,7 @@
     ];
     for (role, token, now, accepted) in cases {
         let reports = Fenced { role, token, content: sent.clone() };
-        let news = other.on_reports(&reports, at(now)).map(|reports| reports.len());
+        let news = other.accept_reports(&reports, at(now)).map(|reports| reports.len());
         assert_eq!(news, accepted, "{} {token} at {now}", reports.role);
     }
     assert!(!other.has_fresh_report(engine, at(9999)) && other.has_fresh_report(engine, at(5100)));
--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -164,8 +164,8 @@
         terms: LeaseTerms { length, drift_margin_per_mille },
         voter_limits: VoterLimits { longest_lease, max_roles: MAX_ROLES, persistent: raw.record.is_some() },
         roles,
-        min_hold: table.duration(&raw.least_ms, "least-ms", 0, 3_600_000)?,
-        better_margin: MIN_IMPROVEMENT,
+        min_hold_time: table.duration(&raw.least_ms, "least-ms", 0, 3_600_000)?,
+        better_holder_margin: MIN_IMPROVEMENT,
     };
     let fitness = fitness(&table, &raw)?;
     Ok(LeaseConfig { settings, voter_record_directory: raw.record, fitness, load_sharing, quotas, programs })
@@ -201,17 +201,17 @@
 }
 
 fn load_sharing(table: &Table, raw: &RawDuties) -> Result<Option<LoadSharingSettings>, ConfigError> {
-    let roles = raw.probing.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
-    let interval = table.duration(&raw.probe_ms, "probe-ms", 20, 60_000)?;
-    let max_age = table.duration(&raw.fresh_ms, "fresh-ms", 20, 600_000)?;
-    if max_age < interval {
+    let role_count = raw.probing.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
+    let check_interval = table.duration(&raw.probe_ms, "probe-ms", 20, 60_000)?;
+    let max_report_age = table.duration(&raw.fresh_ms, "fresh-ms", 20, 600_000)?;
+    if max_report_age < check_interval {
         let problem = Problem::StaleBeforeNextProbe {
             fresh_ms: *raw.fresh_ms.get_ref(),
             probe_ms: *raw.probe_ms.get_ref(),
         };
         return Err(table.refuse(&raw.fresh_ms, "fresh-ms", problem));
     }
-    Ok(roles.map(|roles| LoadSharingSettings { roles, interval, max_age }))
+    Ok(role_count.map(|role_count| LoadSharingSettings { role_count, check_interval, max_report_age }))
 }
 
 fn quotas(table: &Table, raw: &RawDuties) -> Result<Option<QuotaConfig>, ConfigError> {
@@ -231,7 +231,7 @@
     load_sharing: Option<LoadSharingSettings>,
     quotas: Option<QuotaConfig>,
 ) -> BTreeSet<String> {
-    let health_checks = (0..load_sharing.map_or(0, |settings| settings.roles)).map(health_check_role);
+    let health_checks = (0..load_sharing.map_or(0, |settings| settings.role_count)).map(health_check_role);
     let allocators = (0..quotas.map_or(0, |quotas| quotas.allocators)).map(quota_allocator_role);
     health_checks.chain(allocators).collect()
 }
--- a/crates/operator-config/tests/operator_file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -33,7 +33,7 @@
     assert_eq!((membership.advertised, membership.settings.networks[0].prefix_len), (membership.listen, 8));
     let leases = example.leases.unwrap();
     assert_eq!((leases.settings.roles.len(), leases.programs.len(), leases.quotas), (5, 1, None));
-    assert_eq!(leases.load_sharing.map(|p| p.max_age), Some(Duration::from_millis(1500)));
+    assert_eq!(leases.load_sharing.map(|p| p.max_report_age), Some(Duration::from_millis(1500)));
     assert!(parse(LEAST, &names()).unwrap().membership.is_none());
     assert!(parse(GATEWAYS, &names()).unwrap().leases.is_none());
     let least = parse(GATEWAYS, &names()).unwrap().membership.unwrap();
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -113,7 +113,7 @@
     assert_eq!(settings.voters.previous, Some(list(&["n0", "n1", "n3"])));
     assert_eq!((settings.terms.length, settings.terms.drift_margin_per_mille), (ms(2_500), 50));
     assert_eq!((settings.voter_limits.longest_lease, settings.voter_limits.persistent), (ms(9_000), true));
-    assert_eq!((settings.min_hold, &settings.cluster[..]), (ms(20_000), "harbor"));
+    assert_eq!((settings.min_hold_time, &settings.cluster[..]), (ms(20_000), "harbor"));
     let roles = ["keeper:0", "keeper:1", "nightly", "probing:0", "probing:1", "probing:2"];
     assert_eq!(settings.roles, list(&roles));
     assert_eq!(leases.voter_record_directory, Some("/var/lib/larchfall".into()));
@@ -122,7 +122,10 @@
         (Some(ms(8_000)), Some(4))
     );
     let load_sharing = leases.load_sharing.unwrap();
-    assert_eq!((load_sharing.roles, load_sharing.interval, load_sharing.max_age), (3, ms(400), ms(1_600)));
+    assert_eq!(
+        (load_sharing.role_count, load_sharing.check_interval, load_sharing.max_report_age),
+        (3, ms(400), ms(1_600))
+    );
     let quotas = leases.quotas.unwrap();
     assert_eq!((quotas.allocators, quotas.lifetime), (2, ms(1_200)));
     assert!(quotas.kinds.slow_start && quotas.kinds.threads && quotas.kinds.tenants);
