--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -103,7 +103,7 @@
         let now = (platform.steady_clock)();
         // The disk is opened on gateways that are not voters too, since a reload of the settings may make them
         // voters.
-        let mut disk = config.record_folder.as_ref().map(|folder| (platform.open_disk)(folder));
+        let mut disk = config.voter_record_directory.as_ref().map(|folder| (platform.open_disk)(folder));
         let is_voter = config.settings.voters.contains(&member_id.name);
         let record = load_voter_record(state, disk.as_mut(), is_voter);
         let settings = config.settings;
@@ -177,7 +177,7 @@
 
     /// Returns whether no lease is held and no program runs, so that the gateway may end.
     pub(super) fn is_finished(&self) -> bool {
-        !self.supervisor.is_any_running() && !lock(&self.manager).holds_any()
+        !self.supervisor.is_any_running() && !lock(&self.manager).holds_any_role()
     }
 
     /// Gives up all leases at once, since a later process uses this gateway's name.
