--- a/crates/fault-tests/examples/membership_simulation.rs
+++ b/crates/fault-tests/examples/membership_simulation.rs
@@ -47,7 +47,7 @@
 /// suspected for the first time later.
 fn first_noticed(cluster: &MembershipSimulation, of: usize, state: MemberState, died: Timestamp) -> Duration {
     let is_first = |noticed: &&NoticedChange| {
-        noticed.at >= died && noticed.change.name == name(of) && noticed.change.to == state
+        noticed.at >= died && noticed.change.name == name(of) && noticed.change.state == state
     };
     let first = cluster.noticed.iter().find(is_first);
     first.map(|noticed| noticed.at.since(died)).unwrap_or_default()
--- a/crates/fault-tests/src/simulation/membership.rs
+++ b/crates/fault-tests/src/simulation/membership.rs
@@ -47,11 +47,11 @@
         cluster: CLUSTER.into(),
         probe_interval: ms(500),
         probe_timeout: ms(150),
-        helpers: 3,
-        remember_ended: ms(60_000),
-        table_interval: ms(3_000),
+        helper_count: 3,
+        ended_retention: ms(60_000),
+        table_exchange_interval: ms(3_000),
         max_members: 4096,
-        networks: vec![Network { address: Ipv4Addr::new(10, 0, 0, 0), prefix_len: 8 }],
+        allowed_networks: vec![Network { address: Ipv4Addr::new(10, 0, 0, 0), prefix_len: 8 }],
         seeds: vec![address(0), address(1)],
     }
 }
@@ -223,7 +223,7 @@
 
     fn notice(&mut self, by: usize, change: MemberChange) {
         let of = number_of(&change.name).and_then(|of| self.gateways.get(of));
-        if change.to == MemberState::Dead || of.is_some_and(|of| !of.up) {
+        if change.state == MemberState::Dead || of.is_some_and(|of| !of.up) {
             self.noticed.push(NoticedChange { at: self.now, by, change });
         }
     }
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -91,11 +91,11 @@
         let (generation, mut peers) = {
             let membership = lock(&cluster.membership);
             let peers: Vec<SocketAddrV4> = membership
-                .live()
+                .live_members()
                 .filter(|(name, _)| **name != cluster.member_name)
                 .map(|(_, member)| member.info.address)
                 .collect();
-            (membership.myself().status.generation, peers)
+            (membership.own_entry().status.generation, peers)
         };
         lock(&self.gossip_state).rng.shuffle(&mut peers);
         let datagram = Datagram::new(&cluster.cluster_name, &cluster.member_name, generation, report);
--- a/crates/gateway/src/cluster/leases/load_reports.rs
+++ b/crates/gateway/src/cluster/leases/load_reports.rs
@@ -69,7 +69,7 @@
             let fenced = lock(&self.manager).permit(&role, self.now()).map(|permit| permit.fence(page));
             let Some(fenced) = fenced else { return };
             let peers: Vec<String> = lock(&cluster.membership)
-                .live()
+                .live_members()
                 .map(|(name, _)| name)
                 .filter(|name| **name != self.member_id.name)
                 .cloned()
--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -190,11 +190,11 @@
         self.has_pending_events.store(false, Ordering::Relaxed);
         let state_now = state.clock.now();
         let membership = lock(&cluster.membership);
-        let health_score = membership.health().score();
+        let health_score = membership.local_health().score();
         // Membership uses the clock of the gateway's state, leases use the steady clock.
-        let to_steady_time = |member: &Member| now - state_now.since(member.since);
+        let to_steady_time = |member: &Member| now - state_now.since(member.state_since);
         let live_members: BTreeMap<String, Timestamp> =
-            membership.live().map(|(name, member)| (name.clone(), to_steady_time(member))).collect();
+            membership.live_members().map(|(name, member)| (name.clone(), to_steady_time(member))).collect();
         drop(membership);
         let endpoints = state.policy.endpoint_summary();
         let inputs = FitnessInputs {
--- a/crates/gateway/src/cluster/membership.rs
+++ b/crates/gateway/src/cluster/membership.rs
@@ -25,10 +25,10 @@
     /// lock.
     pub(super) fn apply_membership_output(&self, state: &State, output: Output) {
         for change in output.changes {
-            let previous_state = change.from.map_or("unknown", state_name);
+            let previous_state = change.previous_state.map_or("unknown", state_name);
             info!(state.log, "member changed"; "generation" => change.generation,
                 "reason" => format!("{:?}", change.reason), "was" => previous_state,
-                "state" => state_name(change.to), "name" => change.name);
+                "state" => state_name(change.state), "name" => change.name);
         }
         for OutgoingDatagram { to, datagram } in output.datagrams {
             // The inner socket does not block the coroutine: a datagram that meets a full send buffer is dropped,
@@ -47,7 +47,7 @@
         if count != std::mem::replace(&mut gateway_count.last_reported, count) {
             drop(gateway_count);
             state.policy.set_gateway_count(count);
-            info!(state.log, "gateways counted"; "silent" => fleet_view.silent, "alive" => fleet_view.live,
+            info!(state.log, "gateways counted"; "silent" => fleet_view.dead, "alive" => fleet_view.live,
                 "count" => count);
         }
     }
@@ -84,17 +84,17 @@
         // The members are copied so that no lock is held while the lines are logged.
         let (members, own_health_score, version) = {
             let membership = lock(&self.membership);
-            (membership.members().clone(), membership.health().score(), membership.version())
+            (membership.members().clone(), membership.local_health().score(), membership.version())
         };
         info!(state.log, "membership"; "known" => members.len(), "version" => version,
             "own_health" => own_health_score);
         for (name, member) in &members {
             // -1 stands for a member that never sent a datagram to this gateway.
-            let seconds_since_heard = member.heard_at.map_or(-1.0, |time| now.since(time).secs());
+            let seconds_since_heard = member.last_heard_at.map_or(-1.0, |time| now.since(time).secs());
             info!(state.log, "member"; "name" => name, "state" => state_name(member.status.state),
                 "generation" => member.status.generation, "incarnation" => member.status.incarnation,
                 "address" => member.info.address.to_string(), "zone" => &member.info.zone,
-                "since_s" => now.since(member.since).secs(), "heard_s_ago" => seconds_since_heard);
+                "since_s" => now.since(member.state_since).secs(), "heard_s_ago" => seconds_since_heard);
         }
     }
 }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -91,7 +91,7 @@
     /// Address at which other members send datagrams to this gateway; it may differ from the address that the socket
     /// is bound to.
     pub fn advertised_address(&self) -> SocketAddrV4 {
-        lock(&self.membership).myself().info.address
+        lock(&self.membership).own_entry().info.address
     }
 
     /// This gateway's own name.
@@ -101,7 +101,10 @@
 
     /// Zones of the members that are alive or suspected, by member name, including this gateway.
     pub fn live_member_zones(&self) -> BTreeMap<String, String> {
-        lock(&self.membership).live().map(|(name, member)| (name.clone(), member.info.zone.clone())).collect()
+        lock(&self.membership)
+            .live_members()
+            .map(|(name, member)| (name.clone(), member.info.zone.clone()))
+            .collect()
     }
 
     /// Applies reloaded settings of membership and leases. Leases that were enabled or disabled in the file keep
--- a/crates/gateway/src/cluster/status_pages.rs
+++ b/crates/gateway/src/cluster/status_pages.rs
@@ -33,14 +33,14 @@
     fn member_rows(&self, now: Timestamp) -> Vec<Vec<String>> {
         let row = |(name, member): (&String, &Member)| {
             let seconds_since_heard =
-                member.heard_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs()));
+                member.last_heard_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs()));
             vec![
                 name.clone(),
                 state_name(member.status.state).to_owned(),
                 member.status.generation.to_string(),
                 member.info.address.to_string(),
                 member.info.zone.clone(),
-                format!("{:.1}", now.since(member.since).secs()),
+                format!("{:.1}", now.since(member.state_since).secs()),
                 seconds_since_heard,
             ]
         };
--- a/crates/membership/src/fleet_size.rs
+++ b/crates/membership/src/fleet_size.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSizeSettings {
     /// Never fewer than were alive at any time within this window.
-    pub window: Duration,
+    pub decrease_delay: Duration,
     /// After that, one fewer in each such step.
-    pub step: Duration,
+    pub decrease_interval: Duration,
     /// Never fewer than this.
-    pub min: usize,
+    pub min_gateways: usize,
 }
 
 /// What this gateway sees of the fleet.
@@ -24,13 +24,13 @@
     /// Members that are alive or suspected, this gateway among them.
     pub live: usize,
     /// Members declared dead because they fell silent: they may be alive where this gateway can't see.
-    pub silent: usize,
+    pub dead: usize,
 }
 
 impl FleetView {
     /// Whether most of all that may be alive are in sight. A gateway that sees nobody else may be cut off, or just started.
     fn is_majority_in_sight(self) -> bool {
-        self.live > self.silent.max(1)
+        self.live > self.dead.max(1)
     }
 }
 
@@ -54,26 +54,27 @@
 impl FleetSize {
     /// `initial` are counted until more are seen, or enough to go down from there.
     pub fn new(settings: FleetSizeSettings, initial: usize, now: Timestamp) -> FleetSize {
-        let counted = initial.max(settings.min).max(1);
+        let counted = initial.max(settings.min_gateways).max(1);
         FleetSize { settings, maxima: VecDeque::new(), counted, changed_at: now }
     }
 
     /// How many to count now that the fleet looks like this.
     pub fn observe(&mut self, view: FleetView, now: Timestamp) -> usize {
         let live =
-            if view.is_majority_in_sight() { view.live } else { (view.live + view.silent).max(self.counted) };
+            if view.is_majority_in_sight() { view.live } else { (view.live + view.dead).max(self.counted) };
         while self.maxima.back().is_some_and(|sample| sample.live <= live) {
             self.maxima.pop_back();
         }
         self.maxima.push_back(Sample { at: now, live });
-        while self.maxima.front().is_some_and(|sample| now.since(sample.at) >= self.settings.window) {
+        while self.maxima.front().is_some_and(|sample| now.since(sample.at) >= self.settings.decrease_delay) {
             self.maxima.pop_front();
         }
-        let floor = self.maxima.front().map_or(1, |sample| sample.live).max(self.settings.min).max(1);
+        let floor =
+            self.maxima.front().map_or(1, |sample| sample.live).max(self.settings.min_gateways).max(1);
         if floor >= self.counted {
             self.counted = floor;
             self.changed_at = now;
-        } else if now.since(self.changed_at) >= self.settings.step {
+        } else if now.since(self.changed_at) >= self.settings.decrease_interval {
             self.counted -= 1;
             self.changed_at = now;
         }
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -37,9 +37,9 @@
     /// What it says of itself.
     pub info: MemberInfo,
     /// Since when it is in this state.
-    pub since: Timestamp,
+    pub state_since: Timestamp,
     /// When its own datagram last came.
-    pub heard_at: Option<Timestamp>,
+    pub last_heard_at: Option<Timestamp>,
 }
 
 /// One gateway's view of all members.
@@ -79,7 +79,7 @@
         now: Timestamp,
     ) -> Membership {
         let status = MemberStatus::alive(generation, 0);
-        let myself = Member { status, info, since: now, heard_at: Some(now) };
+        let myself = Member { status, info, state_since: now, last_heard_at: Some(now) };
         let mut gossip = GossipQueue::default();
         gossip.enqueue(name);
         Membership {
@@ -114,12 +114,12 @@
     }
 
     /// This gateway's own health.
-    pub fn health(&self) -> LocalHealth {
+    pub fn local_health(&self) -> LocalHealth {
         self.health
     }
 
     /// This gateway's own entry.
-    pub fn myself(&self) -> &Member {
+    pub fn own_entry(&self) -> &Member {
         &self.members[&self.me]
     }
 
@@ -129,14 +129,14 @@
     }
 
     /// Members that are alive or suspected, this gateway among them.
-    pub fn live(&self) -> impl Iterator<Item = (&String, &Member)> {
+    pub fn live_members(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.members.iter().filter(|(_, member)| !member.status.is_final())
     }
 
     /// What this gateway sees of the fleet, to count it.
     pub fn fleet_view(&self) -> FleetView {
         let is_dead = |member: &&Member| member.status.state == MemberState::Dead;
-        FleetView { live: self.live_count, silent: self.members.values().filter(is_dead).count() }
+        FleetView { live: self.live_count, dead: self.members.values().filter(is_dead).count() }
     }
 
     /// Takes settings that were read again; what is known stays.
@@ -159,12 +159,12 @@
     /// Says that this gateway leaves, to some members at once: there is no later round of its own to pass it on in.
     pub fn leave(&mut self, now: Timestamp) -> Output {
         let mut output = Output::default();
-        let left = self.myself().status.with(MemberState::Left);
+        let left = self.own_entry().status.with(MemberState::Left);
         if let Some(update) = self.update_about(&self.me) {
             let update = MemberUpdate { status: left, ..update };
             self.apply_update(&update, ChangeReason::Heard, now, &mut output);
         }
-        for name in self.random_live_members(self.settings.helpers + EXTRA_LEAVE_NOTICES, None) {
+        for name in self.random_live_members(self.settings.helper_count + EXTRA_LEAVE_NOTICES, None) {
             let to = self.members[&name].info.address;
             let sequence = self.next_sequence();
             self.send(to, Payload::Ping { sequence }, &mut output);
@@ -175,7 +175,7 @@
     /// Runs what is due.
     pub fn on_timer(&mut self, now: Timestamp) -> Output {
         let mut output = Output::default();
-        if self.name_taken || self.myself().status.is_final() {
+        if self.name_taken || self.own_entry().status.is_final() {
             self.next_probe = now + self.settings.probe_interval;
             self.next_table = now + self.settings.probe_interval;
             return output;
@@ -189,7 +189,7 @@
             self.start_probe(now, &mut output);
         }
         if now >= self.next_table {
-            self.next_table = now + self.settings.table_interval;
+            self.next_table = now + self.settings.table_exchange_interval;
             self.send_tables(&mut output);
         }
         self.forget_ended(now);
@@ -207,12 +207,12 @@
             return Err(Rejection::UnknownSender);
         }
         let mut output = Output::default();
-        if self.name_taken || self.myself().status.is_final() {
+        if self.name_taken || self.own_entry().status.is_final() {
             return Ok(output);
         }
         if datagram.name == self.me {
             // Its own datagram may come back to it; another's under this name may not be answered.
-            if datagram.status.generation > self.myself().status.generation {
+            if datagram.status.generation > self.own_entry().status.generation {
                 self.name_taken = true;
                 return Err(Rejection::NameTaken);
             }
@@ -222,7 +222,7 @@
         if let Some(sender) = self.members.get_mut(&datagram.name)
             && sender.status.generation == datagram.status.generation
         {
-            sender.heard_at = Some(now);
+            sender.last_heard_at = Some(now);
         }
         // Where the sender's claim of itself is outdated, the next datagram tells it.
         if self.members.get(&datagram.name).is_some_and(|m| m.status.supersedes(datagram.status)) {
@@ -257,7 +257,7 @@
     }
 
     fn may_send(&self, from: SocketAddrV4) -> bool {
-        self.settings.networks.iter().any(|network| network.contains(*from.ip()))
+        self.settings.allowed_networks.iter().any(|network| network.contains(*from.ip()))
     }
 
     fn next_sequence(&mut self) -> u32 {
--- a/crates/membership/src/membership/output.rs
+++ b/crates/membership/src/membership/output.rs
@@ -23,9 +23,9 @@
     /// The member's name.
     pub name: String,
     /// The state before; `None` where it was not known.
-    pub from: Option<MemberState>,
+    pub previous_state: Option<MemberState>,
     /// The state now.
-    pub to: MemberState,
+    pub state: MemberState,
     /// The generation now.
     pub generation: u64,
     /// Why.
--- a/crates/membership/src/membership/probes.rs
+++ b/crates/membership/src/membership/probes.rs
@@ -50,7 +50,7 @@
         let mut suspected: Vec<String> = self.suspicions.keys().cloned().collect();
         self.random.shuffle(&mut suspected);
         // A few of them: what a round costs must not grow with the fleet.
-        suspected.truncate(self.settings.helpers);
+        suspected.truncate(self.settings.helper_count);
         for name in suspected {
             self.ping_member(&name, output);
         }
@@ -82,7 +82,7 @@
                     return Some(name);
                 }
             }
-            let others = self.live().map(|(name, _)| name).filter(|name| **name != self.me);
+            let others = self.live_members().map(|(name, _)| name).filter(|name| **name != self.me);
             let mut round: Vec<String> = others.cloned().collect();
             if round.is_empty() {
                 return None;
@@ -103,7 +103,7 @@
             && now >= probe.ask_helpers_at
             && let Some(address) = self.members.get(&probe.name).map(|member| member.info.address)
         {
-            for helper in self.random_live_members(self.settings.helpers, Some(&probe.name)) {
+            for helper in self.random_live_members(self.settings.helper_count, Some(&probe.name)) {
                 let to = self.members[&helper].info.address;
                 let name = probe.name.clone();
                 self.send(to, Payload::PingRequest { sequence: probe.sequence, name, address }, output);
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -80,7 +80,8 @@
     /// Sends a page of all that is known to a live member, and one to a member that seemed dead or is known by its address
     /// only.
     pub(super) fn send_tables(&mut self, output: &mut Output) {
-        let live_addresses: BTreeSet<SocketAddrV4> = self.live().map(|(_, m)| m.info.address).collect();
+        let live_addresses: BTreeSet<SocketAddrV4> =
+            self.live_members().map(|(_, m)| m.info.address).collect();
         let dead = self.members.values().filter(|member| member.status.state == MemberState::Dead);
         let mut absent: Vec<SocketAddrV4> = dead.map(|member| member.info.address).collect();
         absent.extend(self.settings.seeds.iter().copied());
--- a/crates/membership/src/membership/settings.rs
+++ b/crates/membership/src/membership/settings.rs
@@ -13,16 +13,16 @@
     /// Without an answer within this time, helpers are asked to ping.
     pub probe_timeout: Duration,
     /// How many helpers.
-    pub helpers: usize,
+    pub helper_count: usize,
     /// How long members that ended are remembered: older claims about them may still be on their way.
-    pub remember_ended: Duration,
+    pub ended_retention: Duration,
     /// Time between two exchanges of all that is known, page by page, with one live member and with one that seemed dead or
     /// was never seen: they repair what gossip missed, and bring the two sides of a partition together.
-    pub table_interval: Duration,
+    pub table_exchange_interval: Duration,
     /// Names beyond this many are ignored.
     pub max_members: usize,
     /// Networks that gateways may send from.
-    pub networks: Vec<Network>,
+    pub allowed_networks: Vec<Network>,
     /// Addresses to join by.
     pub seeds: Vec<SocketAddrV4>,
 }
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -37,7 +37,7 @@
         self.live_count -= usize::from(known.is_some_and(|known| !known.is_final()));
         self.live_count += usize::from(!status.is_final());
         if status.is_final() {
-            self.next_forget = self.next_forget.min(now + self.settings.remember_ended);
+            self.next_forget = self.next_forget.min(now + self.settings.ended_retention);
         }
         self.version += 1;
         self.gossip.enqueue(name);
@@ -72,23 +72,23 @@
         let member = self.members.entry(name.clone()).or_insert_with(|| Member {
             status: *status,
             info: info.clone(),
-            since: now,
-            heard_at: None,
+            state_since: now,
+            last_heard_at: None,
         });
-        let from = known.map(|known| known.state);
+        let previous_state = known.map(|known| known.state);
         let is_new_generation = known.is_none_or(|known| known.generation != status.generation);
-        if from != Some(status.state) || is_new_generation {
-            member.since = now;
+        if previous_state != Some(status.state) || is_new_generation {
+            member.state_since = now;
             output.changes.push(MemberChange {
                 name: name.clone(),
-                from,
-                to: status.state,
+                previous_state,
+                state: status.state,
                 generation: status.generation,
                 reason,
             });
         }
         if is_new_generation {
-            member.heard_at = None;
+            member.last_heard_at = None;
         }
         member.status = *status;
         member.info = info.clone();
@@ -96,7 +96,7 @@
 
     /// Answers what others claim of this gateway.
     fn refute(&mut self, claimed: MemberStatus, info: &MemberInfo, now: Timestamp) {
-        let myself = self.myself();
+        let myself = self.own_entry();
         if claimed.generation > myself.status.generation && info.address != myself.info.address {
             self.name_taken = true;
             return;
@@ -104,7 +104,7 @@
         let Some(status) = refutation(myself.status, claimed) else { return };
         if let Some(myself) = self.members.get_mut(&self.me) {
             myself.status = status;
-            myself.since = now;
+            myself.state_since = now;
         }
         self.version += 1;
         self.health.record(HealthEvent::Refuted);
@@ -128,14 +128,14 @@
         if self.live_count == self.members.len() || now < self.next_forget {
             return;
         }
-        let remember = self.settings.remember_ended;
+        let remember = self.settings.ended_retention;
         let count_before = self.members.len();
         let me = &self.me;
         self.members.retain(|name, member| {
-            name == me || !member.status.is_final() || now.since(member.since) < remember
+            name == me || !member.status.is_final() || now.since(member.state_since) < remember
         });
         self.version += u64::from(count_before != self.members.len());
         let ended = self.members.values().filter(|member| member.status.is_final());
-        self.next_forget = ended.map(|member| member.since + remember).min().unwrap_or(now);
+        self.next_forget = ended.map(|member| member.state_since + remember).min().unwrap_or(now);
     }
 }
--- a/crates/membership/tests/components.rs
+++ b/crates/membership/tests/components.rs
@@ -120,7 +120,7 @@
 
 #[test]
 fn the_number_of_gateways_goes_up_at_once_and_down_slowly_and_not_in_a_partition() {
-    let settings = FleetSizeSettings { window: s(10), step: s(2), min: 2 };
+    let settings = FleetSizeSettings { decrease_delay: s(10), decrease_interval: s(2), min_gateways: 2 };
     // (at, alive, fallen silent, counted)
     let steps = [
         (0, 1, 0, 2),
@@ -145,8 +145,8 @@
         (100, 1, 0, 11),
     ];
     let mut fleet_size = FleetSize::new(settings, 2, at(0));
-    for (t, live, silent, counted) in steps {
-        assert_eq!(fleet_size.observe(FleetView { live, silent }, at(t)), counted, "at {t}");
+    for (t, live, dead, counted) in steps {
+        assert_eq!(fleet_size.observe(FleetView { live, dead }, at(t)), counted, "at {t}");
     }
 }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -87,7 +87,7 @@
         fleet.suspend(3, ms(1_700));
         fleet.run(ms(20_000));
         let by_it =
-            fleet.noticed.iter().filter(|s| s.at > from && s.by == 3 && s.change.to == MemberState::Dead);
+            fleet.noticed.iter().filter(|s| s.at > from && s.by == 3 && s.change.state == MemberState::Dead);
         assert_eq!(by_it.count(), 0, "seed {seed}: it held others for dead");
         assert!(fleet.run_until(ms(60_000), MembershipSimulation::agrees).is_some(), "seed {seed}");
     }
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -70,9 +70,9 @@
     let table = Table::new(text, "fronts");
     let settings = members(&table, raw)?;
     let fleet_size = FleetSizeSettings {
-        window: table.duration(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
-        step: table.duration(&raw.count_step_ms, "count-step-ms", 10, 600_000)?,
-        min: table.count(&raw.count_least, "count-least", 1, 65_536)?,
+        decrease_delay: table.duration(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
+        decrease_interval: table.duration(&raw.count_step_ms, "count-step-ms", 10, 600_000)?,
+        min_gateways: table.count(&raw.count_least, "count-least", 1, 65_536)?,
     };
     let listen = address(&table, &raw.address, "address")?;
     let advertised = raw.told.as_ref().map(|told| address(&table, told, "told")).transpose()?;
@@ -110,11 +110,11 @@
         cluster: name(table, &raw.cluster, "cluster")?,
         probe_interval,
         probe_timeout,
-        helpers: HELPERS,
-        remember_ended: table.duration(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
-        table_interval: table.duration(&raw.table_ms, "table-ms", 100, 600_000)?,
+        helper_count: HELPERS,
+        ended_retention: table.duration(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
+        table_exchange_interval: table.duration(&raw.table_ms, "table-ms", 100, 600_000)?,
         max_members: table.count(&raw.most, "most", 2, 65_536)?,
-        networks: raw.networks.iter().map(|value| network(table, value)).collect::<Result<_, _>>()?,
+        allowed_networks: raw.networks.iter().map(|value| network(table, value)).collect::<Result<_, _>>()?,
         seeds: raw.seeds.iter().map(|seed| address(table, seed, "seeds")).collect::<Result<_, _>>()?,
     })
 }
--- a/crates/operator-config/tests/operator_file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -30,14 +30,17 @@
     let rest = example.paged_rest.unwrap();
     let membership = example.membership.unwrap();
     assert_eq!((rest.header_family, rest.sources.class.len()), (HeaderFamily::Both, 2));
-    assert_eq!((membership.advertised, membership.settings.networks[0].prefix_len), (membership.listen, 8));
+    assert_eq!(
+        (membership.advertised, membership.settings.allowed_networks[0].prefix_len),
+        (membership.listen, 8)
+    );
     let leases = example.leases.unwrap();
     assert_eq!((leases.settings.roles.len(), leases.programs.len(), leases.quotas), (5, 1, None));
     assert_eq!(leases.load_sharing.map(|p| p.max_report_age), Some(Duration::from_millis(1500)));
     assert!(parse(LEAST, &names()).unwrap().membership.is_none());
     assert!(parse(GATEWAYS, &names()).unwrap().leases.is_none());
     let least = parse(GATEWAYS, &names()).unwrap().membership.unwrap();
-    assert!(least.fleet_size.is_none() && membership.fleet_size.is_some_and(|c| c.min == 3));
+    assert!(least.fleet_size.is_none() && membership.fleet_size.is_some_and(|c| c.min_gateways == 3));
     assert_eq!(
         (least.settings.probe_interval, least.settings.max_members),
         (Duration::from_millis(500), 1024)
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -96,12 +96,15 @@
     let members = membership.settings;
     assert_eq!((&members.cluster[..], members.max_members), ("harbor", 512));
     assert_eq!((members.probe_interval, members.probe_timeout), (ms(400), ms(120)));
-    assert_eq!((members.table_interval, members.remember_ended), (ms(2_500), ms(50_000)));
+    assert_eq!((members.table_exchange_interval, members.ended_retention), (ms(2_500), ms(50_000)));
     assert_eq!(members.seeds, ["10.0.0.8:7400".parse().unwrap()]);
     let network = |address: [u8; 4], prefix_len| Network { address: address.into(), prefix_len };
-    assert_eq!(members.networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
+    assert_eq!(members.allowed_networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
     let count = membership.fleet_size.unwrap();
-    assert_eq!((count.window, count.step, count.min), (ms(20_000), ms(1_500), 2));
+    assert_eq!(
+        (count.decrease_delay, count.decrease_interval, count.min_gateways),
+        (ms(20_000), ms(1_500), 2)
+    );
 }
 
 #[test]
