--- a/crates/fault-tests/examples/quota_division.rs
+++ b/crates/fault-tests/examples/quota_division.rs
@@ -157,7 +157,7 @@
         let mut random = WyRand::new_seed(seed);
         let terms = QuotaTerms {
             max_gateways: case.gateways,
-            length: case.grant_length,
+            lifetime: case.grant_length,
             drift_margin_per_mille: 60,
             usage_window: Duration::ZERO,
             strict: false,
--- a/crates/fault-tests/src/simulation/health_gossip.rs
+++ b/crates/fault-tests/src/simulation/health_gossip.rs
@@ -270,7 +270,7 @@
     fn end_attempt(&mut self, gateway: usize, request: usize, attempt: u8, engine: usize, succeeded: bool) {
         let outcome = if succeeded { Outcome::Returned } else { Outcome::Errored };
         let ending = &mut self.gateways[gateway];
-        if let Some(observation) = Observation::of(outcome) {
+        if let Some(observation) = Observation::from_outcome(outcome) {
             ending.observations.record(engine_process(engine), observation, self.now);
         }
         let evidence = AttemptEvidence { last: LastObservation::Ended, same_process: true };
--- a/crates/gateway/src/cli/subsets.rs
+++ b/crates/gateway/src/cli/subsets.rs
@@ -7,7 +7,7 @@
 use crate::config::Config;
 use crate::state::engine_table::EngineTable;
 use larchfall_operator_config::SubsettingConfig;
-use larchfall_subsetting::survey::{Moved, PlanSurvey, Spread, survey};
+use larchfall_subsetting::survey::{PlanChurn, PlanSurvey, Spread, survey};
 use larchfall_subsetting::{Gateway, ReadyEngine};
 use plotters::prelude::*;
 use std::collections::BTreeSet;
@@ -92,9 +92,9 @@
         ]
     };
     let rows = format_table(&["engine", "zone", "kind", "cell", "fronts"], engines.iter().map(row).collect());
-    let PlanSurvey { pairs, all_pairs, gateways_per_engine, moved, .. } = survey;
+    let PlanSurvey { pairs, all_pairs, gateways_per_engine, churn, .. } = survey;
     let Spread { min, mean, max } = gateways_per_engine;
-    let Moved { by_gateway, by_engine } = moved;
+    let PlanChurn { by_gateway, by_engine } = churn;
     format!(
         "{rows}\n{pairs} of {all_pairs} gateway-engine pairs in use; gateways per engine: minimum {min}, mean {mean:.1}, maximum {max}\n\
          pairs added per pair removed: {by_gateway:.2} if a gateway leaves, {by_engine:.2} if an engine leaves"
--- a/crates/gateway/src/cluster/health_gossip.rs
+++ b/crates/gateway/src/cluster/health_gossip.rs
@@ -167,7 +167,7 @@
             peers.gateways.to_string(),
             peers.answered.to_string(),
             peers.failed.to_string(),
-            peers.heard_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs())),
+            peers.last_report_at.map_or(String::new(), |time| format!("{:.1}", now.since(time).secs())),
             if may_probe { "mine" } else { "another's" }.to_owned(),
         ]
     }
--- a/crates/gateway/src/cluster/leases/quota_exchange.rs
+++ b/crates/gateway/src/cluster/leases/quota_exchange.rs
@@ -70,7 +70,7 @@
         let QuotaConfig { allocators, lifetime, kinds } = config;
         let strict = QuotaTerms {
             max_gateways: inputs.max_gateways,
-            length: lifetime,
+            lifetime,
             drift_margin_per_mille,
             usage_window: inputs.slow_start.window,
             strict: true,
@@ -92,7 +92,7 @@
     fn capacity_demands(&self, state: &State, demand: &Demand) -> Vec<CapacityDemand> {
         let mut demands = Vec::new();
         for ready in state.policy.quota_engines(&self.inputs.slow_start) {
-            let weight = demand.of_engine(&ready.engine, &self.inputs.classes);
+            let weight = demand.engine_demand(&ready.engine, &self.inputs.classes);
             if self.kinds.slow_start && ready.in_slow_start {
                 demands.push(CapacityDemand { capacity: Capacity::SlowStart(ready.id), weight });
             }
@@ -104,7 +104,7 @@
             let tenants = self.inputs.tenants.iter().enumerate();
             demands.extend(tenants.map(|(index, tenant)| CapacityDemand {
                 capacity: tenant.capacity,
-                weight: demand.of_tenant(index),
+                weight: demand.tenant_demand(index),
             }));
         }
         demands
@@ -144,7 +144,7 @@
             let allocators = manager.allocators();
             let demands = |demand: &Demand| exchange.capacity_demands(state, demand);
             let allocator_of = |capacity| role_index(capacity, allocators);
-            let requests = manager.requests(|| state.policy.arrivals(), demands, allocator_of, now);
+            let requests = manager.due_requests(|| state.policy.arrivals(), demands, allocator_of, now);
             (requests, manager.request_terms())
         };
         exchange.apply_quotas(state, now);
@@ -157,7 +157,7 @@
                     role: role.clone(),
                     round: request.round,
                     gateways: terms.max_gateways as u32,
-                    length_us: terms.length.micros(),
+                    length_us: terms.lifetime.micros(),
                     demands,
                 };
                 self.send_quota_message(state, cluster, &holder, message);
@@ -186,7 +186,7 @@
             Payload::RequestQuotas { role, round, gateways, length_us, demands } => {
                 let terms = RequestTerms {
                     max_gateways: *gateways as usize,
-                    length: Duration::from_micros(*length_us),
+                    lifetime: Duration::from_micros(*length_us),
                 };
                 let Some(fenced) = self.allocate_quotas(exchange, role, &sender.name, terms, demands) else {
                     return;
--- a/crates/gateway/src/cluster/leases/status.rs
+++ b/crates/gateway/src/cluster/leases/status.rs
@@ -117,7 +117,7 @@
         for AllocationStatus { capacity, fairness } in manager.allocations(now) {
             info!(state.log, "quota allocation"; "capacity" => exchange.capacity_name(capacity),
                 "gateways" => fairness.gateways, "in_use" => fairness.in_use, "jain" => fairness.jain_index,
-                "factor" => fairness.best_to_worst.unwrap_or(f64::INFINITY));
+                "factor" => fairness.max_to_min_ratio.unwrap_or(f64::INFINITY));
         }
     }
 }
@@ -129,6 +129,6 @@
         fairness.gateways.to_string(),
         format!("{:.4}", fairness.in_use),
         format!("{:.4}", fairness.jain_index),
-        fairness.best_to_worst.map_or("none".to_owned(), |ratio| format!("{ratio:.2}")),
+        fairness.max_to_min_ratio.map_or("none".to_owned(), |ratio| format!("{ratio:.2}")),
     ]
 }
--- a/crates/gateway/src/state/policy_handle/observations.rs
+++ b/crates/gateway/src/state/policy_handle/observations.rs
@@ -21,7 +21,7 @@
         let mut guard = self.lock();
         let PolicyState { engines, observations, .. } = &mut *guard;
         let Some(observations) = observations else { return };
-        let Some(observation) = Observation::of(outcome) else { return };
+        let Some(observation) = Observation::from_outcome(outcome) else { return };
         let is_current = engines.instance(instance.engine) == Some(instance);
         if let Some(process) = engines.process(instance.engine).filter(|_| is_current) {
             observations.record(process, observation, self.clock.now());
--- a/crates/health-gossip/src/aggregation.rs
+++ b/crates/health-gossip/src/aggregation.rs
@@ -37,7 +37,7 @@
 
 /// New outcomes, with how many engines their gateway finds failing.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WeighedReport {
+pub struct PeerReport {
     /// What is new.
     pub new: NewOutcomes,
     /// Of the gateway that reported it.
@@ -127,7 +127,7 @@
     pub fn aggregate(
         &mut self,
         process: EngineProcess,
-        reports: &[WeighedReport],
+        reports: &[PeerReport],
         zones: &BTreeSet<String>,
         now: Timestamp,
     ) -> PeerEvidence {
@@ -157,14 +157,14 @@
     fn by_source(
         &mut self,
         process: EngineProcess,
-        reports: &[WeighedReport],
+        reports: &[PeerReport],
         zones: &BTreeSet<String>,
         now: Timestamp,
     ) -> BTreeMap<Source, PeerEvidence> {
         let mut by_source: BTreeMap<Source, PeerEvidence> = BTreeMap::new();
-        for WeighedReport { new, failing_engines } in reports {
-            let freshness = (1.0 - now.since(new.heard_at) / self.settings.max_age).max(0.0);
-            let is_own_network = failing_engines.suggests_own_network();
+        for PeerReport { new, failing_engines } in reports {
+            let freshness = (1.0 - now.since(new.received_at) / self.settings.max_age).max(0.0);
+            let is_own_network = failing_engines.suggests_own_network_fault();
             let source = if zones.len() > 1 { new.zone.clone() } else { new.gateway.clone() };
             if !is_own_network {
                 self.add_recent(SourceKey { process, source: source.clone() }, new, now);
@@ -185,8 +185,8 @@
     fn add_recent(&mut self, key: SourceKey, new: &NewOutcomes, now: Timestamp) {
         let nothing = RecentOfSource { outcomes: DecayedOutcomes::default(), at: now };
         let recent = self.recent.entry(key).or_insert(nothing);
-        let before = recent.outcomes.after(now.since(recent.at));
-        let added = DecayedOutcomes::from(new.counts.recent).after(now.since(new.heard_at));
+        let before = recent.outcomes.decayed_over(now.since(recent.at));
+        let added = DecayedOutcomes::from(new.counts.recent).decayed_over(now.since(new.received_at));
         recent.outcomes = DecayedOutcomes {
             answered: before.answered + added.answered,
             failed: before.failed + added.failed,
--- a/crates/health-gossip/src/counts.rs
+++ b/crates/health-gossip/src/counts.rs
@@ -48,7 +48,7 @@
 
 impl DecayedOutcomes {
     /// What is left of them after this time.
-    pub fn after(self, time: Duration) -> DecayedOutcomes {
+    pub fn decayed_over(self, time: Duration) -> DecayedOutcomes {
         DecayedOutcomes { answered: decayed(self.answered, time), failed: decayed(self.failed, time) }
     }
 }
--- a/crates/health-gossip/src/health_gossip.rs
+++ b/crates/health-gossip/src/health_gossip.rs
@@ -2,7 +2,7 @@
 //! which outcomes count beside its own, and whether it is its turn to probe an ejected engine.
 
 use crate::EngineProcess;
-use crate::aggregation::{AggregationSettings, Aggregator, WeighedReport};
+use crate::aggregation::{AggregationSettings, Aggregator, PeerReport};
 use crate::counts::{OutcomeCounts, ProcessCounts};
 use crate::observation_store::{NewOutcomes, ObservationStore, PeerSummary, Reporter, StoreLimits};
 use crate::probe_slots::ProbeSlots;
@@ -85,9 +85,10 @@
         self.aggregator.retain(&is_listed, now);
         let zones: BTreeSet<String> = live.values().cloned().collect();
         let mut outcomes = Vec::new();
-        for (process, new) in self.store.take_new() {
-            let reports: Vec<WeighedReport> = new.into_iter().map(|new| self.weighed(new)).collect();
-            for report in reports.iter().filter(|report| !report.failing_engines.suggests_own_network()) {
+        for (process, new) in self.store.take_new_outcomes() {
+            let reports: Vec<PeerReport> = new.into_iter().map(|new| self.weighed(new)).collect();
+            for report in reports.iter().filter(|report| !report.failing_engines.suggests_own_network_fault())
+            {
                 self.record_for_slots(process, report.new.counts, now);
             }
             let evidence = self.aggregator.aggregate(process, &reports, &zones, now);
@@ -103,8 +104,8 @@
         }
     }
 
-    fn weighed(&self, new: NewOutcomes) -> WeighedReport {
-        WeighedReport { failing_engines: self.store.failing_engines(&new.gateway), new }
+    fn weighed(&self, new: NewOutcomes) -> PeerReport {
+        PeerReport { failing_engines: self.store.failing_engines(&new.gateway), new }
     }
 
     /// What is known of one process.
--- a/crates/health-gossip/src/observation_store.rs
+++ b/crates/health-gossip/src/observation_store.rs
@@ -18,7 +18,7 @@
     counts: OutcomeCounts,
     /// What of them was taken already.
     taken: OutcomeCounts,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     /// Its zone.
     pub zone: String,
     /// When its report came.
-    pub heard_at: Timestamp,
+    pub received_at: Timestamp,
     /// What is new.
     pub counts: OutcomeCounts,
 }
@@ -62,7 +62,7 @@
     /// Attempts that failed.
     pub failed: u32,
     /// When the newest report came.
-    pub heard_at: Option<Timestamp>,
+    pub last_report_at: Option<Timestamp>,
 }
 
 /// How many of the engines that a gateway reported it finds failing.
@@ -76,7 +76,7 @@
 
 impl FailingEngines {
     /// Whether so many fail that the gateway's own network is at fault.
-    pub fn suggests_own_network(self) -> bool {
+    pub fn suggests_own_network_fault(self) -> bool {
         self.total >= OWN_NETWORK_MIN_ENGINES
             && self.failing as f64 > self.total as f64 * OWN_NETWORK_FRACTION
     }
@@ -132,12 +132,12 @@
                 Some(line) if number > line.report_number => {
                     line.report_number = number;
                     line.counts = *counts;
-                    line.heard_at = now;
+                    line.received_at = now;
                 }
                 None if has_room => {
                     // What it observed before this gateway first heard of it may be of long ago: that is no news.
                     let taken = if is_first { *counts } else { OutcomeCounts::default() };
-                    let line = Line { report_number: number, counts: *counts, taken, heard_at: now };
+                    let line = Line { report_number: number, counts: *counts, taken, received_at: now };
                     page.lines.insert(*process, line);
                 }
                 Some(_) | None => {}
@@ -158,7 +158,7 @@
     }
 
     /// Takes what is new since the last time, by process: each outcome once.
-    pub fn take_new(&mut self) -> BTreeMap<EngineProcess, Vec<NewOutcomes>> {
+    pub fn take_new_outcomes(&mut self) -> BTreeMap<EngineProcess, Vec<NewOutcomes>> {
         let mut new: BTreeMap<EngineProcess, Vec<NewOutcomes>> = BTreeMap::new();
         for (gateway, page) in &mut self.pages {
             for (process, line) in &mut page.lines {
@@ -168,7 +168,7 @@
                     new.entry(*process).or_default().push(NewOutcomes {
                         gateway: gateway.clone(),
                         zone: page.zone.clone(),
-                        heard_at: line.heard_at,
+                        received_at: line.received_at,
                         counts,
                     });
                 }
@@ -185,7 +185,7 @@
             gateways: sum.gateways + 1,
             answered: sum.answered.saturating_add(line.counts.answered),
             failed: sum.failed.saturating_add(line.counts.failed),
-            heard_at: sum.heard_at.max(Some(line.heard_at)),
+            last_report_at: sum.last_report_at.max(Some(line.received_at)),
         })
     }
 
--- a/crates/health-gossip/src/observations.rs
+++ b/crates/health-gossip/src/observations.rs
@@ -23,7 +23,7 @@
 
 impl Observation {
     /// What an outcome tells. A time-out may be load, and what was rejected or cancelled says nothing of the engine.
-    pub fn of(outcome: Outcome) -> Option<Observation> {
+    pub fn from_outcome(outcome: Outcome) -> Option<Observation> {
         match outcome {
             Outcome::Returned => Some(Observation::Answered),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Errored => Some(Observation::Failed),
@@ -53,7 +53,7 @@
     }
 
     fn decay(&mut self, now: Timestamp) {
-        self.recent = self.recent.after(now.since(self.recent_at));
+        self.recent = self.recent.decayed_over(now.since(self.recent_at));
         self.recent_at = now;
     }
 }
--- a/crates/health-gossip/tests/observations.rs
+++ b/crates/health-gossip/tests/observations.rs
@@ -2,7 +2,7 @@
 //! fleet that changes.
 
 use larchfall_health_gossip::EngineProcess;
-use larchfall_health_gossip::aggregation::{AggregationSettings, Aggregator, WeighedReport};
+use larchfall_health_gossip::aggregation::{AggregationSettings, Aggregator, PeerReport};
 use larchfall_health_gossip::counts::{DecayedOutcomes, OutcomeCounts, ProcessCounts, RecentOutcomes};
 use larchfall_health_gossip::observation_store::{
     FailingEngines, NewOutcomes, ObservationStore, Reporter, StoreLimits,
@@ -35,7 +35,7 @@
 
 /// Adds up all that was ever taken, by engine and gateway.
 fn drain(store: &mut ObservationStore, sums: &mut BTreeMap<(EngineProcess, String), OutcomeCounts>) {
-    for (process, new) in store.take_new() {
+    for (process, new) in store.take_new_outcomes() {
         for NewOutcomes { gateway, counts, .. } in new {
             let sum = sums.entry((process, gateway)).or_default();
             sum.answered += counts.answered;
@@ -88,7 +88,7 @@
                 prop_assert_eq!(sum, counts);
             }
         }
-        prop_assert!(store.take_new().is_empty());
+        prop_assert!(store.take_new_outcomes().is_empty());
     }
 }
 
@@ -100,7 +100,7 @@
         store.on_report(reporter, number, &[entry(1, counts(answered, 0))], at(0));
     };
     let news = |store: &mut ObservationStore| -> Vec<(String, u32)> {
-        let new = store.take_new().into_values().flatten();
+        let new = store.take_new_outcomes().into_values().flatten();
         new.map(|n| (n.gateway, n.counts.answered)).collect()
     };
     report(&mut store, "a", 5, 1, 900);
@@ -151,10 +151,10 @@
     AggregationSettings { window: Duration::from_millis(10_000), max_age: Duration::from_millis(4_000) };
 
 /// A report of a gateway that finds one of ten engines failing.
-fn report(gateway: &str, zone: &str, heard_ms: u64, counts: OutcomeCounts) -> WeighedReport {
+fn report(gateway: &str, zone: &str, heard_ms: u64, counts: OutcomeCounts) -> PeerReport {
     let new =
-        NewOutcomes { gateway: gateway.to_owned(), zone: zone.to_owned(), heard_at: at(heard_ms), counts };
-    WeighedReport { new, failing_engines: FailingEngines { failing: 1, total: 10 } }
+        NewOutcomes { gateway: gateway.to_owned(), zone: zone.to_owned(), received_at: at(heard_ms), counts };
+    PeerReport { new, failing_engines: FailingEngines { failing: 1, total: 10 } }
 }
 
 fn zones(of: &[&str]) -> BTreeSet<String> {
@@ -167,7 +167,7 @@
 }
 
 /// What these reports come to, the first time that any are aggregated.
-fn assert_evidence(reports: &[WeighedReport], zones: &BTreeSet<String>, now: Timestamp, bad: f64, good: f64) {
+fn assert_evidence(reports: &[PeerReport], zones: &BTreeSet<String>, now: Timestamp, bad: f64, good: f64) {
     let got = Aggregator::new(SETTINGS).aggregate(process(1), reports, zones, now);
     assert!((got.bad - bad).abs() < 1e-9 && (got.good - good).abs() < 1e-9, "{reports:?}: {got:?}");
 }
@@ -176,7 +176,7 @@
 fn no_one_gateway_and_no_one_zone_can_have_a_healthy_engine_ejected() {
     let (one, two) = (zones(&["east"]), zones(&["east", "west"]));
     let bad = counts(0, 50);
-    let own_network = |gateway: &str, zone: &str| WeighedReport {
+    let own_network = |gateway: &str, zone: &str| PeerReport {
         failing_engines: FailingEngines { failing: 6, total: 10 },
         ..report(gateway, zone, 0, bad)
     };
--- a/crates/quotas/src/allocator.rs
+++ b/crates/quotas/src/allocator.rs
@@ -8,7 +8,7 @@
 //! a few times in that, over all of them, and an answer looks only at its own gateway.
 
 use crate::QuotaTerms;
-use crate::fairness::{Fairness, best_to_worst, jain_index};
+use crate::fairness::{Fairness, jain_index, max_to_min_ratio};
 use crate::max_min::{Claim, FillLevel, fill_level};
 use larchfall_policy::time::Timestamp;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 /// A quota grows to so many times itself at once, and by the reserved fraction; it shrinks at once.
 const MAX_GROWTH: f64 = 4.0;
 /// Divisions anew within a quota's length.
-const DIVISIONS_PER_LENGTH: f64 = 20.0;
+const DIVISIONS_PER_LIFETIME: f64 = 20.0;
 /// Sums of fractions may be off by as much.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// Bound of a weight that a gateway may claim.
@@ -73,7 +73,7 @@
     pub fn new(terms: QuotaTerms, now: Timestamp) -> Allocator {
         Allocator {
             terms,
-            begins_at: now + terms.length + terms.usage_window,
+            begins_at: now + terms.lifetime + terms.usage_window,
             last_answer: now,
             allocations: BTreeMap::new(),
             allocated: 0.0,
@@ -84,7 +84,7 @@
 
     /// Drops what expired, and computes the fill level anew.
     fn divide(&mut self, now: Timestamp) {
-        self.next_division = now + self.terms.length * (1.0 / DIVISIONS_PER_LENGTH);
+        self.next_division = now + self.terms.lifetime * (1.0 / DIVISIONS_PER_LIFETIME);
         for allocation in self.allocations.values_mut() {
             allocation.drop_expired(now);
         }
@@ -138,7 +138,7 @@
         let free = 1.0 - reserved - (self.allocated - in_use);
         let largest = in_use * MAX_GROWTH + floor;
         let fraction = self.level.share(&claim).min(free).min(largest).max(floor);
-        let expires_at = now + self.terms.length + self.terms.usage_window;
+        let expires_at = now + self.terms.lifetime + self.terms.usage_window;
         // Each length holds a few answers; of equal ones the latest stands for all.
         allocation.grants.retain(|grant| grant.fraction > fraction + ROUNDING_TOLERANCE);
         allocation.grants.push(Grant { fraction, expires_at });
@@ -164,7 +164,7 @@
             gateways: self.allocations.len(),
             in_use: self.in_use(),
             jain_index: jain_index(satisfactions()),
-            best_to_worst: best_to_worst(satisfactions()),
+            max_to_min_ratio: max_to_min_ratio(satisfactions()),
         }
     }
 
@@ -175,6 +175,6 @@
 
     /// Whether nothing that it handed out can be in use, and it began long ago.
     pub fn is_idle(&self, now: Timestamp) -> bool {
-        self.last_answer + self.terms.length + self.terms.usage_window <= now
+        self.last_answer + self.terms.lifetime + self.terms.usage_window <= now
     }
 }
--- a/crates/quotas/src/demand.rs
+++ b/crates/quotas/src/demand.rs
@@ -58,14 +58,14 @@
     }
 
     /// Threads that are wanted of this engine, by the classes that may go there.
-    pub fn of_engine(&self, engine: &Engine, classes: &[RequestClass]) -> f64 {
+    pub fn engine_demand(&self, engine: &Engine, classes: &[RequestClass]) -> f64 {
         let recent = classes.iter().zip(&self.recent_by_class);
         let allowed = recent.filter(|(class, _)| class.allows_engine(engine));
         allowed.map(|(class, recent)| class.threads.max(1.0) * recent).sum::<f64>().max(MIN_WEIGHT)
     }
 
     /// Requests of this tenant, by its index.
-    pub fn of_tenant(&self, tenant: usize) -> f64 {
+    pub fn tenant_demand(&self, tenant: usize) -> f64 {
         self.recent_by_tenant.get(tenant).copied().unwrap_or_default().max(MIN_WEIGHT)
     }
 }
--- a/crates/quotas/src/fairness.rs
+++ b/crates/quotas/src/fairness.rs
@@ -10,7 +10,7 @@
     /// Jain's index over gateways, of what each has for what it wants.
     pub jain_index: f64,
     /// How much better off a request is at the best gateway than at the worst; `None` where the worst has nothing.
-    pub best_to_worst: Option<f64>,
+    pub max_to_min_ratio: Option<f64>,
 }
 
 /// Jain's index of what each got for what it deserved (Jain, Chiu, Hawe: "A Quantitative Measure of Fairness and
@@ -28,7 +28,7 @@
 }
 
 /// The largest fraction by the smallest; `None` where the smallest is nothing.
-pub fn best_to_worst(fractions: impl Iterator<Item = f64>) -> Option<f64> {
+pub fn max_to_min_ratio(fractions: impl Iterator<Item = f64>) -> Option<f64> {
     let mut least = f64::MAX;
     let mut most = 0.0_f64;
     for fraction in fractions {
--- a/crates/quotas/src/held_quota.rs
+++ b/crates/quotas/src/held_quota.rs
@@ -28,7 +28,7 @@
     /// Takes an allocator's answer to a request; returns whether it counts. One of an older allocator than was heard of does
     /// not, and neither does one that would end sooner than the present one.
     pub fn on_grant(&mut self, fraction: f64, token: u64, requested_at: Timestamp, now: Timestamp) -> bool {
-        let expires_at = requested_at + self.terms.usable_length();
+        let expires_at = requested_at + self.terms.usable_lifetime();
         let is_valid = fraction.is_finite() && (0.0..=1.0).contains(&fraction);
         let is_newer = self.grant.is_none_or(|grant| {
             token > grant.token || (token == grant.token && expires_at > grant.expires_at)
--- a/crates/quotas/src/lib.rs
+++ b/crates/quotas/src/lib.rs
@@ -23,7 +23,7 @@
     /// There are never more gateways than this, whether or not they are seen.
     pub max_gateways: usize,
     /// How long a quota lasts, from before it was requested and less the margin.
-    pub length: Duration,
+    pub lifetime: Duration,
     /// Largest difference in speed between two clocks of the fleet, in thousandths.
     pub drift_margin_per_mille: u32,
     /// How long use counts after it ended: the capacity is what is borne within any such time.
@@ -47,8 +47,8 @@
     }
 
     /// The part of a quota's length that a gateway may rely on.
-    pub fn usable_length(&self) -> Duration {
-        self.length * (f64::from(1000_u32.saturating_sub(self.drift_margin_per_mille)) / 1000.0)
+    pub fn usable_lifetime(&self) -> Duration {
+        self.lifetime * (f64::from(1000_u32.saturating_sub(self.drift_margin_per_mille)) / 1000.0)
     }
 }
 
--- a/crates/quotas/src/manager.rs
+++ b/crates/quotas/src/manager.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Requests within a quota's length.
-const REQUESTS_PER_LENGTH: f64 = 4.0;
+const REQUESTS_PER_LIFETIME: f64 = 4.0;
 /// Rounds whose answers count; answers to older ones are ignored.
 const MAX_ROUNDS: usize = 16;
 /// Gateways ask for any part of the whole: their weights decide.
@@ -54,7 +54,7 @@
     /// Gateways that there are at most.
     pub max_gateways: usize,
     /// How long quotas last.
-    pub length: Duration,
+    pub lifetime: Duration,
 }
 
 /// What a gateway may use of one capacity now.
@@ -118,8 +118,8 @@
 
     /// The terms of this gateway's own requests.
     pub fn request_terms(&self) -> RequestTerms {
-        let QuotaTerms { max_gateways, length, .. } = self.settings.strict;
-        RequestTerms { max_gateways, length }
+        let QuotaTerms { max_gateways, lifetime, .. } = self.settings.strict;
+        RequestTerms { max_gateways, lifetime }
     }
 
     /// Allocator roles that the capacities are divided among.
@@ -135,7 +135,7 @@
     /// The requests to allocators, where they are due: `arrivals` is all that came to this gateway so far, `wanted` what it
     /// wants by its demand, `allocator_of` the index of a capacity's allocator by its key. Capacities that are not wanted
     /// any more are forgotten.
-    pub fn requests(
+    pub fn due_requests(
         &mut self,
         arrivals: impl FnOnce() -> Arrivals,
         wanted: impl FnOnce(&Demand) -> Vec<CapacityDemand>,
@@ -145,7 +145,7 @@
         if now < self.next_request {
             return Vec::new();
         }
-        self.next_request = now + self.settings.strict.length * (1.0 / REQUESTS_PER_LENGTH);
+        self.next_request = now + self.settings.strict.lifetime * (1.0 / REQUESTS_PER_LIFETIME);
         self.demand.observe(arrivals());
         let wanted = wanted(&self.demand).into_iter().take(self.settings.max_capacities);
         let weights: BTreeMap<u64, f64> =
--- a/crates/quotas/tests/allocation.rs
+++ b/crates/quotas/tests/allocation.rs
@@ -10,7 +10,7 @@
 use nanorand::{Rng, WyRand};
 use std::collections::VecDeque;
 
-const LENGTH: Duration = Duration::from_millis(1000);
+const LIFETIME: Duration = Duration::from_millis(1000);
 const WINDOW: Duration = Duration::from_millis(400);
 /// The same in steps of ten milliseconds, as the slowest clock has it.
 const STEPS: usize = 38;
@@ -18,7 +18,7 @@
 fn terms(max_gateways: usize) -> QuotaTerms {
     QuotaTerms {
         max_gateways,
-        length: LENGTH,
+        lifetime: LIFETIME,
         drift_margin_per_mille: 60,
         usage_window: WINDOW,
         strict: true,
@@ -138,11 +138,11 @@
 fn busy_gateways_get_more_and_what_the_dead_had_is_handed_on() {
     let n = 12;
     let mut allocator = Allocator::new(terms(n), Timestamp::default());
-    let mut now = Timestamp::default() + LENGTH + WINDOW;
+    let mut now = Timestamp::default() + LIFETIME + WINDOW;
     let mut shares = vec![0.0; n];
     let mut ask = |allocator: &mut Allocator, up: usize, shares: &mut Vec<f64>| {
         for _ in 0..30 {
-            now = now + LENGTH * 0.25;
+            now = now + LIFETIME * 0.25;
             for (i, share) in shares.iter_mut().enumerate().take(up) {
                 let weight = if i == 0 { 5.0 } else { 1.0 };
                 *share = allocator.allocate(&format!("{i}"), weight, 1.0, now).unwrap();
@@ -169,13 +169,13 @@
     assert!(held.on_grant(0.4, 7, requested_at, requested_at));
     for true_ms in 0..1200_u64 {
         let here = requested_at + Duration::from_micros((true_ms as f64 * 1000.0 * 0.97) as u64);
-        let over_there = true_ms as f64 * 1.03 >= LENGTH.secs() * 1000.0;
+        let over_there = true_ms as f64 * 1.03 >= LIFETIME.secs() * 1000.0;
         assert!(!(over_there && held.is_granted(here)), "at {true_ms} ms");
     }
     // An older allocator's answer and one that comes too late do not count.
-    assert!(!held.on_grant(0.9, 6, requested_at + LENGTH, requested_at + LENGTH));
-    assert!(!held.on_grant(0.9, 8, requested_at, requested_at + LENGTH));
-    assert_eq!(held.fraction(requested_at + LENGTH), terms.reserved_fraction());
+    assert!(!held.on_grant(0.9, 6, requested_at + LIFETIME, requested_at + LIFETIME));
+    assert!(!held.on_grant(0.9, 8, requested_at, requested_at + LIFETIME));
+    assert_eq!(held.fraction(requested_at + LIFETIME), terms.reserved_fraction());
 }
 
 /// What is requested of whom, by which weight, and what comes of it: an allocator, one with other terms, one under a newer
@@ -189,7 +189,7 @@
     let mut allocator = QuotaManager::new(settings, Timestamp::default());
     let all = [Capacity::SlowStart(4), Capacity::Threads(5), Capacity::Tenant(7)];
     let wanted = |demand: &Demand| {
-        all.map(|capacity| CapacityDemand { capacity, weight: demand.of_tenant(0) }).to_vec()
+        all.map(|capacity| CapacityDemand { capacity, weight: demand.tenant_demand(0) }).to_vec()
     };
     let arrivals = |n: u64| Arrivals { classes: vec![], tenants: vec![n] };
     let allocator_of = |key: u64| key as usize % 2;
@@ -198,8 +198,8 @@
     let mut last = Vec::new();
     for turn in 0..12 {
         let now = at(1 + turn * 250);
-        last = here.requests(|| arrivals(turn * 10), wanted, allocator_of, now);
-        let again = here.requests(|| arrivals(turn * 10), wanted, allocator_of, now);
+        last = here.due_requests(|| arrivals(turn * 10), wanted, allocator_of, now);
+        let again = here.due_requests(|| arrivals(turn * 10), wanted, allocator_of, now);
         assert_eq!(again, [], "once a quarter of a quota's length");
         if turn == 0 {
             let fractions: Vec<f64> = here.quotas(now).map(|quota| quota.fraction).collect();
@@ -226,7 +226,7 @@
     let grant = QuotaGrant { capacity: all[0].key(), fraction: 0.9 };
     assert_eq!(here.on_grants(999, 9, &[grant], now), 0);
     let one = |_: &Demand| vec![CapacityDemand { capacity: all[1], weight: 1.0 }];
-    here.requests(|| arrivals(0), one, allocator_of, at(9000));
+    here.due_requests(|| arrivals(0), one, allocator_of, at(9000));
     let expected = QuotaStatus { capacity: all[1].key(), fraction: 0.25, granted: false };
     assert_eq!(here.quotas(at(9000)).collect::<Vec<_>>(), [expected]);
 }
@@ -237,10 +237,10 @@
 fn a_greedy_gateway_leaves_all_others_their_floor() {
     let n = 12;
     let mut allocator = Allocator::new(terms(n), Timestamp::default());
-    let mut now = Timestamp::default() + LENGTH + WINDOW;
+    let mut now = Timestamp::default() + LIFETIME + WINDOW;
     let mut least = 1.0_f64;
     for turn in 0..60 {
-        now = now + LENGTH * 0.25;
+        now = now + LIFETIME * 0.25;
         let greedy = [1e300, f64::INFINITY, f64::NAN, 1e9][turn % 4];
         allocator.allocate("greedy", greedy, f64::INFINITY, now);
         for i in 1..n {
@@ -250,7 +250,7 @@
     assert!(least >= terms(n).reserved_fraction() - 1e-12, "{least}");
     let mut got = 0.0;
     for _ in 0..12 {
-        now = now + LENGTH * 0.25;
+        now = now + LIFETIME * 0.25;
         got = allocator.allocate("greedy", 1e9, 1.0, now).unwrap();
     }
     assert!(got > 0.4, "{got}");
@@ -264,10 +264,10 @@
         let soft = QuotaTerms { strict: false, usage_window: Duration::ZERO, ..terms(n) };
         for with in 1..=n {
             let mut allocator = Allocator::new(soft, Timestamp::default());
-            let mut now = Timestamp::default() + LENGTH;
+            let mut now = Timestamp::default() + LIFETIME;
             let mut out = vec![0.0; with];
             for _ in 0..16 {
-                now = now + LENGTH * 0.25;
+                now = now + LIFETIME * 0.25;
                 for (i, share) in out.iter_mut().enumerate() {
                     *share = allocator
                         .allocate(&format!("{i}"), if i == 0 { 99.0 } else { 1.0 }, 1.0, now)
--- a/crates/quotas/tests/division.rs
+++ b/crates/quotas/tests/division.rs
@@ -4,7 +4,7 @@
 use larchfall_policy::types::{Engine, Idempotency, RequestClass};
 use larchfall_quotas::capacity::Capacity;
 use larchfall_quotas::demand::{Arrivals, Demand};
-use larchfall_quotas::fairness::{best_to_worst, jain_index};
+use larchfall_quotas::fairness::{jain_index, max_to_min_ratio};
 use larchfall_quotas::max_min::{Claim, divide};
 use proptest::prelude::*;
 
@@ -85,9 +85,10 @@
             arrivals.count(1, None);
         }
         demand.observe(arrivals.clone());
-        let of_kind = |kind| demand.of_engine(&engine(kind), &classes);
+        let of_kind = |kind| demand.engine_demand(&engine(kind), &classes);
         observed.push(
-            [of_kind(0), of_kind(1), demand.of_tenant(0), demand.of_tenant(1)].map(|w| (w * 100.0).round()),
+            [of_kind(0), of_kind(1), demand.tenant_demand(0), demand.tenant_demand(1)]
+                .map(|w| (w * 100.0).round()),
         );
     }
     assert_eq!(observed, [[2000., 6000., 5., 1000.], [1400., 4200., 5., 700.], [980., 2940., 5., 490.]]);
@@ -104,6 +105,6 @@
     ];
     for (fractions, jain, ratio) in cases {
         assert!((jain_index(fractions.iter().copied()) - jain).abs() < 1e-9, "{fractions:?}");
-        assert_eq!(best_to_worst(fractions.iter().copied()), ratio, "{fractions:?}");
+        assert_eq!(max_to_min_ratio(fractions.iter().copied()), ratio, "{fractions:?}");
     }
 }
--- a/crates/subsetting/src/survey.rs
+++ b/crates/subsetting/src/survey.rs
@@ -21,7 +21,7 @@
     /// How many gateways an engine has.
     pub gateways_per_engine: Spread,
     /// What a departure moves.
-    pub moved: Moved,
+    pub churn: PlanChurn,
 }
 
 /// The spread of a count.
@@ -37,7 +37,7 @@
 
 /// Pairs that are new to those that stay, in the mean, as a fraction of the pairs of the one that leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moved {
+pub struct PlanChurn {
     /// As a gateway leaves.
     pub by_gateway: f64,
     /// As an engine leaves.
@@ -84,7 +84,7 @@
         let pairs = plan.gateway_counts.get(&left.id).copied().unwrap_or(0);
         new_pairs(&plan, &compute(gateways, &rest)) as f64 / pairs.max(1) as f64
     };
-    let moved = Moved {
+    let churn = PlanChurn {
         by_gateway: mean(sample(&gateway_list).map(moved_by_gateway)),
         by_engine: mean(sample(engines).map(moved_by_engine)),
     };
@@ -96,5 +96,5 @@
         max: counts().max().unwrap_or(0),
     };
     let all_pairs = gateways.len() * engines.len();
-    PlanSurvey { pairs, all_pairs, gateways_per_engine, moved, plan }
+    PlanSurvey { pairs, all_pairs, gateways_per_engine, churn, plan }
 }
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -192,7 +192,7 @@
         assert_eq!((all.pairs, all.all_pairs), (pairs, gateways.len() * list.len()));
         let spread = all.gateways_per_engine;
         assert!(spread.min as f64 <= spread.mean && spread.mean <= spread.max as f64, "{spread:?}");
-        assert!(all.moved.by_gateway <= 1.0 && all.moved.by_engine <= 3.0, "{:?}", all.moved);
+        assert!(all.churn.by_gateway <= 1.0 && all.churn.by_engine <= 3.0, "{:?}", all.churn);
         assert_eq!(
             all,
             survey(settings, &gateways, &list, &[class(None, None)]),
