--- a/crates/config/src/convert.rs
+++ b/crates/config/src/convert.rs
@@ -1,4 +1,4 @@
-//! Checked settings as the policy and the gateway take them.
+//! Converts validated settings into the types of the policy and of the gateway.
 
 use crate::error::{Problem, SettingsError};
 use crate::raw::{Raw, RawClass, RawSafety};
@@ -9,7 +9,7 @@
     SlowStartConfig, Tenant, Topology,
 };
 
-pub(crate) fn settings(raw: Raw) -> Result<Settings, SettingsError> {
+pub(crate) fn convert(raw: Raw) -> Result<Settings, SettingsError> {
     let policy = PolicyConfig {
         classes: classes(&raw)?,
         topology: topology(&raw),
@@ -38,8 +38,8 @@
     })
 }
 
-/// Zero stands for a time that is not set.
-fn unless_zero(micros: u64) -> Option<Duration> {
+/// In the settings, 0 microseconds mean that a time is not set.
+fn nonzero_duration(micros: u64) -> Option<Duration> {
     (micros > 0).then(|| Duration::from_micros(micros))
 }
 
@@ -63,8 +63,9 @@
 }
 
 fn idempotency(class: &RawClass, path: &str) -> Result<Idempotency, SettingsError> {
-    let unknown = |field: &str, value: &str| {
-        SettingsError::field(format!("{path}.{field}"), Problem::UnknownValue { value: value.to_owned() })
+    let unknown_value = |field: &str, value: &str, expected: &'static str| {
+        let problem = Problem::UnknownValue { value: value.to_owned(), expected };
+        SettingsError::field(format!("{path}.{field}"), problem)
     };
     match class.idempotency.as_str() {
         "read_like" => Ok(Idempotency::Idempotent),
@@ -74,12 +75,12 @@
                 "all" => DeduplicationScope::All,
                 "zone" => DeduplicationScope::Zone,
                 "cell" => DeduplicationScope::Cell,
-                other => return Err(unknown("key_scope", other)),
+                other => return Err(unknown_value("key_scope", other, "all, zone or cell")),
             };
             let window = Duration::from_micros(class.deduplication_window);
             Ok(Idempotency::IdempotentWithKey { scope, window })
         }
-        other => Err(unknown("effect", other)),
+        other => Err(unknown_value("effect", other, "read_like, non_idempotent or idempotency_key")),
     }
 }
 
@@ -99,21 +100,22 @@
 }
 
 fn capabilities(raw: &Raw) -> Capabilities {
-    let may_probe = raw.caps.load_probes && matches!(raw.load_reports.how.as_str(), "answers" | "probe");
+    let can_check_health =
+        raw.caps.health_checks && matches!(raw.load_reports.source.as_str(), "answers" | "probe");
     Capabilities {
         can_cancel: raw.caps.can_cancel,
-        health_check_cost: may_probe.then_some(raw.costs.load_probe),
+        health_check_cost: can_check_health.then_some(raw.costs.health_check),
         connection_cost: raw.costs.connection,
         idle_connection_lifetime: Duration::ZERO,
         max_attempts: raw.caps.max_attempts,
         forbids_hedging: false,
-        max_retry_after: if raw.caps.retry_after { unless_zero(raw.caps.max_retry_after) } else { None },
+        max_retry_after: if raw.caps.retry_after { nonzero_duration(raw.caps.max_retry_after) } else { None },
         sets_memory_grant: raw.domain.memory_grants,
         swaps_when_out_of_memory: raw.domain.out_of_memory == "swap",
-        progress_interval: unless_zero(raw.domain.progress_interval),
+        progress_interval: nonzero_duration(raw.domain.progress_interval),
         unobserved_attempt_lifetime: None,
         endpoint_list_lifetime: None,
-        clock_resolution: Duration::from_micros(raw.clock_step),
+        clock_resolution: Duration::from_micros(raw.clock_resolution),
     }
 }
 
@@ -121,13 +123,13 @@
     SlowStartConfig {
         overload_multiple: safety.overload_multiple,
         window: Duration::from_micros(safety.overload_window),
-        initial_warm_up_factor: safety.initial_capacity_factor,
-        warm_up_time: Duration::from_micros(safety.ramp_time),
+        initial_warm_up_factor: safety.initial_warm_up_factor,
+        warm_up_time: Duration::from_micros(safety.warm_up_time),
     }
 }
 
 fn retry_budget(safety: &RawSafety) -> Option<RetryBudgetConfig> {
-    let window = safety.retry_window.and_then(unless_zero)?;
+    let window = safety.retry_window.and_then(nonzero_duration)?;
     Some(RetryBudgetConfig {
         window,
         free_retries: safety.free_retries.unwrap_or(0.0),
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,10 +1,11 @@
-//! Why settings are refused. Each refusal of a value names its field by the keys of the settings.
+//! Errors of invalid settings. An error of a value names the field by its keys in the JSON text, such as
+//! `classes[0].aim`.
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, thiserror::Error)]
 #[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum SettingsError {
-    /// No JSON, or a value of another type.
+    /// The text is not JSON, or a value has the wrong type.
     #[error("settings: {error}")]
     Syntax { error: serde_json::Error },
     #[error("settings: {field}: {problem}")]
@@ -21,36 +22,36 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum Problem {
-    #[error("not under instances")]
+    #[error("{gateway} is not less than instances ({gateways})")]
     GatewayOutOfRange { gateway: usize, gateways: usize },
-    #[error("no place in zones")]
+    #[error("{zone} is not an index into zones, which has {zones} entries")]
     ZoneOutOfRange { zone: usize, zones: usize },
-    #[error("no number from zero up")]
-    NotNonNegative { value: f64 },
-    #[error("without a name")]
+    #[error("{value} is not a finite number of at least 0")]
+    NegativeOrNotFinite { value: f64 },
+    #[error("the name is missing or empty")]
     EmptyName,
-    #[error("'{name}' comes twice")]
+    #[error("'{name}' is listed twice")]
     Duplicate { name: String },
-    #[error("missing or zero: nothing can be answered in time")]
+    #[error("missing or zero; must be at least 1 microsecond, or no request can meet its deadline")]
     NoTimeLimit,
-    #[error("missing or zero: nothing is ever on time")]
+    #[error("missing or zero; must be at least 1 microsecond, or no request can meet its objective")]
     NoLatencyObjective,
-    #[error("missing or zero where repeats are known by a key")]
+    #[error("missing or zero; must be at least 1 microsecond if effect is idempotency_key")]
     NoDeduplicationWindow,
-    #[error("leaves no engine open")]
+    #[error("the list is empty, which allows no engine")]
     EmptyAllowList,
-    #[error("names a place that is not in the settings")]
+    #[error("index {index} is out of range: the settings define {length}")]
     IndexOutOfRange { index: usize, length: usize },
-    #[error("of {named} classes, and there are {classes}")]
-    TooManyEntries { named: usize, classes: usize },
-    #[error("does not name each of models")]
-    TooFewEntries { named: usize, kinds: usize },
-    #[error("no share between 0 and 1")]
+    #[error("has {entries} entries for {classes} classes")]
+    TooManyEntries { entries: usize, classes: usize },
+    #[error("has {entries} entries for {kinds} models")]
+    TooFewEntries { entries: usize, kinds: usize },
+    #[error("{value} is not between 0 and 1")]
     NotAFraction { value: f64 },
-    #[error("missing or zero where an engine in slow start falls at a multiple of it")]
-    NoInitialCapacity,
-    #[error("missing or zero where further attempts have a budget")]
+    #[error("missing or zero; must be greater than 0 if fall and fall_multiple are set")]
+    NoInitialWarmUpFactor,
+    #[error("missing or zero; must be at least 1 microsecond if budget_free or extra_per_request is set")]
     NoRetryWindow,
-    #[error("unknown word '{value}'")]
-    UnknownValue { value: String },
+    #[error("unknown value '{value}'; expected {expected}")]
+    UnknownValue { value: String, expected: &'static str },
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
-//! The JSON settings that a gateway starts with, read into the policy's plain types. Keys that are not known are
-//! ignored; what is absent has the value that the wire's page says. `raw` is the settings as they are written, `check`
-//! refuses what no gateway can serve by, `convert` makes the settings of it.
+//! Reads the JSON settings that the platform provides to each gateway. Unknown keys are ignored; an absent key has the
+//! default that the platform's protocol defines. `raw` deserializes the text, `check` validates it, and `convert`
+//! converts it into the policy's types.
 
 #![deny(missing_docs)]
 
@@ -14,46 +14,46 @@
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::PolicyConfig;
 
-/// What one gateway is given at its start.
+/// The validated settings of one gateway.
 pub struct Settings {
-    /// What the decisions need.
+    /// The configuration of the policy, which makes all routing decisions.
     pub policy: PolicyConfig,
-    /// Whether outcomes say what their request cost.
+    /// Whether engines report the work of a request in its outcome.
     pub outcomes_report_work: bool,
-    /// The names of the values in an engine's load report, in their order.
+    /// Names of the values in an engine's load report, in the order of the report.
     pub load_report_fields: Vec<String>,
-    /// Whether endpoints are listed only once a gateway has asked for them.
+    /// Whether the discovery service sends the endpoint list only after a subscription.
     pub must_subscribe: bool,
-    /// The names of classes, tenants, zones and kinds.
+    /// Names of request classes, tenants, zones and engine kinds.
     pub names: Names,
-    /// How long clients of each request class wait at most.
+    /// Longest deadline of a request, by class index.
     pub max_deadlines: Vec<Duration>,
-    /// A connection that is not established by then has failed.
+    /// Time after which an attempt to connect to an engine has failed.
     pub connect_timeout: Duration,
-    /// Engines close connections that were idle this long.
+    /// Idle time after which engines close a connection.
     pub engine_idle_timeout: Duration,
-    /// So long after a drain was announced, nothing new is sent to its engine.
+    /// Time from the announcement of an engine's drain after which no attempt may be sent to the engine.
     pub drain_grace: Duration,
-    /// No request may have two attempts in flight.
+    /// Whether a request may have only one attempt in flight, which forbids hedging.
     pub single_attempt: bool,
 }
 
-/// What the settings call things; the place in each list is the index that decisions use.
+/// Names in the settings. The policy identifies each by its index in these lists.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Request classes.
+    /// Names of request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of zones.
     pub zones: Vec<String>,
-    /// Kinds of engines.
+    /// Names of engine kinds, which differ in cores and memory.
     pub kinds: Vec<String>,
 }
 
-/// Reads the settings and checks them.
+/// Parses and validates the settings.
 pub fn read(text: &[u8]) -> Result<Settings, SettingsError> {
     let raw: raw::Raw = serde_json::from_slice(text).map_err(|error| SettingsError::Syntax { error })?;
     check::check(&raw)?;
-    convert::settings(raw)
+    convert::convert(raw)
 }
--- a/crates/config/src/raw.rs
+++ b/crates/config/src/raw.rs
@@ -1,5 +1,5 @@
-//! The settings as they are written. Refusals of a wrong type show the names that these structs had before their terms
-//! were changed: each says so in its `expecting`.
+//! The deserialized JSON settings. Times are in microseconds. An error of a wrong
+//! type shows the name of the struct; a renamed struct keeps the name of earlier releases in `expecting`.
 
 use serde::Deserialize;
 
@@ -20,7 +20,7 @@
     #[serde(rename = "parties")]
     pub(crate) tenants: Vec<RawTenant>,
     #[serde(rename = "period")]
-    pub(crate) clock_step: u64,
+    pub(crate) clock_resolution: u64,
     #[serde(rename = "prices")]
     pub(crate) costs: RawCosts,
     pub(crate) safety: RawSafety,
@@ -38,7 +38,7 @@
     #[serde(rename = "idle_close")]
     pub(crate) idle_timeout: u64,
     #[serde(rename = "probes")]
-    pub(crate) load_probes: bool,
+    pub(crate) health_checks: bool,
     pub(crate) max_attempts: usize,
     #[serde(rename = "second_copies")]
     pub(crate) hedging: Option<bool>,
@@ -109,7 +109,7 @@
     #[serde(rename = "budget_free")]
     pub(crate) free_retries: Option<f64>,
     #[serde(rename = "cold_from")]
-    pub(crate) initial_capacity_factor: f64,
+    pub(crate) initial_warm_up_factor: f64,
     #[serde(rename = "extra_per_request")]
     pub(crate) retries_per_request: Option<f64>,
     #[serde(rename = "extra_window")]
@@ -121,7 +121,7 @@
     #[serde(rename = "key_quiet")]
     pub(crate) key_cooldown: u64,
     #[serde(rename = "ramp_time")]
-    pub(crate) ramp_time: u64,
+    pub(crate) warm_up_time: u64,
 }
 
 #[derive(Deserialize, Default)]
@@ -130,12 +130,13 @@
     #[serde(rename = "handshake")]
     pub(crate) connection: f64,
     #[serde(rename = "probe")]
-    pub(crate) load_probe: f64,
+    pub(crate) health_check: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct RawStats")]
 pub(crate) struct RawLoadReports {
-    pub(crate) how: String,
+    #[serde(rename = "how")]
+    pub(crate) source: String,
     pub(crate) fields: Vec<String>,
 }
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,30 +1,33 @@
-//! Settings with every key, as they were written before the program's terms were changed, and what they are refused
-//! with, byte for byte. The texts in `files/refusals.txt` were produced by the version before.
+//! Compatibility of the JSON settings: `files/settings.json` sets every key, and must keep its meaning across releases.
+//! `files/refusals.txt` holds invalid changes of that file with the exact error text of each, which operators read. Each
+//! case has three lines: `- ` the text that is replaced, `+ ` its replacement, `! ` the expected error.
 
 use larchfall_config::{Settings, read};
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::{DeduplicationScope, Idempotency, RequestClass};
 
-const FILE: &str = include_str!("files/settings.json");
-const REFUSALS: &str = include_str!("files/refusals.txt");
-const REFUSAL_COUNT: usize = 44;
+const SETTINGS: &str = include_str!("files/settings.json");
+const ERROR_CASES: &str = include_str!("files/refusals.txt");
+const ERROR_CASE_COUNT: usize = 44;
 
 #[test]
-fn refusals_are_the_texts_of_the_version_before() {
-    let cases: Vec<&str> = REFUSALS.trim().split("\n\n").collect();
-    assert_eq!(cases.len(), REFUSAL_COUNT);
+fn invalid_settings_are_rejected_with_exact_texts() {
+    let cases: Vec<&str> = ERROR_CASES.trim().split("\n\n").collect();
+    assert_eq!(cases.len(), ERROR_CASE_COUNT);
     for case in cases {
-        let [removed, inserted, expected] = case.lines().collect::<Vec<_>>()[..] else { panic!("{case}") };
-        let removed = removed.strip_prefix("- ").expect(case);
-        let inserted = inserted.strip_prefix('+').expect(case).trim_start();
+        let [replaced, replacement, expected] = case.lines().collect::<Vec<_>>()[..] else {
+            panic!("{case}")
+        };
+        let replaced = replaced.strip_prefix("- ").expect(case);
+        let replacement = replacement.strip_prefix('+').expect(case).trim_start();
         let expected = expected.strip_prefix("! ").expect(case);
-        assert!(FILE.contains(removed), "{removed} is not in the settings");
-        let error = read(FILE.replacen(removed, inserted, 1).as_bytes()).err().expect(case);
+        assert!(SETTINGS.contains(replaced), "settings.json lacks the text of the case: {replaced}");
+        let error = read(SETTINGS.replacen(replaced, replacement, 1).as_bytes()).err().expect(case);
         assert_eq!(error.to_string().replace('\n', "\\n"), expected);
     }
 }
 
-fn load_class(class: &RequestClass) {
+fn assert_load_class(class: &RequestClass) {
     let ms = Duration::from_millis;
     assert_eq!((class.priority_weight, class.objective_stretch), (0.5, 2.5));
     assert_eq!((class.latency_objective, class.threads), (ms(900), 2.0));
@@ -35,9 +38,9 @@
 }
 
 #[test]
-fn settings_of_the_version_before_mean_the_same() {
+fn every_key_keeps_its_meaning() {
     let ms = Duration::from_millis;
-    let settings = read(FILE.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
+    let settings = read(SETTINGS.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
     let Settings { policy, names, .. } = &settings;
 
     assert_eq!(
@@ -48,7 +51,7 @@
         policy.topology.engine_kinds.iter().map(|kind| (kind.cores, kind.memory_mb)).collect();
     assert_eq!(kinds, [(4.0, 8_192.0), (16.0, 65_536.0)]);
     let [load, look, once] = &policy.classes[..] else { panic!("{:?}", policy.classes) };
-    load_class(load);
+    assert_load_class(load);
     assert_eq!((look.idempotency, once.idempotency), (Idempotency::Idempotent, Idempotency::NonIdempotent));
     assert_eq!((look.threads, once.threads), (1.5, 1.0));
     assert!(
@@ -57,13 +60,22 @@
     let quotas: Vec<f64> = policy.tenants.iter().map(|tenant| tenant.quota_rate).collect();
     assert_eq!(quotas, [12.5, 0.0]);
 
-    let caps = &policy.capabilities;
+    let capabilities = &policy.capabilities;
     assert!(
-        caps.can_cancel && caps.sets_memory_grant && caps.swaps_when_out_of_memory && !caps.forbids_hedging
+        capabilities.can_cancel
+            && capabilities.sets_memory_grant
+            && capabilities.swaps_when_out_of_memory
+            && !capabilities.forbids_hedging
     );
-    assert_eq!((caps.health_check_cost, caps.connection_cost, caps.max_attempts), (Some(0.002), 0.01, 3));
-    assert_eq!((caps.max_retry_after, caps.progress_interval), (Some(ms(500)), Some(ms(250))));
-    assert_eq!((caps.clock_resolution, policy.key_cooldown), (ms(1), ms(700)));
+    assert_eq!(
+        (capabilities.health_check_cost, capabilities.connection_cost, capabilities.max_attempts),
+        (Some(0.002), 0.01, 3)
+    );
+    assert_eq!(
+        (capabilities.max_retry_after, capabilities.progress_interval),
+        (Some(ms(500)), Some(ms(250)))
+    );
+    assert_eq!((capabilities.clock_resolution, policy.key_cooldown), (ms(1), ms(700)));
     let slow_start = &policy.slow_start;
     assert_eq!((slow_start.overload_multiple, slow_start.initial_warm_up_factor), (3.5, 0.3));
     assert_eq!((slow_start.window, slow_start.warm_up_time), (ms(2_000), ms(14_000)));
