--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,6 +1,6 @@
-//! Why an operator's file is refused. Every refusal of a value names its line, table and field.
+//! Errors of an invalid operator's file. An error of a value names its line, table and field.
 
-/// Why a file can't be used.
+/// Why an operator's file could not be loaded.
 #[derive(Debug, thiserror::Error)]
 #[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum ReadError {
@@ -10,14 +10,14 @@
     Invalid { path: String, error: ConfigError },
 }
 
-/// Why the text of a file can't be used.
+/// Why the text of an operator's file is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[expect(missing_docs, reason = "the text of each variant says what it means")]
 pub enum ConfigError {
-    /// No TOML, or keys that are unknown, missing or of another type.
+    /// The text is not TOML, or a key is unknown, missing or of the wrong type.
     #[error("line {line}: {message}")]
     Syntax { line: usize, message: String },
-    /// The same where the parser names no place.
+    /// A syntax error whose line the parser does not report.
     #[error("{message}")]
     SyntaxWithoutLine { message: String },
     #[error("line {line}: {table}.{field}: {problem}")]
@@ -34,38 +34,46 @@
     OutOfRange { value: usize, minimum: usize, maximum: usize },
     #[error("{milliseconds} ms is not within {minimum} to {maximum}")]
     DurationOutOfRange { milliseconds: u64, minimum: u64, maximum: u64 },
-    #[error("wanted 1 to {maximum} bytes")]
+    #[error("must be 1 to {maximum} bytes long, got '{value}'")]
     NameLength { value: String, maximum: usize },
-    #[error("no IPv4 address with a port")]
+    #[error("must be an IPv4 address with a port, got '{value}'")]
     InvalidIpv4Address { value: String },
-    #[error("no address with a port")]
+    #[error("must be an IPv4 address with a port, got '{value}'")]
     InvalidAddress { value: String },
-    #[error("wanted an address and its bits, as 10.0.0.0/24")]
+    #[error("must be an IPv4 network such as 10.0.0.0/24, got '{value}'")]
     InvalidNetwork { value: String },
-    #[error("others need an address and a port of it")]
+    #[error("other gateways need a specific address and a nonzero port, got {address}")]
     UnreachableAddress { address: std::net::SocketAddrV4 },
-    #[error("others that are asked to help need as long again within a period")]
+    #[error(
+        "{reply_timeout_ms} ms exceeds half of period-ms ({period_ms} ms), which leaves too little time for an indirect ping"
+    )]
     ReplyTimeoutTooLong { reply_timeout_ms: u64, period_ms: u64 },
     #[error("needs a [fronts] table")]
     NeedsMembership,
-    #[error("wanted the names of 3, 5 or 7 fronts")]
-    InvalidVoterNames { names: Vec<String> },
-    #[error("electors would grant less than lease-ms")]
+    #[error("must list 3, 5 or 7 different gateway names of 1 to {maximum} bytes, got {names:?}")]
+    InvalidVoterNames { names: Vec<String>, maximum: usize },
+    #[error(
+        "{maximum_ms} ms is less than lease-ms ({lease_ms} ms), so voters would grant less than a lease needs"
+    )]
     MaximumBelowLease { maximum_ms: u64, lease_ms: u64 },
-    #[error("what is read each probe-ms would be old before it is read again")]
+    #[error(
+        "{fresh_ms} ms is less than probe-ms ({probe_ms} ms), so each load report would expire before the next"
+    )]
     StaleBeforeNextProbe { fresh_ms: u64, probe_ms: u64 },
-    #[error("wanted 1 to {maximum} bytes that no other duty has")]
+    #[error("must be 1 to {maximum} bytes long and name no other role, got '{value}'")]
     InvalidRoleName { value: String, maximum: usize },
-    #[error("names no program")]
+    #[error("must start with the name of a program")]
     EmptyCommand,
-    #[error("wanted http:// or https://, host and port")]
+    #[error("must be http:// or https:// followed by host and port, got '{value}'")]
     InvalidBaseUrl { value: String },
-    #[error("a result must be kept for longer than a call for a page is held back")]
+    #[error(
+        "{retention_ms} ms is not longer than poll-ms ({poll_ms} ms), so a result could expire during a call for its page"
+    )]
     RetentionTooShort { retention_ms: u64, poll_ms: u64 },
-    #[error("no source names the service group")]
+    #[error("must list at least one source of the request class")]
     NoClassSource,
-    #[error("the settings have customers, and no source names one")]
+    #[error("must list at least one source, since the platform's settings define tenants")]
     NoTenantSource,
-    #[error("'{value}' is not in the settings")]
+    #[error("'{value}' is not defined in the platform's settings")]
     UnknownName { value: String },
 }
--- a/crates/operator-config/src/health_gossip.rs
+++ b/crates/operator-config/src/health_gossip.rs
@@ -1,4 +1,4 @@
-//! `[signals]`: what gateways tell each other of the health of engines.
+//! The `[signals]` table: health gossip, by which gateways share observations of engines.
 
 use crate::error::{ConfigError, Problem};
 use crate::membership::MembershipConfig;
@@ -8,20 +8,21 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// What gateways tell each other of engines.
+/// Settings of health gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthGossipConfig {
-    /// Time between two reports.
+    /// Time between two reports of this gateway.
     pub interval: Duration,
-    /// To how many members each report goes.
+    /// Number of members to which each report is sent.
     pub fanout: usize,
-    /// How observations of others count.
+    /// How the observations of other gateways are aggregated.
     pub aggregation: AggregationSettings,
-    /// In each such time one gateway probes an ejected engine; `None`: each gateway does so by itself.
+    /// Length of a probe slot, in which only one gateway probes an ejected engine; `None` if each gateway probes on its
+    /// own.
     pub probe_slot: Option<Duration>,
 }
 
-/// The table as it is written.
+/// The deserialized table.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawSignals {
@@ -43,7 +44,7 @@
 ) -> Result<HealthGossipConfig, ConfigError> {
     let table = Table::new(text, "signals");
     if membership.is_none() {
-        return Err(table.refuse(spanned, "every-ms", Problem::NeedsMembership));
+        return Err(table.invalid(spanned, "every-ms", Problem::NeedsMembership));
     }
     let raw = spanned.get_ref();
     let interval = table.duration(&raw.every_ms, "every-ms", 20, 60_000)?;
--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -1,4 +1,5 @@
-//! `[duties]` and each `[[duty]]`: what one gateway at a time does, and the programs that the operator runs so.
+//! The `[duties]` table and the `[[duty]]` tables: roles that one gateway at a time holds under a lease, and the
+//! operator's programs that run under such a lease.
 
 use crate::error::{ConfigError, Problem};
 use crate::membership::MembershipConfig;
@@ -16,43 +17,44 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// No voter votes on more roles than this.
+/// Largest number of roles on which a voter votes.
 const MAX_ROLES: usize = 10_000;
-/// A role moves to a gateway that is better for it by this part of the scale by which roles are spread.
-const MIN_IMPROVEMENT: f64 = 0.1;
+/// Score advantage from which a role moves to another gateway. Scores, which spread the roles over the gateways, range
+/// from 0 to 1.
+const MIN_SCORE_ADVANTAGE: f64 = 0.1;
 
-/// What one gateway at a time does.
+/// Settings of leases and of the roles held under them.
 #[derive(Clone, Debug)]
 pub struct LeaseConfig {
-    /// Voters, leases and roles.
+    /// Voters, lease terms and roles.
     pub settings: LeaseSettings,
-    /// The folder for what a voter remembers; `None`: it remembers nothing over a restart.
+    /// Directory of the voter record; `None` if a voter keeps no record across restarts.
     pub voter_record_directory: Option<PathBuf>,
-    /// Below which a gateway holds no role.
+    /// Thresholds of health beyond which a gateway holds no role.
     pub fitness: FitnessThresholds,
-    /// Load reports that one gateway asks engines for, for all.
+    /// Sharing of load reports, which one gateway requests from engines for all gateways; `None` if off.
     pub load_sharing: Option<LoadSharingSettings>,
-    /// Quotas that one gateway hands out to all.
+    /// Quotas, which one gateway allocates to all gateways; `None` if off.
     pub quotas: Option<QuotaConfig>,
-    /// The operator's programs.
+    /// The operator's supervised programs.
     pub programs: Vec<ProgramConfig>,
 }
 
-/// How quotas are handed out.
+/// Settings of quota allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaConfig {
-    /// How many roles the capacities are divided among.
+    /// Number of quota allocators, among which the capacities are divided.
     pub allocators: usize,
-    /// How long a quota lasts.
+    /// Time until a quota expires.
     pub lifetime: Duration,
-    /// What is handed out.
+    /// The kinds of capacity that are allocated.
     pub kinds: QuotaKinds,
 }
 
-/// What is handed out.
+/// The kinds of capacity that are allocated by quotas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaKinds {
-    /// Attempts at engines in slow start.
+    /// Attempts sent to engines in slow start.
     pub slow_start: bool,
     /// Threads of engines.
     pub threads: bool,
@@ -60,18 +62,18 @@
     pub tenants: bool,
 }
 
-/// A program of the operator's that runs while this gateway holds its role.
+/// A program of the operator that runs while this gateway holds the program's role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgramConfig {
-    /// The name of its role.
+    /// Name of the program's role.
     pub role: String,
     /// The program and its arguments.
     pub command: Vec<String>,
-    /// Time between the request to end and the kill, which comes before the lease is over.
+    /// Time between the request to stop the program and its kill, which happens before the lease ends.
     pub stop_grace: Duration,
 }
 
-/// The table as it is written.
+/// The deserialized `[duties]` table.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawDuties {
@@ -98,8 +100,8 @@
     keepers: Option<Spanned<usize>>,
     #[serde(default = "default_ms::<1_000>")]
     share_ms: Spanned<u64>,
-    #[serde(default = "slow_start_only")]
-    hand_out: Vec<RawKind>,
+    #[serde(default = "default_quota_kinds")]
+    hand_out: Vec<RawQuotaKind>,
     #[serde(default = "default_ms::<500>")]
     probe_ms: Spanned<u64>,
     #[serde(default = "default_ms::<1_500>")]
@@ -108,7 +110,7 @@
 
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum RawKind {
+enum RawQuotaKind {
     #[serde(rename = "cold")]
     SlowStart,
     Threads,
@@ -116,11 +118,11 @@
     Tenants,
 }
 
-fn slow_start_only() -> Vec<RawKind> {
-    vec![RawKind::SlowStart]
+fn default_quota_kinds() -> Vec<RawQuotaKind> {
+    vec![RawQuotaKind::SlowStart]
 }
 
-/// One `[[duty]]` as it is written.
+/// A deserialized `[[duty]]` table.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawProgram {
@@ -130,8 +132,8 @@
     end_ms: Spanned<u64>,
 }
 
-/// Programs run under leases, so they need the table of these.
-pub(crate) fn refuse_without_leases(text: &str, programs: &[RawProgram]) -> Result<(), ConfigError> {
+/// Rejects programs in a file without a `[duties]` table, since programs run only under leases.
+pub(crate) fn reject_programs_without_leases(text: &str, programs: &[RawProgram]) -> Result<(), ConfigError> {
     match programs.first() {
         Some(first) => Err(ConfigError::ProgramWithoutLeases { line: line(text, first.name.span().start) }),
         None => Ok(()),
@@ -146,61 +148,65 @@
 ) -> Result<LeaseConfig, ConfigError> {
     let table = Table::new(text, "duties");
     let Some(membership) = membership else {
-        return Err(table.refuse(&raw.electors, "electors", Problem::NeedsMembership));
+        return Err(table.invalid(&raw.electors, "electors", Problem::NeedsMembership));
     };
     let previous = raw.electors_before.as_ref();
-    let previous = previous.map(|names| voters(&table, names, "electors-before")).transpose()?;
-    let current = voters(&table, &raw.electors, "electors")?;
-    let length = table.duration(&raw.lease_ms, "lease-ms", 200, 60_000)?;
-    let longest_lease = longest_lease(&table, &raw, length)?;
-    let load_sharing = load_sharing(&table, &raw)?;
-    let quotas = quotas(&table, &raw)?;
+    let previous = previous.map(|names| check_voters(&table, names, "electors-before")).transpose()?;
+    let current = check_voters(&table, &raw.electors, "electors")?;
+    let lease_length = table.duration(&raw.lease_ms, "lease-ms", 200, 60_000)?;
+    let longest_lease = check_longest_lease(&table, &raw, lease_length)?;
+    let load_sharing = check_load_sharing(&table, &raw)?;
+    let quotas = check_quotas(&table, &raw)?;
     let mut roles = built_in_roles(load_sharing, quotas);
-    let programs = programs(text, raw_programs, &mut roles, length)?;
+    let programs = check_programs(text, raw_programs, &mut roles, lease_length)?;
     let drift_margin_per_mille = table.count(&raw.margin, "margin", 1, 500)? as u32;
     let settings = LeaseSettings {
         cluster: membership.settings.cluster.clone(),
         voters: VoterSet { current, previous },
-        terms: LeaseTerms { length, drift_margin_per_mille },
+        terms: LeaseTerms { length: lease_length, drift_margin_per_mille },
         voter_limits: VoterLimits { longest_lease, max_roles: MAX_ROLES, persistent: raw.record.is_some() },
         roles,
         min_hold: table.duration(&raw.least_ms, "least-ms", 0, 3_600_000)?,
-        better_margin: MIN_IMPROVEMENT,
+        better_margin: MIN_SCORE_ADVANTAGE,
     };
-    let fitness = fitness(&table, &raw)?;
+    let fitness = check_fitness(&table, &raw)?;
     Ok(LeaseConfig { settings, voter_record_directory: raw.record, fitness, load_sharing, quotas, programs })
 }
 
-/// The names of the gateways that vote: an odd number of them, none twice.
-fn voters(
+/// Validates the names of the voters: 3, 5 or 7 different gateways.
+fn check_voters(
     table: &Table,
     list: &Spanned<Vec<Spanned<String>>>,
     field: &'static str,
 ) -> Result<BTreeSet<String>, ConfigError> {
     let names: BTreeSet<String> = list.get_ref().iter().map(|name| name.get_ref().clone()).collect();
-    let is_quorum_size = matches!(names.len(), 3 | 5 | 7) && names.len() == list.get_ref().len();
-    if is_quorum_size && names.iter().all(|name| (1..=MAX_NAME_BYTES).contains(&name.len())) {
+    let is_valid_count = matches!(names.len(), 3 | 5 | 7) && names.len() == list.get_ref().len();
+    if is_valid_count && names.iter().all(|name| (1..=MAX_NAME_BYTES).contains(&name.len())) {
         Ok(names)
     } else {
         let names = list.get_ref().iter().map(|name| name.get_ref().clone()).collect();
-        Err(table.refuse(list, field, Problem::InvalidVoterNames { names }))
+        Err(table.invalid(list, field, Problem::InvalidVoterNames { names, maximum: MAX_NAME_BYTES }))
     }
 }
 
-/// The longest lease that this gateway grants as a voter.
-fn longest_lease(table: &Table, raw: &RawDuties, length: Duration) -> Result<Duration, ConfigError> {
+/// Validates the longest lease that this gateway grants as a voter.
+fn check_longest_lease(
+    table: &Table,
+    raw: &RawDuties,
+    lease_length: Duration,
+) -> Result<Duration, ConfigError> {
     let longest = table.duration(&raw.longest_ms, "longest-ms", 200, 600_000)?;
-    if longest < length {
+    if longest < lease_length {
         let problem = Problem::MaximumBelowLease {
             maximum_ms: *raw.longest_ms.get_ref(),
             lease_ms: *raw.lease_ms.get_ref(),
         };
-        return Err(table.refuse(&raw.longest_ms, "longest-ms", problem));
+        return Err(table.invalid(&raw.longest_ms, "longest-ms", problem));
     }
     Ok(longest)
 }
 
-fn load_sharing(table: &Table, raw: &RawDuties) -> Result<Option<LoadSharingSettings>, ConfigError> {
+fn check_load_sharing(table: &Table, raw: &RawDuties) -> Result<Option<LoadSharingSettings>, ConfigError> {
     let roles = raw.probing.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
     let interval = table.duration(&raw.probe_ms, "probe-ms", 20, 60_000)?;
     let max_age = table.duration(&raw.fresh_ms, "fresh-ms", 20, 600_000)?;
@@ -209,64 +215,65 @@
             fresh_ms: *raw.fresh_ms.get_ref(),
             probe_ms: *raw.probe_ms.get_ref(),
         };
-        return Err(table.refuse(&raw.fresh_ms, "fresh-ms", problem));
+        return Err(table.invalid(&raw.fresh_ms, "fresh-ms", problem));
     }
     Ok(roles.map(|roles| LoadSharingSettings { roles, interval, max_age }))
 }
 
-fn quotas(table: &Table, raw: &RawDuties) -> Result<Option<QuotaConfig>, ConfigError> {
+fn check_quotas(table: &Table, raw: &RawDuties) -> Result<Option<QuotaConfig>, ConfigError> {
     let allocators = raw.keepers.as_ref().map(|count| table.count(count, "keepers", 1, 64)).transpose()?;
     let lifetime = table.duration(&raw.share_ms, "share-ms", 100, 60_000)?;
-    let hands_out = |kind| raw.hand_out.contains(&kind);
+    let is_allocated = |kind| raw.hand_out.contains(&kind);
     let kinds = QuotaKinds {
-        slow_start: hands_out(RawKind::SlowStart),
-        threads: hands_out(RawKind::Threads),
-        tenants: hands_out(RawKind::Tenants),
+        slow_start: is_allocated(RawQuotaKind::SlowStart),
+        threads: is_allocated(RawQuotaKind::Threads),
+        tenants: is_allocated(RawQuotaKind::Tenants),
     };
     Ok(allocators.map(|allocators| QuotaConfig { allocators, lifetime, kinds }))
 }
 
-/// The names of the roles that are not the operator's programs.
+/// Names of the gateway's own roles: health checks and quota allocators.
 fn built_in_roles(
     load_sharing: Option<LoadSharingSettings>,
     quotas: Option<QuotaConfig>,
 ) -> BTreeSet<String> {
-    let health_checks = (0..load_sharing.map_or(0, |settings| settings.roles)).map(health_check_role);
-    let allocators = (0..quotas.map_or(0, |quotas| quotas.allocators)).map(quota_allocator_role);
-    health_checks.chain(allocators).collect()
+    let health_check_roles = (0..load_sharing.map_or(0, |settings| settings.roles)).map(health_check_role);
+    let allocator_roles = (0..quotas.map_or(0, |quotas| quotas.allocators)).map(quota_allocator_role);
+    health_check_roles.chain(allocator_roles).collect()
 }
 
-/// The operator's programs. Each is a role of its own, and adds its name to the roles.
-fn programs(
+/// Validates the operator's programs. Each program is a role of its own, whose name is added to `roles`.
+fn check_programs(
     text: &str,
     raw_programs: &[RawProgram],
     roles: &mut BTreeSet<String>,
-    length: Duration,
+    lease_length: Duration,
 ) -> Result<Vec<ProgramConfig>, ConfigError> {
     let table = Table::new(text, "duty");
-    // Renewed in each third of its length, a lease has two thirds left at the worst: an ordinary delay ends no program.
-    let longest_end_ms = length.micros() / 4000;
+    // A quarter of the lease length, in milliseconds. Leases are renewed every third of their length, so at least two
+    // thirds remain, and an ordinary delay of a renewal stops no program.
+    let max_stop_grace_ms = lease_length.micros() / 4000;
     let mut programs = Vec::new();
     for raw in raw_programs {
         let role = raw.name.get_ref().clone();
         if !(1..=MAX_NAME_BYTES).contains(&role.len()) || !roles.insert(role.clone()) {
             let problem = Problem::InvalidRoleName { value: role, maximum: MAX_NAME_BYTES };
-            return Err(table.refuse(&raw.name, "name", problem));
+            return Err(table.invalid(&raw.name, "name", problem));
         }
         let command = raw.command.get_ref().clone();
         if command.first().is_none_or(String::is_empty) {
-            return Err(table.refuse(&raw.command, "command", Problem::EmptyCommand));
+            return Err(table.invalid(&raw.command, "command", Problem::EmptyCommand));
         }
-        let stop_grace = table.duration(&raw.end_ms, "end-ms", 10, longest_end_ms)?;
+        let stop_grace = table.duration(&raw.end_ms, "end-ms", 10, max_stop_grace_ms)?;
         programs.push(ProgramConfig { role, command, stop_grace });
     }
     Ok(programs)
 }
 
-fn fitness(table: &Table, raw: &RawDuties) -> Result<FitnessThresholds, ConfigError> {
-    let silence = raw.stale_ms.as_ref();
+fn check_fitness(table: &Table, raw: &RawDuties) -> Result<FitnessThresholds, ConfigError> {
+    let max_silence = raw.stale_ms.as_ref();
     let max_discovery_silence =
-        silence.map(|limit| table.duration(limit, "stale-ms", 100, 3_600_000)).transpose()?;
+        max_silence.map(|limit| table.duration(limit, "stale-ms", 100, 3_600_000)).transpose()?;
     let unhealthy_score = raw.ill.as_ref().map(|score| table.count(score, "ill", 1, 8)).transpose()?;
     Ok(FitnessThresholds {
         max_discovery_silence,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operator's own settings: one TOML file beside the configuration that the platform hands out. A file is used
-//! whole or not at all, and what it does not name is off. Each module reads one table of it: structs named `Raw…` and
-//! their fields have the file's own names, since refusals show these, and are checked and turned into the program's own
-//! settings there.
+//! Reads the operator's own settings, a TOML file in addition to the configuration that the platform provides. A file
+//! with any error is rejected as a whole, and a feature whose table is absent is off. Each module reads one table of the
+//! file: it deserializes a struct named `Raw…`, then validates and converts that struct. The `Raw…` structs and their
+//! fields have the names of the file's tables and keys, since error messages show these names.
 
 #![deny(missing_docs)]
 
@@ -29,22 +29,22 @@
 use subsetting::RawSubsets;
 use toml::Spanned;
 
-/// All that a file sets; `None` for what is off.
+/// The validated settings of an operator's file; `None` for a feature that is off.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    /// The paged REST protocol for clients.
+    /// The paged REST protocol for clients, from `[rest]`.
     pub paged_rest: Option<PagedRestConfig>,
-    /// The gateways among themselves.
+    /// Membership of the cluster of gateways, from `[fronts]`.
     pub membership: Option<MembershipConfig>,
-    /// What one gateway at a time does.
+    /// Leased roles, from `[duties]` and `[[duty]]`.
     pub leases: Option<LeaseConfig>,
-    /// Which engines a gateway uses.
+    /// The subset of engines that each gateway uses, from `[subsets]`.
     pub subsetting: Option<SubsettingConfig>,
-    /// What gateways tell each other of engines.
+    /// Health gossip about engines, from `[signals]`.
     pub health_gossip: Option<HealthGossipConfig>,
 }
 
-/// The file as it is written.
+/// The deserialized file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
@@ -57,21 +57,22 @@
     duty: Vec<RawProgram>,
 }
 
-/// Reads a file; a refusal begins with its path.
+/// Reads and validates a file. The text of an error starts with the path.
 pub fn read(path: &str, names: &Names) -> Result<OperatorConfig, ReadError> {
-    let unreadable = |error| ReadError::Unreadable { path: path.to_owned(), error };
-    let text = std::fs::read_to_string(path).map_err(unreadable)?;
+    let read_error = |error| ReadError::Unreadable { path: path.to_owned(), error };
+    let text = std::fs::read_to_string(path).map_err(read_error)?;
     parse(&text, names).map_err(|error| ReadError::Invalid { path: path.to_owned(), error })
 }
 
-/// Checks the text of a file against the names of the platform's settings.
+/// Validates the text of a file. Request classes and tenants in it must be among `names`, those of the platform's
+/// settings.
 pub fn parse(text: &str, names: &Names) -> Result<OperatorConfig, ConfigError> {
     let raw: Raw = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
     let membership = raw.fronts.map(|raw| membership::check(text, &raw)).transpose()?;
     let leases = match raw.duties {
         Some(duties) => Some(leases::check(text, duties, &raw.duty, membership.as_ref())?),
         None => {
-            leases::refuse_without_leases(text, &raw.duty)?;
+            leases::reject_programs_without_leases(text, &raw.duty)?;
             None
         }
     };
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -1,4 +1,4 @@
-//! `[fronts]`: the gateways among themselves.
+//! The `[fronts]` table: membership of the cluster of gateways.
 
 use crate::error::{ConfigError, Problem};
 use crate::table::{Table, default_count, default_ms};
@@ -9,29 +9,29 @@
 use std::net::SocketAddrV4;
 use toml::Spanned;
 
-/// Members that are asked to check one that did not reply.
-const HELPERS: usize = 3;
+/// Number of members that are asked to ping a member that did not answer.
+const INDIRECT_PING_HELPERS: usize = 3;
 
-/// The gateways among themselves.
+/// Settings of this gateway as a member of the cluster.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// This gateway's name.
+    /// Name of this gateway, which is unique in the cluster.
     pub name: String,
-    /// Where it listens.
+    /// Address on which this gateway receives datagrams of other members.
     pub listen: SocketAddrV4,
-    /// The address that other members are told.
+    /// Address that other members use to reach this gateway; equal to `listen` unless the file sets `told`.
     pub advertised: SocketAddrV4,
-    /// This gateway's zone.
+    /// Zone of this gateway; empty if the file does not set it.
     pub zone: String,
-    /// Requests a second that this gateway is meant to serve, as other members are told.
+    /// Requests per second that this gateway is meant to serve, as announced to other members.
     pub requests_per_second: u32,
-    /// How members find and check each other.
+    /// How members discover and probe each other.
     pub settings: MembershipSettings,
-    /// The policy counts the gateways that are alive, within these bounds; `None`: those that the settings name.
+    /// How live gateways are counted for the policy; `None` if the policy uses the number in the platform's settings.
     pub fleet_size: Option<FleetSizeSettings>,
 }
 
-/// The table as it is written.
+/// The deserialized table.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawFronts {
@@ -68,17 +68,17 @@
 
 pub(crate) fn check(text: &str, raw: &RawFronts) -> Result<MembershipConfig, ConfigError> {
     let table = Table::new(text, "fronts");
-    let settings = members(&table, raw)?;
+    let settings = membership_settings(&table, raw)?;
     let fleet_size = FleetSizeSettings {
         window: table.duration(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
         step: table.duration(&raw.count_step_ms, "count-step-ms", 10, 600_000)?,
         min: table.count(&raw.count_least, "count-least", 1, 65_536)?,
     };
-    let listen = address(&table, &raw.address, "address")?;
-    let advertised = raw.told.as_ref().map(|told| address(&table, told, "told")).transpose()?;
+    let listen = parse_address(&table, &raw.address, "address")?;
+    let advertised = raw.told.as_ref().map(|told| parse_address(&table, told, "told")).transpose()?;
     let advertised = advertised.unwrap_or(listen);
     if advertised.port() == 0 || advertised.ip().is_unspecified() {
-        return Err(table.refuse(
+        return Err(table.invalid(
             &raw.address,
             "address",
             Problem::UnreachableAddress { address: advertised },
@@ -86,17 +86,17 @@
     }
     let zone = raw.zone.as_ref();
     Ok(MembershipConfig {
-        name: name(&table, &raw.name, "name")?,
+        name: check_name(&table, &raw.name, "name")?,
         listen,
         advertised,
-        zone: zone.map(|zone| name(&table, zone, "zone")).transpose()?.unwrap_or_default(),
+        zone: zone.map(|zone| check_name(&table, zone, "zone")).transpose()?.unwrap_or_default(),
         requests_per_second: raw.serves,
         settings,
         fleet_size: raw.shares.then_some(fleet_size),
     })
 }
 
-fn members(table: &Table, raw: &RawFronts) -> Result<MembershipSettings, ConfigError> {
+fn membership_settings(table: &Table, raw: &RawFronts) -> Result<MembershipSettings, ConfigError> {
     let probe_interval = table.duration(&raw.period_ms, "period-ms", 50, 60_000)?;
     let probe_timeout = table.duration(&raw.answer_ms, "answer-ms", 10, 60_000)?;
     if probe_timeout * 2.0 > probe_interval {
@@ -104,42 +104,46 @@
             reply_timeout_ms: *raw.answer_ms.get_ref(),
             period_ms: *raw.period_ms.get_ref(),
         };
-        return Err(table.refuse(&raw.answer_ms, "answer-ms", problem));
+        return Err(table.invalid(&raw.answer_ms, "answer-ms", problem));
     }
     Ok(MembershipSettings {
-        cluster: name(table, &raw.cluster, "cluster")?,
+        cluster: check_name(table, &raw.cluster, "cluster")?,
         probe_interval,
         probe_timeout,
-        helpers: HELPERS,
+        helpers: INDIRECT_PING_HELPERS,
         remember_ended: table.duration(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
         table_interval: table.duration(&raw.table_ms, "table-ms", 100, 600_000)?,
         max_members: table.count(&raw.most, "most", 2, 65_536)?,
-        networks: raw.networks.iter().map(|value| network(table, value)).collect::<Result<_, _>>()?,
-        seeds: raw.seeds.iter().map(|seed| address(table, seed, "seeds")).collect::<Result<_, _>>()?,
+        networks: raw.networks.iter().map(|value| parse_network(table, value)).collect::<Result<_, _>>()?,
+        seeds: raw.seeds.iter().map(|seed| parse_address(table, seed, "seeds")).collect::<Result<_, _>>()?,
     })
 }
 
-fn name(table: &Table, value: &Spanned<String>, field: &'static str) -> Result<String, ConfigError> {
+fn check_name(table: &Table, value: &Spanned<String>, field: &'static str) -> Result<String, ConfigError> {
     let name = value.get_ref().clone();
     if (1..=MAX_NAME_BYTES).contains(&name.len()) {
         Ok(name)
     } else {
-        Err(table.refuse(value, field, Problem::NameLength { value: name, maximum: MAX_NAME_BYTES }))
+        Err(table.invalid(value, field, Problem::NameLength { value: name, maximum: MAX_NAME_BYTES }))
     }
 }
 
-fn address(table: &Table, value: &Spanned<String>, field: &'static str) -> Result<SocketAddrV4, ConfigError> {
+fn parse_address(
+    table: &Table,
+    value: &Spanned<String>,
+    field: &'static str,
+) -> Result<SocketAddrV4, ConfigError> {
     let address = value.get_ref();
-    let refused = |_| table.refuse(value, field, Problem::InvalidIpv4Address { value: address.clone() });
-    address.parse().map_err(refused)
+    let invalid = |_| table.invalid(value, field, Problem::InvalidIpv4Address { value: address.clone() });
+    address.parse().map_err(invalid)
 }
 
-/// An address and how many of its bits are the network's; all of them where none are named.
-fn network(table: &Table, value: &Spanned<String>) -> Result<Network, ConfigError> {
+/// Parses an address with the length of its network prefix. Without a length, the network is the address alone.
+fn parse_network(table: &Table, value: &Spanned<String>) -> Result<Network, ConfigError> {
     let network = value.get_ref();
-    let (address, bits) = network.split_once('/').unwrap_or((network, "32"));
+    let (address, prefix_len) = network.split_once('/').unwrap_or((network, "32"));
     let address = address.parse().ok();
-    let prefix_len = bits.parse().ok().filter(|bits| *bits <= 32);
+    let prefix_len = prefix_len.parse().ok().filter(|prefix_len| *prefix_len <= 32);
     let parsed = address.zip(prefix_len).map(|(address, prefix_len)| Network { address, prefix_len });
-    parsed.ok_or_else(|| table.refuse(value, "networks", Problem::InvalidNetwork { value: network.clone() }))
+    parsed.ok_or_else(|| table.invalid(value, "networks", Problem::InvalidNetwork { value: network.clone() }))
 }
--- a/crates/operator-config/src/paged_rest.rs
+++ b/crates/operator-config/src/paged_rest.rs
@@ -1,4 +1,4 @@
-//! `[rest]`: the paged REST protocol for clients.
+//! The `[rest]` table: the paged REST protocol for clients.
 
 use crate::error::{ConfigError, Problem};
 use crate::table::{Table, default_count, default_ms};
@@ -11,32 +11,32 @@
 use std::net::SocketAddrV4;
 use toml::Spanned;
 
-/// Keys of the file, as refusals name them.
-const CLASS: &str = "batch.group";
-const TENANT: &str = "batch.customer";
+/// Keys of the file as error messages name them.
+const CLASS_KEY: &str = "batch.group";
+const TENANT_KEY: &str = "batch.customer";
 
-/// The paged REST protocol for clients.
+/// Settings of the paged REST protocol.
 #[derive(Clone, Debug)]
 pub struct PagedRestConfig {
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddrV4,
-    /// Scheme, host and port in the addresses of pages; `None`: as the client's call names the host.
+    /// Scheme, host and port of the URLs of result pages; `None` to use the host that the client's call names.
     pub base_url: Option<String>,
-    /// The headers that clients write.
+    /// Family of the header names that clients send.
     pub header_family: HeaderFamily,
-    /// Client connections, taken off those of the other protocol.
+    /// Largest number of client connections, which are subtracted from those of MessagePack-RPC.
     pub max_connections: usize,
-    /// Bytes of a statement.
+    /// Largest length of a statement, in bytes.
     pub max_statement_bytes: usize,
-    /// A call for a page that is not there is held back for so long at most.
+    /// Longest time for which a call waits for a result page that is not available yet.
     pub poll_timeout: Duration,
-    /// Limits of results.
+    /// Limits on results and the memory they use.
     pub limits: ResultLimits,
-    /// Where the fields of a request are found.
+    /// Where the fields of a request are read from.
     pub sources: FieldSources,
 }
 
-/// The table as it is written.
+/// The deserialized table.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawRest {
@@ -69,16 +69,16 @@
 pub(crate) fn check(text: &str, raw: RawRest, names: &Names) -> Result<PagedRestConfig, ConfigError> {
     let table = Table::new(text, "rest");
     let listen = raw.listen.get_ref();
-    let refused = |_| table.refuse(&raw.listen, "listen", Problem::InvalidAddress { value: listen.clone() });
-    let listen = listen.parse().map_err(refused)?;
+    let invalid = |_| table.invalid(&raw.listen, "listen", Problem::InvalidAddress { value: listen.clone() });
+    let listen = listen.parse().map_err(invalid)?;
     if let Some(base) = &raw.base {
         let value = base.get_ref();
         if !(value.starts_with("http://") || value.starts_with("https://")) {
-            return Err(table.refuse(base, "base", Problem::InvalidBaseUrl { value: value.clone() }));
+            return Err(table.invalid(base, "base", Problem::InvalidBaseUrl { value: value.clone() }));
         }
     }
     let poll_timeout = table.duration(&raw.poll_ms, "poll-ms", 1, 60_000)?;
-    let limits = limits(&table, &raw, poll_timeout)?;
+    let limits = result_limits(&table, &raw, poll_timeout)?;
     check_sources(&table, &raw.request, names)?;
     Ok(PagedRestConfig {
         listen,
@@ -92,14 +92,14 @@
     })
 }
 
-fn limits(table: &Table, raw: &RawRest, poll_timeout: Duration) -> Result<ResultLimits, ConfigError> {
+fn result_limits(table: &Table, raw: &RawRest, poll_timeout: Duration) -> Result<ResultLimits, ConfigError> {
     let retention = table.duration(&raw.kept_for_ms, "kept-for-ms", 100, 3_600_000)?;
     if retention <= poll_timeout {
         let problem = Problem::RetentionTooShort {
             retention_ms: *raw.kept_for_ms.get_ref(),
             poll_ms: *raw.poll_ms.get_ref(),
         };
-        return Err(table.refuse(&raw.kept_for_ms, "kept-for-ms", problem));
+        return Err(table.invalid(&raw.kept_for_ms, "kept-for-ms", problem));
     }
     let window = ResultWindow {
         max_pages: table.count(&raw.result_pages, "result-pages", 1, 1024)?,
@@ -114,24 +114,26 @@
     })
 }
 
-/// Each request needs a class, and a tenant where the settings have any. Fixed values must be names of the settings.
+/// Checks that a request has sources of its class, and of its tenant if the settings define tenants, and that constant
+/// values are names in the settings.
 fn check_sources(table: &Table, sources: &Spanned<FieldSources>, names: &Names) -> Result<(), ConfigError> {
     let FieldSources { class, tenant, .. } = sources.get_ref();
     if class.is_empty() {
-        return Err(table.refuse(sources, CLASS, Problem::NoClassSource));
+        return Err(table.invalid(sources, CLASS_KEY, Problem::NoClassSource));
     }
-    for (field, sources_of_field, known) in [(CLASS, class, &names.classes), (TENANT, tenant, &names.tenants)]
+    for (key, field_sources, known_names) in
+        [(CLASS_KEY, class, &names.classes), (TENANT_KEY, tenant, &names.tenants)]
     {
-        let unknown = sources_of_field.iter().find_map(|source| match source {
-            FieldSource::Value(value) if !known.contains(value) => Some(value.clone()),
+        let unknown_value = field_sources.iter().find_map(|source| match source {
+            FieldSource::Value(value) if !known_names.contains(value) => Some(value.clone()),
             _ => None,
         });
-        if let Some(value) = unknown {
-            return Err(table.refuse(sources, field, Problem::UnknownName { value }));
+        if let Some(value) = unknown_value {
+            return Err(table.invalid(sources, key, Problem::UnknownName { value }));
         }
     }
     if !names.tenants.is_empty() && tenant.is_empty() {
-        return Err(table.refuse(sources, TENANT, Problem::NoTenantSource));
+        return Err(table.invalid(sources, TENANT_KEY, Problem::NoTenantSource));
     }
     Ok(())
 }
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -1,4 +1,4 @@
-//! `[subsets]`: which engines a gateway uses.
+//! The `[subsets]` table: the subset of engines that each gateway uses.
 
 use crate::error::ConfigError;
 use crate::table::{Table, default_count, default_ms};
@@ -8,18 +8,18 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// Which engines a gateway uses.
+/// Settings of subsetting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsettingConfig {
-    /// How engines are assigned.
+    /// How engines are assigned to gateways.
     pub plan: PlanSettings,
     /// How the size of a subset follows the load.
     pub aperture: ApertureSettings,
-    /// Time between two looks at whether the subset has the right size.
+    /// Time between two checks of the subset's size.
     pub check_interval: Duration,
 }
 
-/// The table as it is written.
+/// The deserialized table.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawSubsets {
@@ -36,13 +36,13 @@
 
 pub(crate) fn check(text: &str, raw: &RawSubsets) -> Result<SubsettingConfig, ConfigError> {
     let table = Table::new(text, "subsets");
-    let least = table.count(&raw.least, "least", 1, 1024)?;
-    let slack = table.count(&raw.slack, "slack", 0, 1000)? as f64 / 1000.0;
+    let min_engines = table.count(&raw.least, "least", 1, 1024)?;
+    let load_slack = table.count(&raw.slack, "slack", 0, 1000)? as f64 / 1000.0;
     let grow_interval = table.duration(&raw.grows_ms, "grows-ms", 10, 600_000)?;
     let shrink_interval = table.duration(&raw.shrinks_ms, "shrinks-ms", 10, 3_600_000)?;
     let check_interval = table.duration(&raw.look_ms, "look-ms", 10, 60_000)?;
     Ok(SubsettingConfig {
-        plan: PlanSettings { min_engines: least, load_slack: slack },
+        plan: PlanSettings { min_engines, load_slack },
         aperture: ApertureSettings { grow_interval, shrink_interval },
         check_interval,
     })
--- a/crates/operator-config/src/table.rs
+++ b/crates/operator-config/src/table.rs
@@ -1,25 +1,25 @@
-//! One table of the file: its values with the lines that they stand in, checked against their ranges.
+//! Validates the values of one table of the file. Errors name the line of the value.
 
 use crate::error::{ConfigError, Problem};
 use larchfall_policy::time::Duration;
 use toml::Spanned;
 
-/// The line of a byte of the text, counted from one.
+/// The line of the byte at `offset`, counted from 1.
 pub(crate) fn line(text: &str, offset: usize) -> usize {
     1 + text.as_bytes()[..offset.min(text.len())].iter().filter(|byte| **byte == b'\n').count()
 }
 
-/// The default of a number that the file leaves out. It stands in no line.
+/// Default of a number that the file does not set. Its span is empty, since it has no line.
 pub(crate) fn default_count<const VALUE: usize>() -> Spanned<usize> {
     Spanned::new(0..0, VALUE)
 }
 
-/// The default of a time in milliseconds that the file leaves out. It stands in no line.
+/// Default of a time in milliseconds that the file does not set. Its span is empty, since it has no line.
 pub(crate) fn default_ms<const VALUE: u64>() -> Spanned<u64> {
     Spanned::new(0..0, VALUE)
 }
 
-/// The text of a file and the name of a table in it, for refusals.
+/// The text of a file and the name of one of its tables, for error messages.
 pub(crate) struct Table<'a> {
     text: &'a str,
     name: &'static str,
@@ -30,8 +30,13 @@
         Table { text, name }
     }
 
-    /// Refuses a field of this table.
-    pub(crate) fn refuse<T>(&self, value: &Spanned<T>, field: &'static str, problem: Problem) -> ConfigError {
+    /// The error of an invalid `field` of this table.
+    pub(crate) fn invalid<T>(
+        &self,
+        value: &Spanned<T>,
+        field: &'static str,
+        problem: Problem,
+    ) -> ConfigError {
         let line = line(self.text, value.span().start);
         ConfigError::Field { line, table: self.name, field, problem }
     }
@@ -47,7 +52,7 @@
         if (minimum..=maximum).contains(&count) {
             Ok(count)
         } else {
-            Err(self.refuse(value, field, Problem::OutOfRange { value: count, minimum, maximum }))
+            Err(self.invalid(value, field, Problem::OutOfRange { value: count, minimum, maximum }))
         }
     }
 
@@ -63,7 +68,7 @@
             Ok(Duration::from_millis(milliseconds))
         } else {
             let problem = Problem::DurationOutOfRange { milliseconds, minimum, maximum };
-            Err(self.refuse(value, field, problem))
+            Err(self.invalid(value, field, problem))
         }
     }
 }
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -1,5 +1,7 @@
-//! An operator's file with every key, as it was written before the program's terms were changed, and what it is refused
-//! with, byte for byte. The texts in `files/refusals.txt` were produced by the version before.
+//! Compatibility of the operator's file: `files/operator.toml` sets every key, and must keep its meaning across releases.
+//! `files/refusals.txt` holds invalid files with the exact error text of each, which operators read. A case is either
+//! `- ` a text of `operator.toml`, `+ ` its replacement and `! ` the expected error, or `= ` a whole file and `! ` the
+//! expected error.
 
 use larchfall_config::Names;
 use larchfall_membership::membership::Network;
@@ -7,35 +9,38 @@
 use larchfall_paged_rest::request_fields::{FieldSource, HeaderFamily};
 use larchfall_policy::time::Duration;
 
-const FILE: &str = include_str!("files/operator.toml");
-const REFUSALS: &str = include_str!("files/refusals.txt");
-const REFUSAL_COUNT: usize = 75;
+const OPERATOR_FILE: &str = include_str!("files/operator.toml");
+const ERROR_CASES: &str = include_str!("files/refusals.txt");
+const ERROR_CASE_COUNT: usize = 75;
 
 fn names() -> Names {
     let text = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     Names { classes: text(&["look", "load"]), tenants: text(&["acme"]), ..Names::default() }
 }
 
-/// One refusal: a line of the file and what stands in its place, or a whole file; and the text.
-struct Refusal<'a> {
+/// The text of an invalid operator's file and its expected error.
+struct ErrorCase<'a> {
     text: String,
     expected: &'a str,
 }
 
-fn refusals() -> Vec<Refusal<'static>> {
-    REFUSALS
+fn error_cases() -> Vec<ErrorCase<'static>> {
+    ERROR_CASES
         .trim()
         .split("\n\n")
         .map(|case| match case.lines().collect::<Vec<_>>()[..] {
-            [removed, inserted, expected] => {
-                let removed = removed.strip_prefix("- ").expect(case);
-                let inserted = inserted.strip_prefix('+').expect(case).trim_start();
-                assert!(FILE.contains(removed), "{removed} is not in the file");
-                Refusal { text: FILE.replacen(removed, inserted, 1), expected: &expected[2..] }
+            [replaced, replacement, expected] => {
+                let replaced = replaced.strip_prefix("- ").expect(case);
+                let replacement = replacement.strip_prefix('+').expect(case).trim_start();
+                assert!(
+                    OPERATOR_FILE.contains(replaced),
+                    "operator.toml lacks the text of the case: {replaced}"
+                );
+                ErrorCase { text: OPERATOR_FILE.replacen(replaced, replacement, 1), expected: &expected[2..] }
             }
-            [whole, expected] => {
-                let whole = whole.strip_prefix("= ").expect(case);
-                Refusal { text: whole.replace("\\n", "\n"), expected: &expected[2..] }
+            [whole_file, expected] => {
+                let whole_file = whole_file.strip_prefix("= ").expect(case);
+                ErrorCase { text: whole_file.replace("\\n", "\n"), expected: &expected[2..] }
             }
             _ => panic!("{case}"),
         })
@@ -43,10 +48,10 @@
 }
 
 #[test]
-fn refusals_are_the_texts_of_the_version_before() {
-    let refusals = refusals();
-    assert_eq!(refusals.len(), REFUSAL_COUNT);
-    for Refusal { text, expected } in refusals {
+fn invalid_files_are_rejected_with_exact_texts() {
+    let cases = error_cases();
+    assert_eq!(cases.len(), ERROR_CASE_COUNT);
+    for ErrorCase { text, expected } in cases {
         let error = parse(&text, &names()).expect_err(expected);
         assert_eq!(error.to_string().replace('\n', "\\n"), expected);
     }
@@ -57,8 +62,8 @@
 }
 
 #[test]
-fn a_paged_rest_table_of_the_version_before_means_the_same() {
-    let rest = parse(FILE, &names()).unwrap().paged_rest.unwrap();
+fn every_key_of_paged_rest_keeps_its_meaning() {
+    let rest = parse(OPERATOR_FILE, &names()).unwrap().paged_rest.unwrap();
     assert_eq!(rest.listen.to_string(), "127.0.0.1:8080");
     assert_eq!(rest.base_url.as_deref(), Some("http://queries.example:8080"));
     assert_eq!(
@@ -73,49 +78,49 @@
     assert_eq!((rest.limits.window.max_pages, rest.limits.window.max_bytes), (3, 131_072));
     let session = |name: &str| vec![FieldSource::SessionProperty(name.into())];
     let value = |value: &str| FieldSource::Value(value.into());
-    let request = rest.sources;
+    let sources = rest.sources;
     assert_eq!(
-        request.class,
+        sources.class,
         [FieldSource::FamilyHeader("Source".into()), session("group").remove(0), value("look")]
     );
-    assert_eq!(request.tenant, [FieldSource::FamilyHeader("User".into()), value("acme")]);
-    assert_eq!(request.idempotency_key, [FieldSource::Header("Idempotency-Key".into())]);
-    assert_eq!((request.order_key, request.work), (session("order_key"), session("ms")));
-    assert_eq!((request.memory, request.timeout), (session("mb"), session("time_limit")));
+    assert_eq!(sources.tenant, [FieldSource::FamilyHeader("User".into()), value("acme")]);
+    assert_eq!(sources.idempotency_key, [FieldSource::Header("Idempotency-Key".into())]);
+    assert_eq!((sources.order_key, sources.work), (session("order_key"), session("ms")));
+    assert_eq!((sources.memory, sources.timeout), (session("mb"), session("time_limit")));
 }
 
 #[test]
-fn a_members_table_of_the_version_before_means_the_same() {
-    let membership = parse(FILE, &names()).unwrap().membership.unwrap();
+fn every_key_of_membership_keeps_its_meaning() {
+    let membership = parse(OPERATOR_FILE, &names()).unwrap().membership.unwrap();
     assert_eq!(
         (&membership.name[..], &membership.zone[..], membership.requests_per_second),
         ("n0", "east", 40)
     );
     assert_eq!(membership.listen.to_string(), "0.0.0.0:7400");
     assert_eq!(membership.advertised.to_string(), "10.0.0.7:7400");
-    let members = membership.settings;
-    assert_eq!((&members.cluster[..], members.max_members), ("harbor", 512));
-    assert_eq!((members.probe_interval, members.probe_timeout), (ms(400), ms(120)));
-    assert_eq!((members.table_interval, members.remember_ended), (ms(2_500), ms(50_000)));
-    assert_eq!(members.seeds, ["10.0.0.8:7400".parse().unwrap()]);
+    let settings = membership.settings;
+    assert_eq!((&settings.cluster[..], settings.max_members), ("harbor", 512));
+    assert_eq!((settings.probe_interval, settings.probe_timeout), (ms(400), ms(120)));
+    assert_eq!((settings.table_interval, settings.remember_ended), (ms(2_500), ms(50_000)));
+    assert_eq!(settings.seeds, ["10.0.0.8:7400".parse().unwrap()]);
     let network = |address: [u8; 4], prefix_len| Network { address: address.into(), prefix_len };
-    assert_eq!(members.networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
-    let count = membership.fleet_size.unwrap();
-    assert_eq!((count.window, count.step, count.min), (ms(20_000), ms(1_500), 2));
+    assert_eq!(settings.networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
+    let fleet_size = membership.fleet_size.unwrap();
+    assert_eq!((fleet_size.window, fleet_size.step, fleet_size.min), (ms(20_000), ms(1_500), 2));
 }
 
 #[test]
-fn leases_of_the_version_before_mean_the_same() {
-    let leases = parse(FILE, &names()).unwrap().leases.unwrap();
+fn every_key_of_leases_and_programs_keeps_its_meaning() {
+    let leases = parse(OPERATOR_FILE, &names()).unwrap().leases.unwrap();
     let settings = leases.settings;
-    let list = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
-    assert_eq!(settings.voters.current, list(&["n0", "n1", "n2"]));
-    assert_eq!(settings.voters.previous, Some(list(&["n0", "n1", "n3"])));
+    let name_set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
+    assert_eq!(settings.voters.current, name_set(&["n0", "n1", "n2"]));
+    assert_eq!(settings.voters.previous, Some(name_set(&["n0", "n1", "n3"])));
     assert_eq!((settings.terms.length, settings.terms.drift_margin_per_mille), (ms(2_500), 50));
     assert_eq!((settings.voter_limits.longest_lease, settings.voter_limits.persistent), (ms(9_000), true));
     assert_eq!((settings.min_hold, &settings.cluster[..]), (ms(20_000), "harbor"));
     let roles = ["keeper:0", "keeper:1", "nightly", "probing:0", "probing:1", "probing:2"];
-    assert_eq!(settings.roles, list(&roles));
+    assert_eq!(settings.roles, name_set(&roles));
     assert_eq!(leases.voter_record_directory, Some("/var/lib/larchfall".into()));
     assert_eq!(
         (leases.fitness.max_discovery_silence, leases.fitness.unhealthy_score),
@@ -132,8 +137,8 @@
 }
 
 #[test]
-fn subsets_and_gossip_of_the_version_before_mean_the_same() {
-    let OperatorConfig { subsetting, health_gossip, .. } = parse(FILE, &names()).unwrap();
+fn every_key_of_subsetting_and_health_gossip_keeps_its_meaning() {
+    let OperatorConfig { subsetting, health_gossip, .. } = parse(OPERATOR_FILE, &names()).unwrap();
     let subsetting = subsetting.unwrap();
     assert_eq!(
         (subsetting.plan.min_engines, subsetting.plan.load_slack, subsetting.check_interval),
@@ -143,7 +148,10 @@
         (subsetting.aperture.grow_interval, subsetting.aperture.shrink_interval),
         (ms(900), ms(9_000))
     );
-    let gossip = health_gossip.unwrap();
-    assert_eq!((gossip.interval, gossip.fanout, gossip.probe_slot), (ms(200), 6, Some(ms(2_000))));
-    assert_eq!((gossip.aggregation.window, gossip.aggregation.max_age), (ms(9_000), ms(3_500)));
+    let health_gossip = health_gossip.unwrap();
+    assert_eq!(
+        (health_gossip.interval, health_gossip.fanout, health_gossip.probe_slot),
+        (ms(200), 6, Some(ms(2_000)))
+    );
+    assert_eq!((health_gossip.aggregation.window, health_gossip.aggregation.max_age), (ms(9_000), ms(3_500)));
 }
