--- a/crates/operator-config/tests/operator_file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -36,7 +36,7 @@
     assert_eq!((membership.advertised, membership.settings.networks[0].prefix_len), (membership.listen, 8));
     let leases = example.leases.unwrap();
     assert_eq!((leases.settings.roles.len(), leases.programs.len(), leases.quotas), (5, 1, None));
-    assert_eq!(leases.load_sharing.map(|sharing| sharing.max_age), Some(Duration::from_millis(1500)));
+    assert_eq!(leases.load_sharing.map(|sharing| sharing.max_report_age), Some(Duration::from_millis(1500)));
     assert!(parse(MINIMAL_REST, &names()).unwrap().membership.is_none());
     assert!(parse(MINIMAL_FRONTS, &names()).unwrap().leases.is_none());
     let minimal = parse(MINIMAL_FRONTS, &names()).unwrap().membership.unwrap();
