--- a/crates/leases/src/candidacy.rs
+++ b/crates/leases/src/candidacy.rs
@@ -1,58 +1,59 @@
-//! One gateway's attempt to hold a role under one token: which voters granted it, and until when each grant counts.
+//! Candidacy of one gateway for a role under one fencing token: the voters that granted the lease, and when each grant
+//! expires.
 //!
-//! A grant counts from before it was requested, less a margin for clock drift, so that a lease ends at its holder before
-//! it ends at its voters.
+//! The candidate counts a grant from the time of its request and subtracts a margin for clock drift. The lease
+//! therefore expires at its holder before it expires at the voters.
 
 use crate::quorum::VoterSet;
 use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// How long leases are.
+/// Length of the leases that a gateway requests, and the clock drift that it allows for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
-    /// Length that is requested of voters.
+    /// Length requested from voters.
     pub length: Duration,
-    /// Largest difference in speed between two clocks of the fleet, in thousandths.
+    /// Largest difference in rate between any two clocks of the cluster, in thousandths.
     pub drift_margin_per_mille: u32,
 }
 
 impl LeaseTerms {
-    /// The part of the length that a holder may rely on.
+    /// Returns the part of the lease length that the lease holder may use: the length less the drift margin.
     pub fn usable_length(&self) -> Duration {
         let usable_per_mille = 1000_u32.saturating_sub(self.drift_margin_per_mille);
         Duration::from_micros(self.length.micros() / 1000 * u64::from(usable_per_mille))
     }
 }
 
-/// The grants collected under one token.
+/// The grants collected for one role under one fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidacy {
-    /// The token that is asked for.
+    /// The fencing token that voters are asked to grant.
     pub token: u64,
-    /// By voter: until when its grant counts here.
-    grants: BTreeMap<String, Timestamp>,
+    /// When the grant of each voter expires by this gateway's clock, by voter name.
+    grant_expiries: BTreeMap<String, Timestamp>,
 }
 
 impl Candidacy {
-    /// A candidacy that no voter has granted yet.
+    /// Creates a candidacy without any grants.
     pub fn new(token: u64) -> Candidacy {
-        Candidacy { token, grants: BTreeMap::new() }
+        Candidacy { token, grant_expiries: BTreeMap::new() }
     }
 
-    /// Records a grant by `voter` that was requested at `requested_at` under the terms in force then. Answers may come
-    /// late and in any order; the latest request counts.
+    /// Records a grant by `voter`. `requested_at` is when it was requested, `terms` are the terms in force at that
+    /// time. Votes may arrive late and in any order, so the latest expiry of a voter's grants is kept.
     pub fn record_grant(&mut self, voter: &str, requested_at: Timestamp, terms: LeaseTerms) {
         let expires_at = requested_at + terms.usable_length();
-        let known = self.grants.entry(voter.to_owned()).or_insert(expires_at);
-        *known = expires_at.max(*known);
+        let latest_expiry = self.grant_expiries.entry(voter.to_owned()).or_insert(expires_at);
+        *latest_expiry = expires_at.max(*latest_expiry);
     }
 
-    /// When the lease ends; `None` while no majority has granted it.
+    /// Returns when the lease expires, or `None` if no majority has granted it.
     pub fn expires_at(&self, voters: &VoterSet) -> Option<Timestamp> {
-        voters.majority_value(&self.grants)
+        voters.majority_value(&self.grant_expiries)
     }
 
-    /// Whether a majority's grants count at `now`.
+    /// Returns whether the grants of a majority are unexpired at `now`.
     pub fn is_held(&self, voters: &VoterSet, now: Timestamp) -> bool {
         self.expires_at(voters).is_some_and(|expires_at| now < expires_at)
     }
--- a/crates/leases/src/fencing.rs
+++ b/crates/leases/src/fencing.rs
@@ -1,85 +1,86 @@
-//! What the holder of a role may do, and how its actions are checked.
+//! Fencing of actions that a gateway performs under a lease.
 //!
-//! An action towards something that can check tokens is sent as [`Fenced`] and rejected there once a newer token was seen
-//! ([`TokenFence`]). Towards something that can't, only actions are allowed that state what a late second one costs
-//! ([`SafeAfterExpiry`]).
+//! A receiver that can check fencing tokens gets the action as [`Fenced`] and rejects it if it has seen a newer token
+//! ([`TokenFence`]). For receivers that check no tokens, only actions that implement [`SafeAfterExpiry`] are allowed:
+//! these state what happens if the action is performed after the lease has expired.
 
 use larchfall_policy::time::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Permission to act under a lease. Ask for one immediately before each action: it borrows from the manager, so it can't
-/// be kept.
+/// Permission to perform one action under a lease. Request a new permit immediately before each action; a permit that
+/// is kept for later may outlast its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActionPermit<'a> {
-    /// The role that is held.
+    /// Name of the role that the gateway holds.
     pub role: &'a str,
-    /// The fencing token of the holding.
+    /// Fencing token of the lease.
     pub token: u64,
-    /// When the lease ends.
+    /// When the lease expires at its holder.
     pub expires_at: Timestamp,
 }
 
-/// An action or message with the fencing token of its role; the receiver asks a [`TokenFence`] first.
+/// An action or message with the fencing token of its sender's lease. The receiver checks the token with a
+/// [`TokenFence`] before it uses the content.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fenced<T> {
-    /// The role that it is done under.
+    /// Name of the role that the sender holds.
     pub role: String,
-    /// The fencing token of the holding.
+    /// Fencing token of the sender's lease.
     pub token: u64,
-    /// What is done or said.
+    /// The action or message.
     pub content: T,
 }
 
-/// An action that may be done towards something that checks no token.
+/// An action that is allowed without a fencing token, since it does no harm if the lease has already expired.
 pub trait SafeAfterExpiry {
-    /// What it costs when a gateway whose lease is over does it once more.
+    /// What happens if a gateway whose lease has expired performs the action once more.
     const EFFECT_AFTER_EXPIRY: &'static str;
 }
 
-/// An action that a permit allowed; only [`ActionPermit::allow`] makes one.
+/// An action that a permit has allowed. It can be created with [`ActionPermit::allow`] only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AllowedAction<T>(T);
 
 impl ActionPermit<'_> {
-    /// Time left under the lease: it bounds whatever is begun now.
+    /// Returns the remaining time of the lease. An action that starts now must end within this time.
     pub fn remaining(&self, now: Timestamp) -> Duration {
         self.expires_at.since(now)
     }
 
-    /// Attaches the role and its token.
+    /// Attaches the role and the fencing token of the lease to an action or message.
     pub fn fence<T>(&self, content: T) -> Fenced<T> {
         Fenced { role: self.role.to_owned(), token: self.token, content }
     }
 
-    /// Allows an action that does no harm when it comes late.
+    /// Allows an action that does no harm after the lease has expired.
     pub fn allow<T: SafeAfterExpiry>(&self, action: T) -> AllowedAction<T> {
         AllowedAction(action)
     }
 }
 
 impl<T> AllowedAction<T> {
-    /// The action, to be done now.
+    /// Returns the action, which the caller must perform immediately.
     pub fn into_action(self) -> T {
         self.0
     }
 }
 
-/// The highest token seen of each role. Bounded by the roles that its owner knows.
+/// The highest fencing token seen for each role. Callers pass only known roles, which bounds the size of the map.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TokenFence {
-    highest: BTreeMap<String, u64>,
-    /// How many tokens were older than one seen before.
+    highest_tokens: BTreeMap<String, u64>,
+    /// Number of tokens rejected because a newer token of the same role had been seen.
     pub rejected: u64,
 }
 
 impl TokenFence {
-    /// Whether this token is no older than any seen of its role.
+    /// Records a token and returns whether it is at least as high as every token seen before for the role.
     pub fn admits(&mut self, role: &str, token: u64) -> bool {
-        let highest = self.highest.entry(role.to_owned()).or_default();
-        let admits = token >= *highest;
-        *highest = token.max(*highest);
-        self.rejected += u64::from(!admits);
-        admits
+        let highest_token = self.highest_tokens.entry(role.to_owned()).or_default();
+        let is_admitted = token >= *highest_token;
+        *highest_token = token.max(*highest_token);
+        self.rejected += u64::from(!is_admitted);
+        is_admitted
     }
 }
--- a/crates/leases/src/fitness.rs
+++ b/crates/leases/src/fitness.rs
@@ -1,46 +1,48 @@
-//! Whether a gateway may hold roles at all: it needs reachable engines, a fresh endpoint list and health of its own. One
-//! that is slow itself would do its work late, and keep others from doing it in time.
+//! Fitness of a gateway to hold roles. A fit gateway reaches at least one engine, has a fresh endpoint list and is
+//! healthy itself. A slow gateway would do the work of a role late and keep other gateways from doing the work in time.
 
 use larchfall_policy::time::Duration;
 
-/// What is checked, by the operator's file; what is `None` is not.
+/// Thresholds from the operator's configuration file. A threshold of `None` disables its check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FitnessThresholds {
-    /// Longest silence of discovery before the endpoint list counts as stale.
+    /// Longest time without a message from discovery before the endpoint list counts as stale.
     pub max_discovery_silence: Option<Duration>,
-    /// From this health score on (0 is healthy, 8 the worst) a gateway is unhealthy, and healthy again at half of it: a
-    /// gateway just below the threshold would be unhealthy again with the next late answer.
+    /// A gateway becomes unhealthy when its health score (0 is healthy, 8 the worst) reaches this threshold, and
+    /// healthy again when the score falls to half of the threshold. Without this hysteresis, a gateway just below the
+    /// threshold would become unhealthy again with the next late answer.
     pub unhealthy_score: Option<u32>,
 }
 
-/// What a gateway observes of itself now.
+/// Current observations of a gateway about its own state.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FitnessInputs {
-    /// Engines in the endpoint list.
+    /// Number of engines in the endpoint list.
     pub listed_engines: usize,
-    /// Those of them that are ready.
+    /// Number of listed engines that are ready.
     pub ready_engines: usize,
-    /// Time since discovery last said anything.
+    /// Time since the last message from discovery.
     pub discovery_silence: Duration,
-    /// This gateway's own health score from membership.
+    /// Health score of this gateway from membership, from 0 (healthy) to 8 (worst).
     pub health_score: u32,
 }
 
-/// Remembers whether the gateway was unhealthy, for the hysteresis.
+/// Fitness check with hysteresis of the health score.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fitness {
-    unhealthy: bool,
+    is_unhealthy: bool,
 }
 
 impl Fitness {
-    /// Whether the gateway is fit to hold roles now.
+    /// Updates the health state and returns whether the gateway is fit to hold roles.
     pub fn update(&mut self, thresholds: FitnessThresholds, inputs: FitnessInputs) -> bool {
-        self.unhealthy = thresholds.unhealthy_score.is_some_and(|score| {
-            let threshold = if self.unhealthy { score / 2 + 1 } else { score };
+        self.is_unhealthy = thresholds.unhealthy_score.is_some_and(|score| {
+            let threshold = if self.is_unhealthy { score / 2 + 1 } else { score };
             inputs.health_score >= threshold
         });
         let reaches_engines = inputs.listed_engines == 0 || inputs.ready_engines > 0;
-        let is_fresh = thresholds.max_discovery_silence.is_none_or(|max| inputs.discovery_silence <= max);
-        reaches_engines && is_fresh && !self.unhealthy
+        let has_fresh_list =
+            thresholds.max_discovery_silence.is_none_or(|max| inputs.discovery_silence <= max);
+        reaches_engines && has_fresh_list && !self.is_unhealthy
     }
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,7 +1,9 @@
-//! Leased roles: work that one gateway of a fleet does at a time.
+//! Leased roles: tasks that only one gateway of a cluster performs at a time, such as health checks or quota
+//! allocation.
 //!
-//! A gateway holds a role while a majority of voters has granted it a lease, and acts under a fencing token that grows
-//! with each holder. The crate does no I/O: clock, random seed, datagrams and the disk are the caller's.
+//! A gateway holds a role while a majority of voters has granted it a lease. It acts under a fencing token that
+//! increases with each lease holder. The crate does no I/O: the caller supplies the time and a random seed, sends and
+//! receives the datagrams, and writes the voter record to disk.
 
 #![deny(missing_docs)]
 
--- a/crates/leases/src/load_sharing.rs
+++ b/crates/leases/src/load_sharing.rs
@@ -1,6 +1,9 @@
-//! Sharing of engines' load reports: the holder of a health-check role asks its engines for their load and sends what it
-//! read to all gateways, with its fencing token. They use a fresh report instead of asking themselves, and ask again once
-//! it is old. Engines are divided among a few such roles by a hash of their id, so that no one holder asks all.
+//! Sharing of engine load reports between gateways.
+//!
+//! The holder of a health-check role requests load reports from the engines of that role and sends the reports, with
+//! its fencing token, to all gateways. A gateway that has a fresh shared report doesn't request a report from the
+//! engine itself. Engines are divided among several health-check roles by a hash of the engine id, so that no single
+//! lease holder has to check all engines.
 
 use crate::fencing::{Fenced, SafeAfterExpiry, TokenFence};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -8,23 +11,24 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Engines beyond this many are asked by each gateway itself.
+/// Maximum number of engines whose report times are kept. Each gateway requests the load of further engines itself.
 const MAX_ENGINES: usize = 4096;
 
-/// An engine's load report as a holder passes it on. Encoded by position.
+/// Load report of an engine as a lease holder sends it to other gateways. The encoding is positional: the order and
+/// types of the fields are the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SharedLoadReport {
-    /// The engine's id.
+    /// Id of the engine.
     pub engine: u64,
-    /// Its age when it was sent, in microseconds.
+    /// Age of the report when it was sent, in microseconds.
     pub age_us: u32,
-    /// Requests in flight at the engine.
+    /// Requests in flight at the engine; `None` if the engine didn't report them.
     pub in_flight: Option<f32>,
-    /// How busy its cores are.
+    /// Fraction of the engine's cores that is busy; `None` if the engine didn't report it.
     pub busy_fraction: Option<f32>,
 }
 
-/// A request to an engine for its load.
+/// A request to an engine for a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthCheck {
     /// Index of the engine in the policy.
@@ -33,41 +37,41 @@
 
 impl SafeAfterExpiry for HealthCheck {
     const EFFECT_AFTER_EXPIRY: &'static str =
-        "one more health check of the engine, which changes nothing there";
+        "one more health check of the engine, which doesn't change the engine's state";
 }
 
-/// How load reports are shared.
+/// Settings for sharing load reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadSharingSettings {
-    /// Roles that the engines are divided among.
+    /// Number of health-check roles that the engines are divided among.
     pub role_count: usize,
-    /// Time between two health checks of an engine by its holder.
+    /// Time between two health checks of an engine by the lease holder.
     pub check_interval: Duration,
-    /// Older reports do not count, and a gateway asks by itself.
+    /// Age from which on a report is stale, so that each gateway requests a load report from the engine itself.
     pub max_report_age: Duration,
 }
 
-/// The health-check role of this index.
+/// Returns the name of the health-check role with this index.
 pub fn health_check_role(index: usize) -> String {
     format!("probing:{index}")
 }
 
-/// The quota allocator's role of this index.
+/// Returns the name of the quota allocator role with this index.
 pub fn quota_allocator_role(index: usize) -> String {
     format!("keeper:{index}")
 }
 
-/// Which of `roles` roles an engine or capacity belongs to.
+/// Returns the index, below `role_count`, of the role that an engine id or a capacity key is assigned to.
 pub fn role_index(key: u64, role_count: usize) -> usize {
     (xxh3_64(&key.to_le_bytes()) % role_count.max(1) as u64) as usize
 }
 
-/// How fresh what is known of some engines is.
+/// Freshness of the load reports of a group of engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportAges {
-    /// Mean age of the fresh reports.
+    /// Mean age of the fresh reports; zero if there are none.
     pub mean_age: Duration,
-    /// Engines without a fresh report.
+    /// Number of engines without a fresh report.
     pub engines_without_report: usize,
 }
 
@@ -76,19 +80,19 @@
     read_at: Timestamp,
 }
 
-/// One gateway's part in sharing load reports.
+/// State that one gateway keeps to share load reports.
 pub struct LoadReportSharing {
     settings: LoadSharingSettings,
     fence: TokenFence,
-    /// By engine: when its load was read, here or by a holder that reported it.
+    /// When the latest load report was read by this gateway or by the lease holder that sent it, by engine id.
     read_at: BTreeMap<u64, Timestamp>,
-    /// By role: what was read here as its holder and not sent yet.
+    /// Reports that this gateway read as lease holder and hasn't sent yet, by role index.
     unsent: BTreeMap<usize, Vec<UnsentReport>>,
     next_health_checks_at: Timestamp,
 }
 
 impl LoadReportSharing {
-    /// The first round is due at once.
+    /// Creates the state with the first health checks due at `now`.
     pub fn new(settings: LoadSharingSettings, now: Timestamp) -> LoadReportSharing {
         LoadReportSharing {
             settings,
@@ -99,17 +103,18 @@
         }
     }
 
-    /// Roles that the engines are divided among.
+    /// Returns the number of health-check roles that the engines are divided among.
     pub fn role_count(&self) -> usize {
         self.settings.role_count
     }
 
-    /// When holders are to ask their engines next.
+    /// Returns when lease holders are to check their engines next.
     pub fn next_health_checks_at(&self) -> Timestamp {
         self.next_health_checks_at
     }
 
-    /// Starts a round of health checks where one is due; at most one each interval, however late.
+    /// Returns whether health checks are due, and schedules the next ones. Health checks that come late are not
+    /// repeated for the intervals that were missed. Also drops stale report times.
     pub fn start_health_checks(&mut self, now: Timestamp) -> bool {
         if now < self.next_health_checks_at {
             return false;
@@ -120,12 +125,12 @@
         true
     }
 
-    /// Whether this gateway need not ask the engine itself.
+    /// Returns whether the engine's latest report is fresh, so that this gateway need not request another one.
     pub fn has_fresh_report(&self, engine: u64, now: Timestamp) -> bool {
         self.read_at.get(&engine).is_some_and(|read_at| now.since(*read_at) < self.settings.max_report_age)
     }
 
-    /// How fresh what is known of these engines is.
+    /// Returns the freshness of these engines' load reports.
     pub fn report_ages(&self, engines: impl Iterator<Item = u64>, now: Timestamp) -> ReportAges {
         let mut total_age = Duration::ZERO;
         let mut fresh_reports = 0_u32;
@@ -143,7 +148,8 @@
         ReportAges { mean_age, engines_without_report }
     }
 
-    /// Records what this gateway read itself as the holder of the engine's role.
+    /// Records a report that this gateway read as holder of the engine's health-check role, to be sent to other
+    /// gateways. An unsent older report of the same engine is replaced.
     pub fn record_own_report(&mut self, report: SharedLoadReport, now: Timestamp) {
         if !self.has_room_for(report.engine) {
             return;
@@ -155,18 +161,18 @@
         unsent.push(UnsentReport { report, read_at: now });
     }
 
-    /// Takes the reports of one role's engines that are to be sent, with their age.
+    /// Removes and returns the unsent reports of one role, with their age at `now`.
     pub fn take_unsent_reports(&mut self, role_index: usize, now: Timestamp) -> Vec<SharedLoadReport> {
         let unsent = self.unsent.remove(&role_index).unwrap_or_default();
-        let with_age = |UnsentReport { report, read_at }| SharedLoadReport {
+        let with_current_age = |UnsentReport { report, read_at }| SharedLoadReport {
             age_us: now.since(read_at).micros() as u32,
             ..report
         };
-        unsent.into_iter().map(with_age).collect()
+        unsent.into_iter().map(with_current_age).collect()
     }
 
-    /// The reports of a holder that are news here. `None` where its token is older than one seen before, or its role is
-    /// no health-check role.
+    /// Accepts the reports of a lease holder that are fresh and newer than what this gateway has, and returns them.
+    /// Returns `None` if the holder's fencing token is outdated or its role isn't a health-check role.
     pub fn accept_reports<'a>(
         &mut self,
         reports: &'a Fenced<Vec<SharedLoadReport>>,
@@ -179,10 +185,10 @@
         let mut accepted = Vec::new();
         for report in &reports.content {
             let read_at = now - Duration::from_micros(u64::from(report.age_us));
-            let is_known = self.read_at.get(&report.engine).is_some_and(|known| *known >= read_at);
-            let is_senders = role_index(report.engine, self.settings.role_count) == sender_role;
+            let is_outdated = self.read_at.get(&report.engine).is_some_and(|latest| *latest >= read_at);
+            let belongs_to_sender = role_index(report.engine, self.settings.role_count) == sender_role;
             let is_fresh = now.since(read_at) < self.settings.max_report_age;
-            if is_senders && is_fresh && !is_known && self.has_room_for(report.engine) {
+            if belongs_to_sender && is_fresh && !is_outdated && self.has_room_for(report.engine) {
                 self.read_at.insert(report.engine, read_at);
                 accepted.push(report);
             }
@@ -194,7 +200,7 @@
         self.read_at.len() < MAX_ENGINES || self.read_at.contains_key(&engine)
     }
 
-    /// Messages that came with an outdated token.
+    /// Returns the number of messages that were rejected because of an outdated fencing token.
     pub fn rejected_messages(&self) -> u64 {
         self.fence.rejected
     }
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -1,8 +1,9 @@
-//! Datagrams about leased roles, on the socket of the gateways: a version, one message in postcard's form, and CRC-32C over
-//! all of it.
+//! Datagrams about leased roles, which gateways exchange on their cluster socket. A datagram is a version byte and one
+//! message in postcard encoding, followed by a CRC-32C checksum of all preceding bytes.
 //!
-//! Postcard encodes by position: the order and types of fields and variants are the wire format, their names are not. The
-//! version differs from that of membership datagrams, so that a gateway without roles ignores these.
+//! Postcard is positional: the order and types of fields and variants are the wire format, their names are not. The
+//! version byte differs from the version of membership datagrams, so that a gateway without leased roles ignores
+//! datagrams of this crate.
 
 use crate::fencing::Fenced;
 use crate::load_sharing::SharedLoadReport;
@@ -10,151 +11,154 @@
 use larchfall_quotas::{QuotaDemand, QuotaGrant};
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram, below what every path carries in one piece.
+/// Maximum length of a datagram in bytes, low enough that no network path fragments the datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// First byte of every datagram of this crate.
 pub const VERSION: u8 = 2;
-/// Longest name of a role or gateway.
+/// Maximum length of a role or gateway name in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
 const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 
-/// One process of a gateway.
+/// Identity of one gateway process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberId {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub name: String,
-    /// Grows with each start under that name.
+    /// Number that increases with each process start under the same name.
     pub generation: u64,
 }
 
-/// A request for a new lease or for a renewal.
+/// A request to a voter to grant or renew one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The role.
+    /// Name of the role.
     pub role: String,
-    /// The token to hold it under.
+    /// Fencing token that the lease is requested for.
     pub token: u64,
-    /// Requested length, in microseconds.
+    /// Requested length of the lease, in microseconds.
     pub length_us: u64,
 }
 
-/// A voter's answer to one request.
+/// A voter's answer to one [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Vote {
-    /// The role.
+    /// Name of the role.
     pub role: String,
-    /// The token that was requested.
+    /// Fencing token of the request.
     pub token: u64,
-    /// Whether the lease is granted.
+    /// Whether the voter granted the request.
     pub granted: bool,
-    /// No token up to this one will be granted any more.
+    /// Highest token that the voter has granted or excluded. A new lease needs a higher token.
     pub highest_token: u64,
-    /// Whether another gateway holds the role.
+    /// Whether the voter has granted the role to another gateway process whose lease has not expired.
     pub held_by_other: bool,
 }
 
-/// A lease as a voter has it.
+/// A lease that a voter has granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseInfo {
-    /// The role.
+    /// Name of the role.
     pub role: String,
-    /// The holder's token.
+    /// Fencing token of the lease.
     pub token: u64,
-    /// The process that holds it.
+    /// Gateway process that holds the lease.
     pub holder: MemberId,
-    /// Time left, in microseconds.
+    /// Remaining time of the lease by the voter's clock, in microseconds.
     pub remaining_us: u64,
 }
 
-/// A role and a token that it was held under.
+/// A lease, identified by its role and fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RoleToken {
-    /// The role.
+    /// Name of the role.
     pub role: String,
-    /// The token.
+    /// Fencing token of the lease.
     pub token: u64,
 }
 
-/// What a datagram says.
+/// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// To a voter: grant or renew these leases.
+    /// Asks a voter to grant or renew leases.
     RequestLeases {
-        /// Number of the request, for its answers.
+        /// Number of the round, which the voter repeats in its votes.
         round: u32,
-        /// One entry for each role.
+        /// One request for each role.
         requests: Vec<LeaseRequest>,
     },
-    /// A voter's answers to a request.
+    /// A voter's answers to [`RequestLeases`](Payload::RequestLeases).
     Votes {
-        /// Number of the request.
+        /// Number of the round from the request.
         round: u32,
-        /// One entry for each role that it answers.
+        /// Votes on the requests, in any number: the voter ignores some requests and answers others after a disk write.
         votes: Vec<Vote>,
     },
-    /// To a voter: the sender gives these leases up and does nothing more under them.
+    /// Tells a voter that the sender has given up leases and performs no more actions under them.
     Release {
-        /// The leases.
+        /// The released leases.
         tokens: Vec<RoleToken>,
     },
-    /// To the successor: the sender has handed the role over.
+    /// Tells the next lease holder that the sender has released the role and hands it over.
     HandOver {
-        /// The role.
+        /// Name of the role.
         role: String,
-        /// The token that the sender held it under.
+        /// Fencing token of the sender's released lease.
         token: u64,
     },
-    /// To a voter: list the leases of roles after this one.
+    /// Asks a voter for one page of the leases that it has granted, ordered by role name.
     ListLeases {
-        /// The last role of the page before; `None` from the start.
+        /// Last role of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// A page of a voter's leases.
+    /// A voter's answer to [`ListLeases`](Payload::ListLeases).
     Leases {
-        /// As in the request.
+        /// The value of `after` in the request.
         after: Option<String>,
-        /// In order of roles.
+        /// Leases of this page, ordered by role name.
         leases: Vec<LeaseInfo>,
-        /// Whether no later leases follow.
+        /// Whether this is the last page.
         complete: bool,
     },
-    /// Load reports read by the holder of a health-check role.
+    /// Load reports that the holder of a health-check role has read from engines.
     LoadReports(Fenced<Vec<SharedLoadReport>>),
-    /// To a quota allocator: the sender's demand for capacities.
+    /// Asks a quota allocator for quotas.
     RequestQuotas {
-        /// The allocator's role.
+        /// Name of the quota allocator role.
         role: String,
-        /// Number of the request, for its answers.
+        /// Number of the request, which the allocator repeats in its grants.
         round: u32,
-        /// Gateways that the sender's quota terms count; an allocator answers only requests under its own terms.
+        /// Number of gateways in the sender's quota terms. An allocator answers only requests whose quota terms equal
+        /// its own terms.
         gateways: u32,
-        /// Length of a quota in the sender's terms, in microseconds.
+        /// How long a quota is valid under the sender's quota terms, in microseconds.
         length_us: u64,
-        /// One entry for each capacity.
+        /// The sender's demand for each capacity.
         demands: Vec<QuotaDemand>,
     },
-    /// Quotas that an allocator hands out.
+    /// A quota allocator's answer to [`RequestQuotas`](Payload::RequestQuotas).
     Quotas {
         /// Number of the request.
         round: u32,
-        /// One entry for each capacity that is granted.
+        /// One grant for each capacity that the allocator divides, with the allocator's fencing token.
         grants: Fenced<Vec<QuotaGrant>>,
     },
 }
 
 impl Payload {
-    /// Whether its names are within bounds.
-    fn is_well_formed(&self) -> bool {
-        let after_is_valid = |after: &Option<String>| after.as_deref().is_none_or(is_valid_name);
+    /// Returns whether all names in the message have a valid length.
+    fn has_valid_names(&self) -> bool {
+        let is_valid_after = |after: &Option<String>| after.as_deref().is_none_or(is_valid_name);
         match self {
-            Payload::RequestLeases { requests, .. } => requests.iter().all(|r| is_valid_name(&r.role)),
+            Payload::RequestLeases { requests, .. } => {
+                requests.iter().all(|request| is_valid_name(&request.role))
+            }
             Payload::Votes { votes, .. } => votes.iter().all(|vote| is_valid_name(&vote.role)),
             Payload::Release { tokens } => tokens.iter().all(|released| is_valid_name(&released.role)),
-            Payload::ListLeases { after } => after_is_valid(after),
+            Payload::ListLeases { after } => is_valid_after(after),
             Payload::Leases { after, leases, .. } => {
-                let lease_is_valid =
+                let is_valid_lease =
                     |lease: &LeaseInfo| is_valid_name(&lease.role) && is_valid_name(&lease.holder.name);
-                after_is_valid(after) && leases.iter().all(lease_is_valid)
+                is_valid_after(after) && leases.iter().all(is_valid_lease)
             }
             Payload::HandOver { role, .. } | Payload::RequestQuotas { role, .. } => is_valid_name(role),
             Payload::LoadReports(reports) => is_valid_name(&reports.role),
@@ -167,50 +171,55 @@
     (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
-/// One message on the wire.
+/// One message with its cluster and sender, as encoded on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
     version: u8,
-    /// The sender's cluster.
+    /// Name of the sender's cluster.
     pub cluster: String,
-    /// The sender.
+    /// Process that sent the datagram.
     pub sender: MemberId,
-    /// What it says.
+    /// The message.
     pub payload: Payload,
 }
 
-/// Why a datagram is ignored.
+/// Reasons to ignore a received datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DatagramError {
-    /// Too long, cut short or altered.
-    #[error("corrupt datagram")]
+    /// The datagram is too long, truncated or altered, or can't be decoded.
+    #[error("datagram is longer than {MAX_DATAGRAM_BYTES} bytes, has a wrong checksum or can't be decoded")]
     Corrupt,
-    /// From a gateway of another cluster.
-    #[error("datagram of another cluster")]
+    /// The sender belongs to another cluster.
+    #[error("datagram belongs to another cluster")]
     OtherCluster,
-    /// Whole, but with a name that no gateway has.
-    #[error("malformed datagram")]
+    /// The checksum is correct, but a name has an invalid length.
+    #[error("datagram has a role or gateway name that is empty or longer than {MAX_NAME_BYTES} bytes")]
     Malformed,
 }
 
 impl Datagram {
-    /// A datagram of this version.
+    /// Creates a datagram of the version [`VERSION`].
     pub fn new(cluster: &str, sender: &MemberId, payload: Payload) -> Datagram {
         Datagram { version: VERSION, cluster: cluster.to_owned(), sender: sender.clone(), payload }
     }
 
-    /// Bytes left for the entries of its list, whose length takes two of them.
+    /// Returns how many bytes can be added to the message's empty list. Two bytes are reserved for the encoded number
+    /// of list entries.
     pub fn remaining_bytes(&self) -> usize {
         MAX_DATAGRAM_BYTES.saturating_sub(self.encode().len() + 2)
     }
 
-    /// Its bytes.
+    /// Returns the encoded datagram, including the checksum.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain structures into a vector: postcard has no way to fail here.
+        // Postcard can't fail here, since plain structures are written to a growable vector.
         postcard::to_allocvec_crc32(self, CHECKSUM.digest()).unwrap_or_default()
     }
 
-    /// Reads a datagram of `cluster`.
+    /// Decodes a datagram that was received by a gateway of `cluster`.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the datagram can't be decoded, belongs to another cluster or has an invalid name.
     pub fn decode(bytes: &[u8], cluster: &str) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Corrupt);
@@ -220,30 +229,31 @@
         if datagram.cluster != cluster {
             return Err(DatagramError::OtherCluster);
         }
-        let is_well_formed = is_valid_name(&datagram.sender.name) && datagram.payload.is_well_formed();
-        if is_well_formed { Ok(datagram) } else { Err(DatagramError::Malformed) }
+        let has_valid_names = is_valid_name(&datagram.sender.name) && datagram.payload.has_valid_names();
+        if has_valid_names { Ok(datagram) } else { Err(DatagramError::Malformed) }
     }
 }
 
-/// Bytes that a list's entry takes in a datagram.
+/// Returns the number of bytes that a list entry takes in a datagram.
 pub fn encoded_len<T: Serialize>(entry: &T) -> usize {
     postcard::to_allocvec(entry).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
 
-/// Splits a list into pages of at most `page_bytes` each. An entry that is larger by itself has a page of its own.
+/// Splits a list into pages of at most `page_bytes` encoded bytes each. An entry that is larger than `page_bytes` gets
+/// a page of its own.
 pub fn paginate<T: Serialize>(entries: impl IntoIterator<Item = T>, page_bytes: usize) -> Vec<Vec<T>> {
     let mut pages: Vec<Vec<T>> = Vec::new();
-    let mut remaining = 0;
+    let mut remaining_bytes = 0;
     for entry in entries {
         let entry_bytes = encoded_len(&entry);
         match pages.last_mut() {
-            Some(page) if entry_bytes <= remaining => page.push(entry),
+            Some(page) if entry_bytes <= remaining_bytes => page.push(entry),
             _ => {
                 pages.push(vec![entry]);
-                remaining = page_bytes;
+                remaining_bytes = page_bytes;
             }
         }
-        remaining = remaining.saturating_sub(entry_bytes);
+        remaining_bytes = remaining_bytes.saturating_sub(entry_bytes);
     }
     pages
 }
--- a/crates/leases/src/quorum.rs
+++ b/crates/leases/src/quorum.rs
@@ -1,26 +1,26 @@
-//! Which voters make a majority, and when one list of voters may follow another.
+//! Sets of voters, their majorities, and the rule for replacing one set of voters by another.
 //!
-//! While voters are changed both lists count, and a majority of each is needed (joint consensus: Ongaro, "Consensus:
-//! Bridging Theory and Practice", 2014, section 4.3).
+//! While the voters are being changed, both the new and the previous list are in force and a majority of each is
+//! required (joint consensus: Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 4.3).
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The names of voters, from the operator's file.
+/// Names of the voters, from the operator's configuration file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VoterSet {
-    /// The list in force.
+    /// Names of the current voters.
     pub current: BTreeSet<String>,
-    /// The list before it, while voters are being changed.
+    /// Names of the previous voters while the voters are being changed, otherwise `None`.
     pub previous: Option<BTreeSet<String>>,
 }
 
 impl VoterSet {
-    /// Voters of both lists.
+    /// Returns the names of all voters, current and previous.
     pub fn all(&self) -> BTreeSet<&String> {
         self.lists().flatten().collect()
     }
 
-    /// Whether `name` is a voter in either list.
+    /// Returns whether `name` is a current or previous voter.
     pub fn contains(&self, name: &str) -> bool {
         self.lists().any(|list| list.contains(name))
     }
@@ -29,19 +29,21 @@
         std::iter::once(&self.current).chain(&self.previous)
     }
 
-    /// Whether every majority of one set meets every majority of the other. Lists that differ in one name already have
-    /// majorities that do not (of three, two each), so the sets have to share a list.
+    /// Returns whether every majority of this set has a voter in common with every majority of the other set. Two lists
+    /// that differ in a single name can already have disjoint majorities (two of three voters each), so both sets must
+    /// contain the same list.
     pub fn majorities_intersect(&self, other: &VoterSet) -> bool {
         self.lists().any(|list| other.lists().any(|other_list| other_list == list))
     }
 
-    /// The highest value that a majority of each list has reached; `None` where a list has no majority.
+    /// Returns the highest value that a majority of each list has reached. `values` has one value for each voter that
+    /// answered. Returns `None` if less than a majority of a list has a value.
     pub fn majority_value<T: Copy + Ord>(&self, values: &BTreeMap<String, T>) -> Option<T> {
-        let majority_of = |list: &BTreeSet<String>| {
-            let mut reached: Vec<T> = list.iter().filter_map(|name| values.get(name).copied()).collect();
-            reached.sort_unstable_by(|a, b| b.cmp(a));
-            reached.get(list.len() / 2).copied()
+        let majority_value_of = |list: &BTreeSet<String>| {
+            let mut descending: Vec<T> = list.iter().filter_map(|name| values.get(name).copied()).collect();
+            descending.sort_unstable_by(|a, b| b.cmp(a));
+            descending.get(list.len() / 2).copied()
         };
-        self.lists().map(majority_of).collect::<Option<Vec<T>>>()?.into_iter().min()
+        self.lists().map(majority_value_of).collect::<Option<Vec<T>>>()?.into_iter().min()
     }
 }
--- a/crates/leases/src/spread.rs
+++ b/crates/leases/src/spread.rs
@@ -1,18 +1,19 @@
-//! Which gateway a role is best held by: the one with the highest score by a hash of role and gateway (rendezvous hashing:
-//! Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that a gateway that joins or
-//! leaves moves only its own roles.
+//! Distribution of roles over gateways by rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to
+//! increase hit rates", 1998). Each gateway has a score for each role, a hash of both names, and the gateway with the
+//! highest score is preferred as lease holder. When a gateway joins or leaves, only roles that this gateway is
+//! preferred for move.
 
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A gateway's score for a role, in 0..1; the same at all gateways.
+/// Returns a gateway's score for a role, from 0 to below 1. All gateways compute the same score.
 fn score(role: &str, gateway: &str) -> f64 {
-    // The top 53 bits fill a float's fraction.
+    // An f64 represents integers of up to 53 bits exactly.
     let bits = xxh3_64_with_seed(gateway.as_bytes(), xxh3_64_with_seed(role.as_bytes(), 0)) >> 11;
     bits as f64 / (1_u64 << 53) as f64
 }
 
-/// The gateways in order of preference for the role, the best first.
+/// Returns the gateways ordered by descending score for the role.
 pub fn preference_order<'a>(role: &str, gateways: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut order: Vec<(Reverse<u64>, &str)> =
         gateways.map(|gateway| (Reverse(score(role, gateway).to_bits()), gateway)).collect();
@@ -20,7 +21,8 @@
     order.into_iter().map(|(_, gateway)| gateway).collect()
 }
 
-/// The best of `others`, where its score is above the holder's by more than `margin`.
+/// Returns the gateway of `others` with the highest score for the role if that score exceeds the lease holder's score
+/// by more than `margin`, otherwise `None`.
 pub fn better_holder<'a>(
     role: &str,
     holder: &str,
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,8 +1,9 @@
-//! One voter: which gateway it has granted each role to, and until when.
+//! A voter: grants leases of roles to gateways.
 //!
-//! A voter grants a role to one gateway at a time and no token twice. It is silent for one longest lease after its start,
-//! since it can't know what it granted before (Trencseni and others, "PaxosLease: Diskless Paxos for Leases", 2012). Only
-//! the highest tokens are on disk.
+//! A voter grants a role to one gateway at a time and never grants a fencing token to a second lease. After its start,
+//! it stays silent for the longest lease length, since it doesn't know the leases that it granted before (Trencseni and
+//! others, "PaxosLease: Diskless Paxos for Leases", 2012). Leases are kept in memory; only the highest fencing tokens
+//! and the longest lease length are kept on disk.
 
 use crate::messages::{LeaseInfo, LeaseRequest, MemberId, Vote};
 use crate::voter_record::VoterRecord;
@@ -10,14 +11,14 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// What a voter grants at most.
+/// Limits of the leases that a voter grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct VoterLimits {
-    /// Requests for longer leases are ignored.
+    /// Maximum length of a lease. Requests for longer leases are ignored.
     pub longest_lease: Duration,
-    /// Requests for more roles than this are ignored.
+    /// Maximum number of roles. Requests for further roles are ignored.
     pub max_roles: usize,
-    /// Whether a new token has to be on disk before it is granted.
+    /// Whether a new token must be written to disk before the voter grants the lease.
     pub persistent: bool,
 }
 
@@ -26,7 +27,7 @@
     holder: MemberId,
     token: u64,
     expires_at: Timestamp,
-    /// A newer token of the same holder that is not on disk yet.
+    /// A grant of a newer token to the same holder that waits until the token is on disk.
     pending: Option<PendingGrant>,
 }
 
@@ -34,16 +35,17 @@
 struct PendingGrant {
     token: u64,
     length: Duration,
-    /// The request whose answer waits.
+    /// Round of the request whose vote is delayed.
     round: u32,
-    /// The version of the record that has the token.
+    /// Version of the first voter record that contains the token.
     record_version: u64,
-    /// Given up if it is not on disk by then.
+    /// The grant is dropped if the token isn't on disk by this time.
     expires_at: Timestamp,
 }
 
 impl Lease {
-    fn ends_at(&self) -> Timestamp {
+    /// Returns until when the lease or its pending grant prevents grants of the role to other gateways.
+    fn blocked_until(&self) -> Timestamp {
         self.pending.as_ref().map_or(self.expires_at, |pending| pending.expires_at.max(self.expires_at))
     }
 }
@@ -54,57 +56,63 @@
     lease: Option<Lease>,
 }
 
-/// A gateway's part as a voter.
+/// State of a gateway that is a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     limits: VoterLimits,
-    /// Tokens up to this one may have been granted before its start.
+    /// Highest token that the voter may have granted before its start, for roles that its record doesn't contain.
     token_floor: u64,
-    /// No lease that it may have granted was longer.
+    /// Upper bound on the length of all leases that the voter has granted, before its start too.
     longest_lease: Duration,
+    /// The voter answers no requests before this time.
     silent_until: Timestamp,
+    /// Highest token and current lease, by role name.
     assignments: BTreeMap<String, Assignment>,
-    /// The version of a record with all that is known now.
+    /// Version of a record with the current state.
     record_version: u64,
+    /// Version of the record that is being written, if any.
     writing_version: Option<u64>,
+    /// Version of the last record that was written successfully.
     written_version: u64,
-    /// The last write failed, and nothing has changed since.
+    /// Whether the last write failed and the state has not changed since.
     write_failed: bool,
 }
 
-/// An answer that waited for the disk.
+/// A vote that was delayed until its token was on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DelayedVote {
-    /// Who asked.
+    /// Process that requested the lease.
     pub to: MemberId,
-    /// The request's number.
+    /// Round of the request.
     pub round: u32,
-    /// The answer.
+    /// The vote, which grants the lease.
     pub vote: Vote,
 }
 
 impl Voter {
-    /// `wall_clock_us` is the Unix clock at its start, in microseconds: no token is below it, so that tokens grow even
-    /// where the record is lost or outdated. Whatever the record says, the voter waits as long as any lease that it may
-    /// have granted.
+    /// Creates a voter that has just started. `record` is the record found on disk, if any.
+    ///
+    /// `wall_clock_us` is the Unix time at the start in microseconds. The voter grants only tokens above this value, so
+    /// that tokens increase even if the record is lost or outdated. The voter stays silent for the longest lease length
+    /// of the limits or the record, whichever is longer.
     pub fn new(
         limits: VoterLimits,
         record: Option<&VoterRecord>,
         wall_clock_us: u64,
         now: Timestamp,
     ) -> Voter {
-        let recorded = record.map_or(Duration::ZERO, |r| Duration::from_micros(r.longest_lease_us));
-        let longest_lease = recorded.max(limits.longest_lease);
+        let recorded_longest = record.map_or(Duration::ZERO, |r| Duration::from_micros(r.longest_lease_us));
+        let longest_lease = recorded_longest.max(limits.longest_lease);
         let record_version = record.map_or(0, |r| r.version);
-        let assignment = |(role, highest): (&String, &u64)| {
-            (role.clone(), Assignment { highest_token: wall_clock_us.max(*highest), lease: None })
+        let to_assignment = |(role, highest_token): (&String, &u64)| {
+            (role.clone(), Assignment { highest_token: wall_clock_us.max(*highest_token), lease: None })
         };
         Voter {
             limits,
             token_floor: wall_clock_us,
             longest_lease,
             silent_until: now + longest_lease,
-            assignments: record.into_iter().flat_map(|r| &r.highest_tokens).map(assignment).collect(),
+            assignments: record.into_iter().flat_map(|r| &r.highest_tokens).map(to_assignment).collect(),
             record_version,
             writing_version: None,
             written_version: record_version,
@@ -112,8 +120,9 @@
         }
     }
 
-    /// Takes limits from settings that were read again; `persistent` stays as at the start. The record is written anew,
-    /// since the next start has to wait for the longest lease.
+    /// Applies limits from reloaded settings, except for `persistent`, which changes only with a restart. Changed
+    /// limits cause a new record to be written, since after the next start the voter must stay silent for the longest
+    /// lease length.
     pub fn update_limits(&mut self, limits: VoterLimits) {
         if limits != self.limits {
             self.limits = VoterLimits { persistent: self.limits.persistent, ..limits };
@@ -123,12 +132,12 @@
         }
     }
 
-    /// Whether leases that it granted before its start may still run.
+    /// Returns whether leases granted before the voter's start may still be in force, so that it answers no requests.
     pub fn is_silent(&self, now: Timestamp) -> bool {
         now < self.silent_until
     }
 
-    /// Answers a request; `None` where it is ignored, or the answer waits for the disk.
+    /// Returns the vote on a request. Returns `None` if the request is ignored or the vote waits for a disk write.
     pub fn on_request(
         &mut self,
         candidate: &MemberId,
@@ -136,16 +145,17 @@
         round: u32,
         now: Timestamp,
     ) -> Option<Vote> {
-        let is_known = self.assignments.contains_key(&request.role);
-        if self.is_silent(now) || (!is_known && self.assignments.len() >= self.limits.max_roles) {
+        let is_known_role = self.assignments.contains_key(&request.role);
+        if self.is_silent(now) || (!is_known_role && self.assignments.len() >= self.limits.max_roles) {
             return None;
         }
         let unassigned = Assignment { highest_token: self.token_floor, lease: None };
         let assignment = self.assignments.entry(request.role.clone()).or_insert(unassigned);
-        assignment.lease.take_if(|lease| now >= lease.ends_at());
+        assignment.lease.take_if(|lease| now >= lease.blocked_until());
         let length = Duration::from_micros(request.length_us);
         if length > self.limits.longest_lease {
-            // A shorter grant would count for more at the candidate: settings that differ must not make two holders.
+            // If the voter granted a shorter lease than requested, the candidate would still count the requested
+            // length. With settings that differ between gateways, that could lead to two lease holders.
             return None;
         }
         let held_by_other = assignment.lease.as_ref().is_some_and(|lease| lease.holder != *candidate);
@@ -168,7 +178,7 @@
                 return None;
             }
             if lease.token == request.token {
-                // Never shortened: the holder relies on what it was told before.
+                // A renewal never shortens the lease, since the holder relies on earlier votes.
                 lease.expires_at = lease.expires_at.max(now + length);
                 return vote(true, assignment.highest_token);
             }
@@ -179,7 +189,8 @@
         if self.grant_token(candidate, request, round, now) { vote(true, request.token) } else { None }
     }
 
-    /// Grants a new token, or prepares to once it is on disk: returns whether it is granted at once.
+    /// Grants a new token, or prepares a pending grant if tokens must be on disk first. Returns whether the token is
+    /// granted immediately.
     fn grant_token(
         &mut self,
         candidate: &MemberId,
@@ -213,7 +224,7 @@
         true
     }
 
-    /// The holder does nothing more under this token.
+    /// Handles a release: the holder performs no more actions under this token.
     pub fn on_release(&mut self, holder: &MemberId, role: &str, token: u64) {
         let Some(assignment) = self.assignments.get_mut(role) else { return };
         let Some(lease) = assignment.lease.as_mut().filter(|lease| lease.holder == *holder) else { return };
@@ -224,7 +235,8 @@
         assignment.lease.take_if(|lease| lease.pending.is_none() && lease.expires_at == Timestamp::default());
     }
 
-    /// The record to be written now, if there is a new one and none is being written.
+    /// Returns the record that is to be written now. Returns `None` if the last written record is current, a write is
+    /// in progress, or the last write failed and the state has not changed since.
     pub fn take_record_to_write(&mut self) -> Option<VoterRecord> {
         let is_written = self.written_version >= self.record_version;
         if !self.limits.persistent || self.write_failed || self.writing_version.is_some() || is_written {
@@ -234,29 +246,30 @@
         Some(self.record())
     }
 
-    /// All that is to be remembered over a restart.
+    /// Returns the current state that must survive a restart.
     pub fn record(&self) -> VoterRecord {
-        let highest = |(role, assignment): (&String, &Assignment)| (role.clone(), assignment.highest_token);
+        let to_highest_token =
+            |(role, assignment): (&String, &Assignment)| (role.clone(), assignment.highest_token);
         VoterRecord {
             version: self.record_version,
             longest_lease_us: self.longest_lease.micros(),
-            highest_tokens: self.assignments.iter().map(highest).collect(),
+            highest_tokens: self.assignments.iter().map(to_highest_token).collect(),
         }
     }
 
-    /// The write of a record ended: answers that waited for it. Leases count from now, after the wait for the disk; what
-    /// is not on disk is not granted.
+    /// Handles the end of a record write and returns the votes that waited for the write. The leases are counted from
+    /// `now`, after the disk write. If the write failed, pending grants of the record are dropped.
     pub fn on_record_written(&mut self, succeeded: bool, now: Timestamp) -> Vec<DelayedVote> {
-        let Some(written) = self.writing_version.take() else { return Vec::new() };
+        let Some(ended_version) = self.writing_version.take() else { return Vec::new() };
         if succeeded {
-            self.written_version = written;
+            self.written_version = ended_version;
         }
         let mut votes = Vec::new();
-        let mut others_wait = false;
+        let mut has_later_pending = false;
         for (role, assignment) in &mut self.assignments {
             let Some(lease) = &mut assignment.lease else { continue };
-            if lease.pending.as_ref().is_some_and(|pending| pending.record_version > written) {
-                others_wait = true;
+            if lease.pending.as_ref().is_some_and(|pending| pending.record_version > ended_version) {
+                has_later_pending = true;
                 continue;
             }
             let pending = lease.pending.take();
@@ -274,12 +287,13 @@
             }
             assignment.lease.take_if(|lease| now >= lease.expires_at);
         }
-        // After a failure the next token tries again: not at once and for ever.
-        self.write_failed = !succeeded && !others_wait;
+        // After a failure, the next write waits for a new token or new limits, so that a failing disk isn't retried in a
+        // loop.
+        self.write_failed = !succeeded && !has_later_pending;
         votes
     }
 
-    /// Leases that run, of roles after this one.
+    /// Returns the leases in force, pending grants included, ordered by role name. Roles up to `after` are skipped.
     pub fn leases_after<'a>(
         &'a self,
         after: Option<&str>,
@@ -288,12 +302,12 @@
         let start = after.map_or(Bound::Unbounded, |role| Bound::Excluded(role.to_owned()));
         let assignments = self.assignments.range::<String, _>((start, Bound::Unbounded));
         assignments.filter_map(move |(role, assignment)| {
-            let lease = assignment.lease.as_ref().filter(|lease| now < lease.ends_at())?;
+            let lease = assignment.lease.as_ref().filter(|lease| now < lease.blocked_until())?;
             Some(LeaseInfo {
                 role: role.clone(),
                 token: lease.pending.as_ref().map_or(lease.token, |pending| pending.token),
                 holder: lease.holder.clone(),
-                remaining_us: lease.ends_at().since(now).micros(),
+                remaining_us: lease.blocked_until().since(now).micros(),
             })
         })
     }
--- a/crates/leases/src/voter_record.rs
+++ b/crates/leases/src/voter_record.rs
@@ -1,7 +1,7 @@
-//! What a voter remembers over restarts: the highest token of each role.
+//! The voter record: the state that a voter keeps over restarts, mainly the highest fencing token of each role.
 //!
-//! The record is framed by its length, with a format version and a checksum. It is written to a new file, synced and
-//! renamed, and the directory is synced; the last good record is kept beside it.
+//! A record file has a format version, the length of its body, and the body with a checksum. A record is written to a
+//! new file, which is synced and renamed before the directory is synced. The last good record is kept as a second file.
 
 use crc::{CRC_32_ISCSI, Crc};
 use serde::{Deserialize, Serialize};
@@ -10,59 +10,63 @@
 
 const FORMAT_VERSION: u8 = 1;
 const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
-/// Longer files were not written by a voter.
+/// Maximum length of the body of a record file in bytes. A voter writes no longer files.
 const MAX_RECORD_BYTES: usize = 8 << 20;
 
 /// File name of the record.
 pub const CURRENT_FILE: &str = "duties.record";
-/// File name of the last good record before it.
+/// File name of the last good record before the current record.
 pub const PREVIOUS_FILE: &str = "duties.record.before";
 /// File name of a record that is being written.
 pub const NEW_FILE: &str = "duties.record.new";
 
-/// A voter's memory. Encoded by position: the order and types of its fields are the format.
+/// Persistent state of a voter. The encoding is positional: the order and types of the fields are the file format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterRecord {
-    /// Grows with each write.
+    /// Version of the record, which increases with each change of the record's contents.
     pub version: u64,
-    /// No lease that the voter may have granted was longer, in microseconds.
+    /// Upper bound on the length of all leases that the voter has granted, in microseconds.
     pub longest_lease_us: u64,
-    /// By role.
+    /// Highest excluded fencing token of each role: the voter grants new leases under higher tokens only.
     pub highest_tokens: BTreeMap<String, u64>,
 }
 
-/// Why a record can't be read.
+/// Reasons why a record file can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Shorter or longer than its frame says.
-    #[error("length differs from the frame's")]
+    /// The body is shorter or longer than the length in the file header, or exceeds the maximum length.
+    #[error("length of the record differs from its file header or exceeds {MAX_RECORD_BYTES} bytes")]
     Length,
-    /// Written by another version of this program.
-    #[error("format version {0}, not {FORMAT_VERSION}")]
+    /// The file has the format version of another release.
+    #[error("format version {0} is not supported, expected {FORMAT_VERSION}")]
     Version(u8),
-    /// The checksum or the contents are wrong.
-    #[error("corrupt")]
+    /// The checksum is wrong or the body can't be decoded.
+    #[error("checksum is wrong or the record can't be decoded")]
     Corrupt,
 }
 
 impl VoterRecord {
-    /// The bytes of its file.
+    /// Returns the contents of the record file.
     pub fn encode(&self) -> Vec<u8> {
         let mut file = vec![FORMAT_VERSION];
-        // Plain structures into a vector: postcard has no way to fail here.
+        // Postcard can't fail here, since plain structures are written to a growable vector.
         let body = postcard::to_allocvec_crc32(self, CHECKSUM.digest()).unwrap_or_default();
         file.extend((body.len() as u32).to_le_bytes());
         file.extend(body);
         file
     }
 
-    /// Reads a file's bytes.
+    /// Decodes the contents of a record file.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the length, the format version, the checksum or the body is invalid.
     pub fn decode(file: &[u8]) -> Result<VoterRecord, RecordError> {
-        let (version, framed) = file.split_first().ok_or(RecordError::Length)?;
+        let (version, length_and_body) = file.split_first().ok_or(RecordError::Length)?;
         if *version != FORMAT_VERSION {
             return Err(RecordError::Version(*version));
         }
-        let (length, body) = framed.split_first_chunk::<4>().ok_or(RecordError::Length)?;
+        let (length, body) = length_and_body.split_first_chunk::<4>().ok_or(RecordError::Length)?;
         if body.len() > MAX_RECORD_BYTES || u32::from_le_bytes(*length) as usize != body.len() {
             return Err(RecordError::Length);
         }
@@ -70,52 +74,58 @@
     }
 }
 
-/// A directory for the record. What it answers may be wrong; docs/leases.md lists the faults that are survived.
+/// Access to the directory of the record files. An implementation may lose or damage data; docs/leases.md lists the
+/// disk faults that a voter tolerates.
 pub trait Disk: Send {
-    /// Contents of a file; `None` where there is none.
+    /// Reads the contents of a file. Returns `None` if the file doesn't exist.
     fn read(&mut self, file: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Writes a whole new file in place of any other.
+    /// Writes a file, replacing an existing file of this name.
     fn write(&mut self, file: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Syncs a file's contents.
+    /// Syncs the contents of a file to disk.
     fn sync(&mut self, file: &str) -> io::Result<()>;
-    /// Renames a file, in place of any other of that name.
+    /// Renames a file, replacing an existing file named `to`.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Syncs the directory's entries.
+    /// Syncs the entries of the directory to disk.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// Puts a record in place of the present one, so that at any time one of the two can be read whole.
+/// Replaces the current record so that the old or the new record is readable if the process crashes at any point.
+///
+/// # Errors
+///
+/// Returns the error of the first disk operation that fails.
 pub fn store(disk: &mut dyn Disk, record: &VoterRecord) -> io::Result<()> {
     disk.write(NEW_FILE, &record.encode())?;
     disk.sync(NEW_FILE)?;
     if disk.read(CURRENT_FILE)?.is_some_and(|bytes| VoterRecord::decode(&bytes).is_ok()) {
         disk.rename(CURRENT_FILE, PREVIOUS_FILE)?;
-        // Without this sync a crash could keep the second rename alone, and lose the last good record with the new one.
+        // Without this sync, a crash could keep only the second rename on disk, which would lose the last good record.
+        // If the new record were lost too, no readable record would be left.
         disk.sync_directory()?;
     }
     disk.rename(NEW_FILE, CURRENT_FILE)?;
     disk.sync_directory()
 }
 
-/// What was found on disk.
+/// Result of reading the record files.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadedRecord {
-    /// The newest record that can be read.
+    /// The readable record with the highest version, if any.
     pub record: Option<VoterRecord>,
-    /// Files that can't be read.
+    /// Record files that exist but can't be read or decoded.
     pub damaged: Vec<DamagedFile>,
 }
 
-/// A record's file that can't be read.
+/// A record file that can't be read or decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedFile {
-    /// Its name.
+    /// Name of the file.
     pub file: &'static str,
-    /// What is wrong with it, for the log.
+    /// Error text for the log.
     pub reason: String,
 }
 
-/// Reads the newest record that can be read.
+/// Reads the current and the previous record file and returns the newer readable record.
 pub fn load(disk: &mut dyn Disk) -> LoadedRecord {
     let mut loaded = LoadedRecord::default();
     for file in [CURRENT_FILE, PREVIOUS_FILE] {
