--- a/crates/fault-tests/tests/leases/voters.rs
+++ b/crates/fault-tests/tests/leases/voters.rs
@@ -81,7 +81,7 @@
     // The new voters are silent at first, and nobody may go on before all have read it.
     let changed = Instant::now();
     change.reload(4, &format!("electors = {new}"));
-    log(4).wait_for("lease settings rejected, reason: electors: were changed just now");
+    log(4).wait_for("lease settings rejected, reason: electors: voters were changed too recently");
     wait_until("three longest leases", || changed.elapsed() > Duration::from_millis(4_600));
     change.test_bed.wait_until_all_act();
     (0..5).for_each(|gateway| change.reload(gateway, &format!("electors = {new}")));
--- a/crates/leases/src/manager/campaign.rs
+++ b/crates/leases/src/manager/campaign.rs
@@ -1,4 +1,5 @@
-//! Asking for a role that nobody holds: when it is this gateway's turn, counting votes, giving up.
+//! Campaigns for roles that no gateway holds: when this gateway starts a campaign, how it counts votes, and when it
+//! abandons the campaign.
 
 use super::LeaseManager;
 use super::hand_over::ReleaseNotice;
@@ -10,28 +11,31 @@
 use larchfall_policy::time::{Duration, Timestamp};
 use nanorand::Rng;
 
-/// How much later the next gateway in order asks, as a part of a lease.
+/// Delay between the campaigns of two successive gateways in the preference order, as a fraction of the lease length.
 const STAGGER_LEASE_FRACTION: f64 = 0.2;
-/// Pause after a campaign for a role that was handed over, as a part of the renewal interval.
-const EAGER_PAUSE: f64 = 0.1;
-/// Shortest pause after any other campaign, likewise; a random part of up to one interval is added.
-const MIN_PAUSE: f64 = 0.25;
+/// Pause after a campaign for a role that was handed over to this gateway, as a fraction of the renewal interval.
+const HAND_OVER_PAUSE_FRACTION: f64 = 0.1;
+/// Minimum pause after any other campaign, as a fraction of the renewal interval. A random time of up to one renewal
+/// interval is added.
+const MIN_PAUSE_FRACTION: f64 = 0.25;
 
-/// What follows from a vote.
+/// What the candidate has to do after a vote.
 enum VoteResult {
+    /// Nothing: the vote was counted or ignored.
     Counted,
-    /// The voter takes newer tokens only: one is asked for.
-    AskAgain,
-    /// A majority refuses.
-    Hopeless,
+    /// The voter grants newer tokens only, and the candidate must request such a token.
+    NewerTokenNeeded,
+    /// A majority of voters has granted the role to another gateway.
+    RefusedByMajority,
 }
 
 impl LeaseManager {
-    /// Whether this gateway is to ask for a role that it watches: at once where it was handed over, else its position in
-    /// order after it became vacant.
-    pub(super) fn is_its_turn(&self, role: &str, now: Timestamp) -> bool {
+    /// Returns whether it is this gateway's turn to request a role. A role that was handed over to this gateway is
+    /// requested immediately. A vacant role is requested after a delay that increases with the gateway's position in
+    /// the preference order.
+    pub(super) fn is_own_turn(&self, role: &str, now: Timestamp) -> bool {
         let Some(state) = self.roles.get(role) else { return false };
-        if now < state.eager_until {
+        if now < state.handed_over_until {
             return true;
         }
         state.vacant_since.is_some_and(|vacant_since| {
@@ -41,45 +45,46 @@
         })
     }
 
-    /// How long votes are waited for. Where another asks too, votes may be split, and both give way soon. Otherwise voters
-    /// may wait for their disks, and a new token would only begin the wait anew.
+    /// Returns how long a campaign waits for votes. If a voter has granted the role to another gateway, votes may be
+    /// split, and the campaign ends early so that one of the candidates can win. Otherwise the votes may be waiting for
+    /// disk writes, which a new campaign with a new token would only start again.
     pub(super) fn campaign_length(&self, campaign: &Campaign) -> Duration {
-        if campaign.refused_by.is_empty() { self.terms().length } else { self.renewal_interval() }
+        if campaign.refusing_voters.is_empty() { self.terms().length } else { self.renewal_interval() }
     }
 
-    /// No majority: what was granted is given back, so that another may have it.
+    /// Ends a campaign without a majority. The grants are released so that another gateway can acquire the role.
     pub(super) fn abandon_campaign(&mut self, role: &str, now: Timestamp, output: &mut Output) {
-        let eager_pause = self.renewal_interval() * EAGER_PAUSE;
-        let pause = self.renewal_interval() * (MIN_PAUSE + self.random.generate::<f64>());
+        let hand_over_pause = self.renewal_interval() * HAND_OVER_PAUSE_FRACTION;
+        let pause = self.renewal_interval() * (MIN_PAUSE_FRACTION + self.random.generate::<f64>());
         let Some(state) = self.roles.get_mut(role) else { return };
         let Phase::Campaigning(campaign) = &state.phase else { return };
         let token = campaign.candidacy.token;
-        // Never asked for again: the release may reach a voter late.
+        // A later campaign uses a newer token, since the release may reach a voter late.
         state.raise_highest_token(token);
-        let pause = if now < state.eager_until { eager_pause } else { pause };
+        let pause = if now < state.handed_over_until { hand_over_pause } else { pause };
         state.phase = Phase::Watching { not_before: now + pause };
         self.release_notices.push(ReleaseNotice::once(role, token));
         self.send_releases(output);
     }
 
-    /// Counts one voter's answers to a round.
+    /// Counts the votes of one voter in a round.
     pub(super) fn on_votes(
         &mut self,
         voter: &str,
         round: Round,
-        answers: &[Vote],
+        votes: &[Vote],
         now: Timestamp,
         output: &mut Output,
     ) {
-        let mut ask_again = Vec::new();
-        for vote in answers {
+        let mut newer_token_roles = Vec::new();
+        for vote in votes {
             match self.count_vote(voter, round, vote, now, output) {
                 VoteResult::Counted => {}
-                VoteResult::AskAgain => ask_again.push(vote.role.clone()),
-                VoteResult::Hopeless => self.abandon_campaign(&vote.role, now, output),
+                VoteResult::NewerTokenNeeded => newer_token_roles.push(vote.role.clone()),
+                VoteResult::RefusedByMajority => self.abandon_campaign(&vote.role, now, output),
             }
         }
-        self.request_leases(&ask_again, now, output);
+        self.request_leases(&newer_token_roles, now, output);
     }
 
     fn count_vote(
@@ -102,39 +107,40 @@
                     if candidacy.is_held(voters, now) {
                         let token = candidacy.token;
                         state.phase = Phase::Holding(Holding::new(candidacy.clone(), now));
-                        state.eager_until = Timestamp::default();
+                        state.handed_over_until = Timestamp::default();
                         state.vacant_since = None;
                         output.report(&vote.role, LeaseEventKind::Acquired { token });
                     }
                 } else if vote.needs_newer_token() && vote.highest_token >= candidacy.token {
-                    // What was granted so far is this gateway's own, and may be granted anew.
+                    // Voters that granted the old token to this gateway can also grant it a newer one.
                     *candidacy = Candidacy::new(vote.highest_token + 1);
-                    return VoteResult::AskAgain;
+                    return VoteResult::NewerTokenNeeded;
                 } else if vote.held_by_other {
-                    campaign.refused_by.insert(voter.to_owned());
-                    if campaign.refused_by.len() * 2 > voters.all().len() {
-                        return VoteResult::Hopeless;
+                    campaign.refusing_voters.insert(voter.to_owned());
+                    if campaign.refusing_voters.len() * 2 > voters.all().len() {
+                        return VoteResult::RefusedByMajority;
                     }
                 }
                 VoteResult::Counted
             }
             Phase::Holding(holding) => {
                 if vote.granted
-                    && let Some(candidacy) = holding.with_token(vote.token)
+                    && let Some(candidacy) = holding.candidacy_with_token(vote.token)
                 {
                     candidacy.record_grant(voter, round.requested_at, round.terms);
                 }
-                if let Some(held) = holding.next_candidacy.take_if(|next| next.is_held(voters, now)) {
-                    let token = held.token;
-                    holding.candidacy = held;
+                if let Some(acquired) = holding.next_candidacy.take_if(|next| next.is_held(voters, now)) {
+                    let token = acquired.token;
+                    holding.candidacy = acquired;
                     output.report(&vote.role, LeaseEventKind::Acquired { token });
                 }
-                // A voter that lost its memory, or granted another gateway meanwhile, takes a newer token only.
-                let newest_token = holding.newest().token;
-                let is_outdated = vote.token == newest_token && vote.highest_token >= newest_token;
-                if vote.needs_newer_token() && is_outdated {
+                // A voter that lost its state or has granted the role to another gateway in the meantime grants newer
+                // tokens only.
+                let newest_token = holding.newest_candidacy().token;
+                let is_token_outdated = vote.token == newest_token && vote.highest_token >= newest_token;
+                if vote.needs_newer_token() && is_token_outdated {
                     holding.next_candidacy = Some(Candidacy::new(vote.highest_token + 1));
-                    return VoteResult::AskAgain;
+                    return VoteResult::NewerTokenNeeded;
                 }
                 VoteResult::Counted
             }
@@ -143,6 +149,7 @@
 }
 
 impl Vote {
+    /// Returns whether the voter would grant a newer token: the refusal isn't due to another lease holder.
     fn needs_newer_token(&self) -> bool {
         !self.granted && !self.held_by_other
     }
--- a/crates/leases/src/manager/listings.rs
+++ b/crates/leases/src/manager/listings.rs
@@ -1,4 +1,5 @@
-//! Finding out who holds what: voters are asked for their leases in turn.
+//! Lease listings: this gateway asks the voters in turn which leases they have granted, to learn the holder of each
+//! role.
 
 use super::LeaseManager;
 use super::output::{ListedLease, Output};
@@ -6,7 +7,8 @@
 use crate::messages::{LeaseInfo, Payload};
 use larchfall_policy::time::{Duration, Timestamp};
 
-/// Voters that are asked each time: two, so that one that is gone leaves no gateway without an answer.
+/// Number of voters that are asked for their leases each time. With two, one unreachable voter leaves no gateway
+/// without an answer.
 const VOTERS_PER_LISTING: usize = 2;
 
 impl LeaseManager {
@@ -14,12 +16,12 @@
         let all_voters = self.settings.voters.all();
         let others: Vec<&String> = all_voters.into_iter().filter(|name| **name != self.me.name).collect();
         for _ in 0..VOTERS_PER_LISTING.min(others.len()) {
-            self.listed_voters = self.listed_voters.wrapping_add(1);
-            output.send(others[self.listed_voters % others.len()], Payload::ListLeases { after: None });
+            self.listing_requests = self.listing_requests.wrapping_add(1);
+            output.send(others[self.listing_requests % others.len()], Payload::ListLeases { after: None });
         }
     }
 
-    /// A page of a voter's leases: `complete` where no later ones follow.
+    /// Handles one page of a voter's leases and requests the next page unless the listing is `complete`.
     pub(super) fn on_leases(
         &mut self,
         voter: &str,
@@ -32,27 +34,28 @@
         if !self.settings.voters.contains(voter) {
             return;
         }
-        let last = leases.last().map(|lease| &lease.role).filter(|_| !complete);
-        let covers = |role: &str| {
-            after.is_none_or(|after| role > after) && last.is_none_or(|last| role <= last.as_str())
+        let last_role = leases.last().map(|lease| &lease.role).filter(|_| !complete);
+        let is_on_page = |role: &str| {
+            after.is_none_or(|after| role > after) && last_role.is_none_or(|last| role <= last.as_str())
         };
-        for (role, state) in self.roles.iter_mut().filter(|(role, _)| covers(role)) {
-            state.on_listing(leases.iter().find(|lease| lease.role == *role), now);
+        for (role, state) in self.roles.iter_mut().filter(|(role, _)| is_on_page(role)) {
+            state.update_listed_lease(leases.iter().find(|lease| lease.role == *role), now);
         }
-        if let Some(last) = last {
-            output.send(voter, Payload::ListLeases { after: Some(last.clone()) });
+        if let Some(last_role) = last_role {
+            output.send(voter, Payload::ListLeases { after: Some(last_role.clone()) });
         }
     }
 }
 
 impl RoleState {
-    /// What one voter has granted of this role, if anything. A voter that knows of no lease is outweighed by another that
-    /// does, as long as that lease lasts.
-    fn on_listing(&mut self, lease: Option<&LeaseInfo>, now: Timestamp) {
-        let running = self.listed_lease.as_ref().filter(|known| now < known.expires_at);
+    /// Updates the known lease of the role from a listing; `lease` is `None` if the voter lists no lease of the role. A
+    /// lease that any voter has listed is kept until it expires or a newer token is listed, even if other voters list
+    /// no lease.
+    fn update_listed_lease(&mut self, lease: Option<&LeaseInfo>, now: Timestamp) {
+        let unexpired = self.listed_lease.as_ref().filter(|listed| now < listed.expires_at);
         match lease {
             Some(lease) => {
-                if running.is_none_or(|known| known.token <= lease.token) {
+                if unexpired.is_none_or(|listed| listed.token <= lease.token) {
                     let expires_at = now + Duration::from_micros(lease.remaining_us);
                     let holder = lease.holder.clone();
                     self.listed_lease = Some(ListedLease { holder, token: lease.token, expires_at });
@@ -60,7 +63,7 @@
                 self.vacant_since = None;
                 self.raise_highest_token(lease.token);
             }
-            None if running.is_none() => {
+            None if unexpired.is_none() => {
                 self.listed_lease = None;
                 self.vacant_since = self.vacant_since.or(Some(now));
             }
--- a/crates/leases/src/manager/mod.rs
+++ b/crates/leases/src/manager/mod.rs
@@ -1,10 +1,12 @@
-//! One gateway's part in all roles: which it asks for and when, which it holds and until when, when it hands one over, and
-//! its part as a voter where the settings name it.
+//! The lease manager of a gateway: requests, renews, hands over and loses the leases of all roles, and runs the
+//! gateway's voter if the settings name the gateway as a voter.
 //!
-//! The caller calls [`LeaseManager::on_timer`] when [`LeaseManager::next_timer`] has come and
-//! [`LeaseManager::on_message`] with each message, and carries out what the [`Output`] says. A gateway asks for a role once
-//! nobody is known to hold it: the first by a hash at once and the others after it in turn, so that a majority is seldom
-//! split; who gets no majority gives back what was granted and waits for a random time.
+//! The caller calls [`LeaseManager::on_timer`] at the time of [`LeaseManager::next_timer`] and
+//! [`LeaseManager::on_message`] for each received message, and carries out the returned [`Output`].
+//!
+//! A gateway requests a role when no gateway is known to hold it. The gateway that is first in the preference order of
+//! the role requests it immediately and each other gateway a fixed time after its predecessor, so that votes are seldom
+//! split. A candidate that gets no majority releases the grants that it has and pauses for a random time.
 
 mod campaign;
 mod hand_over;
@@ -36,56 +38,61 @@
 use rounds::Round;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Renewals in the length of a lease.
+/// Number of renewals within the length of a lease.
 const RENEWALS_PER_LEASE: f64 = 3.0;
-/// A timer that comes later than this part of a lease means that the gateway stalled.
+/// Time since the last timer, as a fraction of the lease length, above which the gateway counts as stalled.
 const STALL_LEASE_FRACTION: f64 = 0.5;
 
-/// Voters before the last change, which count until its leases are over.
+/// Voters before the last change of the settings. Their grants still count until leases that they granted have expired.
 struct PreviousVoters {
     voters: VoterSet,
     until: Timestamp,
 }
 
-/// What a timer's run finds to be so.
+/// State of the gateway that the checks of one timer call use for all roles.
 #[derive(Clone, Copy)]
 struct TimerCheck {
     now: Timestamp,
-    /// This gateway did not run for a good part of a lease.
+    /// Whether the gateway didn't run for more than [`STALL_LEASE_FRACTION`] of a lease.
     stalled: bool,
-    /// This gateway may ask for roles.
+    /// Whether the gateway may request roles.
     eligible: bool,
 }
 
-/// One gateway's part in all roles.
+/// Leases of one gateway for all roles, and its voter.
 pub struct LeaseManager {
     me: MemberId,
     settings: LeaseSettings,
     previous_voters: Option<PreviousVoters>,
     voters_changed_at: Option<Timestamp>,
-    /// What was on disk at the start, or known when this gateway ceased to be a voter: for when it becomes one.
+    /// Voter record found on disk at the start, or the last state of a voter that the settings have removed. A voter
+    /// that is created after a change of settings starts with this record.
     record: Option<VoterRecord>,
+    /// The voter, if the settings name this gateway as a voter.
     voter: Option<Voter>,
-    /// Gateways that are alive, and since when.
+    /// Since when each live gateway has been alive, by gateway name.
     live_members: BTreeMap<String, Timestamp>,
     roles: BTreeMap<String, RoleState>,
     rounds: VecDeque<Round>,
     last_round: u32,
     next_renewal: Timestamp,
     next_listing: Timestamp,
-    /// Counts the voters that were asked for their leases.
-    listed_voters: usize,
+    /// Number of listing requests sent, which selects the next voter in turn.
+    listing_requests: usize,
     last_timer: Timestamp,
     /// When another gateway last answered as a voter.
-    voters_heard_at: Timestamp,
+    voter_answered_at: Timestamp,
     release_notices: Vec<ReleaseNotice>,
+    /// Whether this gateway is fit to hold roles.
     fit: bool,
+    /// Whether this gateway is shutting down, or another process has taken its name.
     leaving: bool,
     random: WyRand,
 }
 
 impl LeaseManager {
-    /// `record` is what was found on disk, `wall_clock_us` the Unix clock in microseconds.
+    /// Creates the manager of the gateway process `me`. `record` is the voter record found on disk, `wall_clock_us` the
+    /// Unix time in microseconds and `seed` the seed of the random pauses.
     pub fn new(
         me: MemberId,
         settings: LeaseSettings,
@@ -109,30 +116,30 @@
             last_round: 0,
             next_renewal: now,
             next_listing: now,
-            listed_voters: 0,
+            listing_requests: 0,
             last_timer: now,
-            voters_heard_at: now,
+            voter_answered_at: now,
             release_notices: Vec::new(),
             fit: true,
             leaving: false,
             random: WyRand::new_seed(seed),
         };
-        manager.add_named_roles();
+        manager.add_configured_roles();
         manager
     }
 
-    fn add_named_roles(&mut self) {
+    fn add_configured_roles(&mut self) {
         for role in &self.settings.roles {
             self.roles.entry(role.clone()).or_insert_with(RoleState::new);
         }
     }
 
-    /// Sets which gateways are alive, this one among them, and since when.
+    /// Sets the live gateways including this one, each with the time since when it has been alive.
     pub fn set_live_members(&mut self, live_members: BTreeMap<String, Timestamp>) {
         self.live_members = live_members;
     }
 
-    /// Sets whether this gateway is fit to hold roles.
+    /// Sets whether this gateway is fit to hold roles. An unfit gateway hands over its roles with the next timer.
     pub fn set_fit(&mut self, fit: bool) {
         self.fit = fit;
     }
@@ -145,10 +152,10 @@
         self.settings.terms
     }
 
-    /// When the timer is to run next.
+    /// Returns when [`LeaseManager::on_timer`] is to be called next.
     pub fn next_timer(&self) -> Timestamp {
         let role_timer = |role: &RoleState| match &role.phase {
-            Phase::Watching { not_before } => (role.eager_until > *not_before).then_some(*not_before),
+            Phase::Watching { not_before } => (role.handed_over_until > *not_before).then_some(*not_before),
             Phase::Campaigning(campaign) => Some(campaign.since + self.campaign_length(campaign)),
             Phase::Holding(holding) => self.lease_end(holding, self.last_timer),
         };
@@ -156,7 +163,8 @@
         role_timers.chain([self.next_renewal]).fold(self.next_listing, Timestamp::min)
     }
 
-    /// When what is held ends: by the voters in force, or by those before while they count.
+    /// Returns when a held lease expires by the grants of the current voters or, while their grants still count, of the
+    /// previous voters, whichever is later.
     fn lease_end(&self, holding: &Holding, now: Timestamp) -> Option<Timestamp> {
         let previous = self.previous_voters.as_ref().filter(|previous| now < previous.until);
         let voter_sets =
@@ -167,7 +175,8 @@
             .max()
     }
 
-    /// Permission to act under a role, where it is held. Ask immediately before each action.
+    /// Returns a permit to act under a role, or `None` if the role isn't held or its lease is ending. Call this
+    /// immediately before each action.
     pub fn permit<'a>(&self, role: &'a str, now: Timestamp) -> Option<ActionPermit<'a>> {
         let Phase::Holding(holding) = &self.roles.get(role)?.phase else { return None };
         if holding.ending.is_some() {
@@ -177,20 +186,20 @@
         Some(ActionPermit { role, token: holding.candidacy.token, expires_at })
     }
 
-    /// Who holds the role, as far as this gateway knows.
+    /// Returns the lease holder of a role as far as this gateway knows.
     pub fn holder(&self, role: &str, now: Timestamp) -> Option<&str> {
         if self.permit(role, now).is_some() {
             return Some(&self.me.name);
         }
-        let known = self.roles.get(role)?.listed_lease.as_ref().filter(|known| now < known.expires_at)?;
-        Some(&known.holder.name)
+        let listed = self.roles.get(role)?.listed_lease.as_ref().filter(|lease| now < lease.expires_at)?;
+        Some(&listed.holder.name)
     }
 
-    /// What this gateway knows of each role.
+    /// Returns the status of each role as far as this gateway knows, ordered by role name.
     pub fn role_statuses(&self, now: Timestamp) -> impl Iterator<Item = RoleStatus<'_>> {
         self.roles.iter().map(move |(role, state)| RoleStatus {
             role,
-            listed_lease: state.listed_lease.as_ref().filter(|known| now < known.expires_at),
+            listed_lease: state.listed_lease.as_ref().filter(|lease| now < lease.expires_at),
             held_lease: self
                 .permit(role, now)
                 .map(|permit| HeldLease { token: permit.token, expires_at: permit.expires_at }),
@@ -198,12 +207,12 @@
         })
     }
 
-    /// Whether any role is held here, hand-overs that are not finished among them.
+    /// Returns whether this gateway holds any role, including roles whose hand-over is in progress.
     pub fn holds_any_role(&self) -> bool {
         self.roles.values().any(RoleState::is_held)
     }
 
-    /// Runs what is due.
+    /// Performs all due work: checks roles, and sends lease requests, renewals, releases and listing requests.
     pub fn on_timer(&mut self, now: Timestamp) -> Output {
         let mut output = Output::default();
         let stalled = now.since(self.last_timer) > self.terms().length * STALL_LEASE_FRACTION;
@@ -229,7 +238,7 @@
             self.next_listing = now + self.renewal_interval();
             self.request_listings(&mut output);
         }
-        self.deliver_own_messages(now, &mut output);
+        self.deliver_messages_to_self(now, &mut output);
         output
     }
 
@@ -237,21 +246,22 @@
         self.roles.keys().cloned().collect()
     }
 
-    /// Notices what became of a role, and returns whether this gateway now begins to ask for it.
+    /// Updates the state of a role by the current time. Returns whether this gateway has started a campaign for the
+    /// role.
     fn check_role(&mut self, role: &str, check: TimerCheck, output: &mut Output) -> bool {
         let Some(state) = self.roles.get_mut(role) else { return false };
-        if let Some(expired) = state.listed_lease.take_if(|known| known.expires_at <= check.now) {
+        if let Some(expired) = state.listed_lease.take_if(|lease| lease.expires_at <= check.now) {
             state.vacant_since = Some(expired.expires_at);
         }
         let Some(state) = self.roles.get(role) else { return false };
         match &state.phase {
             Phase::Watching { not_before } => {
-                let may_ask = check.eligible && check.now >= *not_before;
-                let asks = may_ask && self.is_its_turn(role, check.now);
-                if asks && let Some(state) = self.roles.get_mut(role) {
-                    state.campaign(check.now);
+                let may_campaign = check.eligible && check.now >= *not_before;
+                let starts_campaign = may_campaign && self.is_own_turn(role, check.now);
+                if starts_campaign && let Some(state) = self.roles.get_mut(role) {
+                    state.start_campaign(check.now);
                 }
-                asks
+                starts_campaign
             }
             Phase::Campaigning(campaign) => {
                 if check.now >= campaign.since + self.campaign_length(campaign) {
@@ -266,8 +276,9 @@
         }
     }
 
-    /// All gateways that are alive, in the order in which they should have the role. Those that were started lately come
-    /// last: one that restarts over and over would acquire it and drop it each time.
+    /// Returns all live gateways in the order in which they are to request the role. Gateways that have been alive for
+    /// less than [`LeaseSettings::min_hold_time`] come last: otherwise a gateway that restarts repeatedly would acquire
+    /// and lose the role each time.
     fn preference_order(&self, role: &str, now: Timestamp) -> Vec<&str> {
         let is_settled = |name: &&str| {
             self.live_members.get(*name).is_some_and(|since| now.since(*since) >= self.settings.min_hold_time)
--- a/crates/leases/src/manager/output.rs
+++ b/crates/leases/src/manager/output.rs
@@ -1,30 +1,31 @@
-//! What comes of a call to the manager: messages to send, a record to write, and events.
+//! Results of calls to the lease manager: messages to send, a voter record to write, events and the status of roles.
 
 use crate::messages::{MemberId, Payload};
 use crate::voter_record::VoterRecord;
 use larchfall_policy::time::Timestamp;
 
-/// Why a role is given up.
+/// Reasons why a gateway gives up a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum EndReason {
     /// The lease was not renewed in time.
     Expired,
-    /// This gateway did not run for a good part of a lease.
+    /// This gateway didn't run for more than half of a lease.
     Stalled,
-    /// This gateway shuts down.
+    /// This gateway is shutting down.
     Leaving,
-    /// No engine is reachable, the endpoint list is stale, or the gateway is slow itself.
+    /// This gateway is unfit to hold roles: no engine is reachable, the endpoint list is stale, or the gateway is
+    /// unhealthy itself.
     Unfit,
-    /// The settings name the role no more.
+    /// The reloaded settings no longer contain the role.
     RemovedFromSettings,
-    /// Another gateway suits better.
+    /// Another gateway has a clearly higher score for the role.
     BetterHolder,
-    /// Another process has this gateway's name.
+    /// Another process uses this gateway's name.
     NameTaken,
 }
 
 impl EndReason {
-    /// The word for it in the output of `larchfall duties`, which scripts may read.
+    /// Returns the word for the reason in the output of `larchfall duties`. Scripts may parse this word.
     pub fn status_word(self) -> &'static str {
         match self {
             EndReason::Expired => "RanOut",
@@ -38,67 +39,67 @@
     }
 }
 
-/// What happened to a role at this gateway.
+/// Changes of a role that this gateway holds or has just acquired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseEventKind {
-    /// It is held here, under this token from now on.
+    /// This gateway holds the role under a new token.
     Acquired {
-        /// The fencing token.
+        /// Fencing token of the new lease.
         token: u64,
     },
-    /// Nothing more may be begun under it. The caller answers with
-    /// [`LeaseManager::on_work_stopped`](super::LeaseManager::on_work_stopped) once nothing runs.
+    /// The hand-over of the role has started, and no new work may start under the lease. The caller must call
+    /// [`LeaseManager::on_work_stopped`](super::LeaseManager::on_work_stopped) when all work has stopped.
     Ending {
-        /// The fencing token.
+        /// Fencing token of the lease.
         token: u64,
-        /// Why it is given up.
+        /// Why the role is handed over.
         reason: EndReason,
-        /// Who is to hold it next.
+        /// Name of the gateway that is to hold the role next, if another gateway is alive.
         successor: Option<String>,
     },
-    /// The lease is over, and nobody was told.
+    /// The role was given up without a hand-over, and no release was sent.
     Lost {
-        /// The fencing token.
+        /// Fencing token of the lease.
         token: u64,
-        /// Why it is lost.
+        /// Why the role was given up.
         reason: EndReason,
     },
-    /// It was given up in order.
+    /// The role was released at the end of a hand-over.
     Released {
-        /// The fencing token.
+        /// Fencing token of the released lease.
         token: u64,
-        /// Who is to hold it next.
+        /// Name of the gateway that was notified to request the role next, if any.
         successor: Option<String>,
     },
 }
 
-/// An event of one role.
+/// An event of one role at this gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseEvent {
-    /// The role.
+    /// Name of the role.
     pub role: String,
-    /// What happened.
+    /// What changed.
     pub kind: LeaseEventKind,
 }
 
 /// A message to another gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// The gateway's name.
+    /// Name of the receiving gateway.
     pub to: String,
-    /// What to send.
+    /// The message to send.
     pub payload: Payload,
 }
 
-/// What comes of a call.
+/// Result of a call to the lease manager, which the caller must carry out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
-    /// To be sent, in this order.
+    /// Messages to send, in this order.
     pub messages: Vec<OutgoingMessage>,
-    /// In the order in which they happened.
+    /// Events in the order in which they occurred.
     pub events: Vec<LeaseEvent>,
-    /// To be written to disk, and answered with
-    /// [`LeaseManager::on_record_written`](super::LeaseManager::on_record_written).
+    /// Voter record to write to disk, if any. The caller must call
+    /// [`LeaseManager::on_record_written`](super::LeaseManager::on_record_written) after the write.
     pub record_to_write: Option<VoterRecord>,
 }
 
@@ -112,44 +113,44 @@
     }
 }
 
-/// A lease as a voter last listed it.
+/// A lease according to the last listing of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ListedLease {
-    /// The process that holds it.
+    /// Gateway process that holds the lease.
     pub holder: MemberId,
-    /// The fencing token.
+    /// Fencing token of the lease.
     pub token: u64,
-    /// When it ends, as far as is known here.
+    /// When the lease expires by this gateway's clock, as far as this gateway knows.
     pub expires_at: Timestamp,
 }
 
-/// A lease that is held here.
+/// A lease that this gateway holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// The fencing token.
+    /// Fencing token of the lease.
     pub token: u64,
-    /// When it ends.
+    /// When the lease expires at this gateway.
     pub expires_at: Timestamp,
 }
 
-/// How a role last came to end here.
+/// The last time that this gateway gave up a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastEnd {
-    /// Why.
+    /// Why this gateway gave up the role.
     pub reason: EndReason,
-    /// When.
+    /// When the role was lost or its hand-over started.
     pub ended_at: Timestamp,
 }
 
-/// What this gateway knows of one role.
+/// Status of one role as far as this gateway knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleStatus<'a> {
-    /// The role.
+    /// Name of the role.
     pub role: &'a str,
-    /// The lease of another gateway, or of this one, that a voter listed.
+    /// Unexpired lease of any gateway, including this gateway, that a voter has listed.
     pub listed_lease: Option<&'a ListedLease>,
-    /// The lease that is held here.
+    /// Lease that this gateway holds, unless its hand-over has started.
     pub held_lease: Option<HeldLease>,
-    /// How it last came to end here.
+    /// The last time that this gateway gave up the role, if ever.
     pub last_end: Option<LastEnd>,
 }
--- a/crates/leases/src/manager/reconfigure.rs
+++ b/crates/leases/src/manager/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Settings that were read again while the gateway runs.
+//! Reload of the settings while the gateway runs.
 
 use super::output::{EndReason, Output};
 use super::role_state::RoleState;
@@ -7,11 +7,17 @@
 use crate::voter::Voter;
 use larchfall_policy::time::{Duration, Timestamp};
 
-/// Voters are not changed again before so many longest leases are over: gateways read their files at different times.
+/// Minimum time between two changes of the voters, as a multiple of the longest lease length. Gateways read their
+/// configuration files at different times.
 const LEASES_BETWEEN_VOTER_CHANGES: f64 = 3.0;
 
 impl LeaseManager {
-    /// Takes new settings, or rejects them as a whole. `wall_clock_us` is the Unix clock in microseconds.
+    /// Applies reloaded settings, except for the cluster name, which stays as at the start. `wall_clock_us` is the Unix
+    /// time in microseconds.
+    ///
+    /// # Errors
+    ///
+    /// Rejects the settings as a whole if the voters may not be changed in this way or not yet.
     pub fn update_settings(
         &mut self,
         settings: LeaseSettings,
@@ -27,11 +33,11 @@
         }
         self.update_voter(&settings, wall_clock_us, now);
         let is_removed = |role: &&String| !settings.roles.contains(*role);
-        let removed: Vec<String> = self.roles.keys().filter(is_removed).cloned().collect();
+        let removed_roles: Vec<String> = self.roles.keys().filter(is_removed).cloned().collect();
         self.settings = LeaseSettings { cluster: self.settings.cluster.clone(), ..settings };
-        self.add_named_roles();
+        self.add_configured_roles();
         let mut output = Output::default();
-        for role in removed {
+        for role in removed_roles {
             if self.roles.get(&role).is_some_and(RoleState::is_held) {
                 self.begin_hand_over(&role, EndReason::RemovedFromSettings, now, &mut output);
             } else {
@@ -43,8 +49,9 @@
         Ok(output)
     }
 
-    /// New voters are silent for a longest lease: until then what is held goes on by the old ones, which every other
-    /// gateway still needs as well.
+    /// Starts a change of the voters. New voters stay silent for the longest lease length; until then, leases that this
+    /// gateway holds continue by grants of the previous voters. This is safe because every other gateway still needs
+    /// grants of the previous voters too.
     fn begin_voter_change(&mut self, longest_lease: Duration, now: Timestamp) -> Result<(), SettingsError> {
         let pause = longest_lease * LEASES_BETWEEN_VOTER_CHANGES;
         if self.voters_changed_at.is_some_and(|changed_at| now.since(changed_at) < pause) {
@@ -58,7 +65,8 @@
         Ok(())
     }
 
-    /// A gateway that becomes a voter again starts as one that just started.
+    /// Creates, updates or removes the voter of this gateway. A gateway that becomes a voter again starts with a silent
+    /// period, like a voter after a process start.
     fn update_voter(&mut self, settings: &LeaseSettings, wall_clock_us: u64, now: Timestamp) {
         let is_voter = settings.voters.contains(&self.me.name);
         match &mut self.voter {
--- a/crates/leases/src/manager/role_state.rs
+++ b/crates/leases/src/manager/role_state.rs
@@ -1,39 +1,42 @@
-//! What a gateway remembers of one role.
+//! State that a gateway keeps for one role.
 
 use super::output::{EndReason, LastEnd, ListedLease};
 use crate::candidacy::Candidacy;
 use larchfall_policy::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// Where this gateway stands with a role.
+/// Phase of this gateway with respect to a role.
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
-    /// It is not asked for here.
+    /// This gateway doesn't request the role, and starts no campaign before `not_before`.
     Watching { not_before: Timestamp },
-    /// Votes are collected.
+    /// This gateway has requested the role and collects votes.
     Campaigning(Campaign),
-    /// It is held here.
+    /// This gateway holds the role.
     Holding(Holding),
 }
 
+/// An attempt to acquire a role, which may use several tokens one after the other.
 #[derive(Clone, Debug)]
 pub(super) struct Campaign {
     pub(super) candidacy: Candidacy,
     pub(super) since: Timestamp,
-    /// Voters at which another gateway holds it.
-    pub(super) refused_by: BTreeSet<String>,
+    /// Voters that have granted the role to another gateway.
+    pub(super) refusing_voters: BTreeSet<String>,
 }
 
+/// A role that this gateway holds.
 #[derive(Clone, Debug)]
 pub(super) struct Holding {
     pub(super) candidacy: Candidacy,
-    /// A newer token that is being collected while the present one still counts.
+    /// Candidacy under a newer token, which collects grants while the lease of the current token is still in force.
     pub(super) next_candidacy: Option<Candidacy>,
     pub(super) since: Timestamp,
+    /// The hand-over of the role, if it has started.
     pub(super) ending: Option<Ending>,
 }
 
-/// A hand-over that waits until the work under the role has stopped.
+/// A hand-over that waits until all work under the role has stopped.
 #[derive(Clone, Debug)]
 pub(super) struct Ending {
     pub(super) reason: EndReason,
@@ -45,27 +48,29 @@
         Holding { candidacy, next_candidacy: None, since, ending: None }
     }
 
-    /// The one to renew: once a newer token was asked for, the old one is not granted any more.
-    pub(super) fn newest(&self) -> &Candidacy {
+    /// Returns the candidacy to renew. Once a newer token has been requested, voters no longer grant the old token.
+    pub(super) fn newest_candidacy(&self) -> &Candidacy {
         self.next_candidacy.as_ref().unwrap_or(&self.candidacy)
     }
 
-    pub(super) fn with_token(&mut self, token: u64) -> Option<&mut Candidacy> {
-        let mut both = std::iter::once(&mut self.candidacy).chain(&mut self.next_candidacy);
-        both.find(|candidacy| candidacy.token == token)
+    /// Returns the current or the next candidacy if it has this token.
+    pub(super) fn candidacy_with_token(&mut self, token: u64) -> Option<&mut Candidacy> {
+        let mut candidacies = std::iter::once(&mut self.candidacy).chain(&mut self.next_candidacy);
+        candidacies.find(|candidacy| candidacy.token == token)
     }
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RoleState {
     pub(super) phase: Phase,
+    /// Lease with the highest token that a voter has listed. It may have expired.
     pub(super) listed_lease: Option<ListedLease>,
-    /// Since when nobody is known to hold it.
+    /// Since when no gateway is known to hold the role.
     pub(super) vacant_since: Option<Timestamp>,
-    /// The highest token heard of.
+    /// Highest fencing token of the role that this gateway has received or used.
     pub(super) highest_token: u64,
-    /// It was handed over to this gateway, which asks for it at once, again and again until then.
-    pub(super) eager_until: Timestamp,
+    /// End of the time in which this gateway requests a role that was handed over to it without waiting for its turn.
+    pub(super) handed_over_until: Timestamp,
     pub(super) last_end: Option<LastEnd>,
 }
 
@@ -76,17 +81,17 @@
             listed_lease: None,
             vacant_since: None,
             highest_token: 0,
-            eager_until: Timestamp::default(),
+            handed_over_until: Timestamp::default(),
             last_end: None,
         }
     }
 
-    /// Starts to ask for it, under a token above all that it heard of.
-    pub(super) fn campaign(&mut self, now: Timestamp) {
+    /// Starts a campaign under a token above the highest known token.
+    pub(super) fn start_campaign(&mut self, now: Timestamp) {
         self.phase = Phase::Campaigning(Campaign {
             candidacy: Candidacy::new(self.highest_token + 1),
             since: now,
-            refused_by: BTreeSet::new(),
+            refusing_voters: BTreeSet::new(),
         });
     }
 
--- a/crates/leases/src/manager/rounds.rs
+++ b/crates/leases/src/manager/rounds.rs
@@ -1,4 +1,5 @@
-//! Requests to voters: new leases and renewals, numbered so that answers count from when they were requested.
+//! Rounds of requests to voters for new leases and renewals. Rounds are numbered so that a grant counts from the time
+//! of its request.
 
 use super::LeaseManager;
 use super::output::Output;
@@ -8,43 +9,46 @@
 use larchfall_policy::time::Timestamp;
 use serde::Serialize;
 
-/// Rounds whose answers count; answers to older ones are ignored.
+/// Number of recent rounds whose votes are counted. Votes for older rounds are ignored.
 const MAX_ROUNDS: usize = 32;
-/// A gateway that heard no voter for this part of a lease asks for nothing: it may still be heard itself, and would keep
-/// from others what it does not know to be its own.
-const MAX_SILENCE_LEASE_FRACTION: f64 = 0.75;
+/// Time without an answer from any other voter, as a fraction of the lease length, after which a gateway requests no
+/// leases. Voters may still receive its requests, and would grant leases that the gateway never learns of and no other
+/// gateway can acquire.
+const MAX_VOTER_SILENCE_LEASE_FRACTION: f64 = 0.75;
 
-/// A request that was sent to all voters.
+/// A round of requests that was sent to all voters.
 #[derive(Clone, Copy)]
 pub(super) struct Round {
     pub(super) number: u32,
     pub(super) requested_at: Timestamp,
-    /// The terms in force then.
+    /// Lease terms in force when the requests were sent.
     pub(super) terms: LeaseTerms,
 }
 
 impl LeaseManager {
+    /// Returns whether another gateway's voter has answered recently enough for this gateway to request leases.
     pub(super) fn hears_voters(&self, now: Timestamp) -> bool {
-        now.since(self.voters_heard_at) < self.terms().length * MAX_SILENCE_LEASE_FRACTION
+        now.since(self.voter_answered_at) < self.terms().length * MAX_VOTER_SILENCE_LEASE_FRACTION
     }
 
     pub(super) fn round(&self, number: u32) -> Option<Round> {
         self.rounds.iter().find(|round| round.number == number).copied()
     }
 
-    /// Asks all voters for the leases of these roles, where this gateway wants or holds them.
+    /// Starts a round that requests the leases of these roles from all voters. Roles that this gateway neither
+    /// campaigns for nor holds, and roles whose hand-over has started, are skipped.
     pub(super) fn request_leases(&mut self, roles: &[String], now: Timestamp, output: &mut Output) {
         let length_us = self.terms().length.micros();
-        let request = |role: &String| {
+        let to_request = |role: &String| {
             let token = match &self.roles.get(role)?.phase {
                 Phase::Watching { .. } => return None,
                 Phase::Holding(holding) if holding.ending.is_some() => return None,
                 Phase::Campaigning(campaign) => campaign.candidacy.token,
-                Phase::Holding(holding) => holding.newest().token,
+                Phase::Holding(holding) => holding.newest_candidacy().token,
             };
             Some(LeaseRequest { role: role.clone(), token, length_us })
         };
-        let requests: Vec<LeaseRequest> = roles.iter().filter_map(request).collect();
+        let requests: Vec<LeaseRequest> = roles.iter().filter_map(to_request).collect();
         if requests.is_empty() {
             return;
         }
@@ -57,7 +61,7 @@
         self.send_to_voters(requests, |requests| Payload::RequestLeases { round, requests }, output);
     }
 
-    /// Sends a list to all voters, in as many pages as it needs.
+    /// Sends a list of entries to all voters, split into as many messages as the datagram size requires.
     pub(super) fn send_to_voters<T: Serialize + Clone>(
         &self,
         entries: Vec<T>,
@@ -65,7 +69,7 @@
         output: &mut Output,
     ) {
         let empty = Datagram::new(&self.settings.cluster, &self.me, payload(Vec::new()));
-        // Each entry's answer is a little larger.
+        // Pages use two thirds of a datagram, since the answer to an entry is a little larger than the entry.
         for page in paginate(entries, empty.remaining_bytes() * 2 / 3) {
             for voter in self.settings.voters.all() {
                 output.send(voter, payload(page.clone()));
