--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -237,7 +237,8 @@
     load_sharing: Option<LoadSharingSettings>,
     quotas: Option<QuotaConfig>,
 ) -> BTreeSet<String> {
-    let health_check_roles = (0..load_sharing.map_or(0, |settings| settings.role_count)).map(health_check_role);
+    let health_check_roles =
+        (0..load_sharing.map_or(0, |settings| settings.role_count)).map(health_check_role);
     let allocator_roles = (0..quotas.map_or(0, |quotas| quotas.allocators)).map(quota_allocator_role);
     health_check_roles.chain(allocator_roles).collect()
 }
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -114,7 +114,11 @@
         ended_retention: table.duration(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
         table_exchange_interval: table.duration(&raw.table_ms, "table-ms", 100, 600_000)?,
         max_members: table.count(&raw.most, "most", 2, 65_536)?,
-        allowed_networks: raw.networks.iter().map(|value| parse_network(table, value)).collect::<Result<_, _>>()?,
+        allowed_networks: raw
+            .networks
+            .iter()
+            .map(|value| parse_network(table, value))
+            .collect::<Result<_, _>>()?,
         seeds: raw.seeds.iter().map(|seed| parse_address(table, seed, "seeds")).collect::<Result<_, _>>()?,
     })
 }
--- a/crates/operator-config/tests/operator_file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -44,7 +44,8 @@
     assert!(parse(MINIMAL_FRONTS, &names()).unwrap().leases.is_none());
     let minimal = parse(MINIMAL_FRONTS, &names()).unwrap().membership.unwrap();
     assert!(
-        minimal.fleet_size.is_none() && membership.fleet_size.is_some_and(|fleet_size| fleet_size.min_gateways == 3)
+        minimal.fleet_size.is_none()
+            && membership.fleet_size.is_some_and(|fleet_size| fleet_size.min_gateways == 3)
     );
     assert_eq!(
         (minimal.settings.probe_interval, minimal.settings.max_members),
