--- a/crates/quotas/src/allocator.rs
+++ b/crates/quotas/src/allocator.rs
@@ -1,11 +1,11 @@
-//! The allocator's side of one capacity.
+//! Allocates quotas of one capacity to gateways.
 //!
-//! A quota that it handed out counts until its end by the allocator's own clock, from after it answered; a gateway without
-//! one counts with its reserved fraction. An allocator that just began may know nothing of what the one before it handed
-//! out, so it waits as long as any quota lasts. Both times include the window in which use still weighs on the capacity.
+//! A grant counts as in use for the quota lifetime plus the usage window, measured on the allocator's clock from the time
+//! of the answer. A gateway without a quota counts with its reserved fraction. A new allocator doesn't know the grants of
+//! its predecessor, so it grants nothing for one quota lifetime plus the usage window.
 //!
-//! Hundreds of gateways ask several times within a quota's length, for each of many capacities: the fill level is computed
-//! a few times in that, over all of them, and an answer looks only at its own gateway.
+//! Hundreds of gateways request quotas of many capacities several times in each quota lifetime. The fill level over all
+//! gateways is therefore computed only a few times in each lifetime; an answer looks only at the requesting gateway.
 
 use crate::QuotaTerms;
 use crate::fairness::{Fairness, jain_index, max_to_min_ratio};
@@ -13,13 +13,14 @@
 use larchfall_policy::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// A quota grows to so many times itself at once, and by the reserved fraction; it shrinks at once.
-const MAX_GROWTH: f64 = 4.0;
-/// Divisions anew within a quota's length.
-const DIVISIONS_PER_LIFETIME: f64 = 20.0;
-/// Sums of fractions may be off by as much.
+/// Limits the growth of a quota from one answer to the next: at most this multiple of the fraction in use, plus the
+/// reserved fraction. A quota may shrink by any amount.
+const MAX_GROWTH_FACTOR: f64 = 4.0;
+/// How often the fill level is computed in one quota lifetime.
+const FILL_LEVEL_UPDATES_PER_LIFETIME: f64 = 20.0;
+/// Tolerance for rounding errors in sums of fractions.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// Bound of a weight that a gateway may claim.
+/// Maximum weight that a gateway can claim; greater weights are reduced to it.
 const MAX_WEIGHT: f64 = 1e9;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,153 +29,161 @@
     expires_at: Timestamp,
 }
 
-/// What one gateway claims and has.
+/// The claim and the grants of one gateway.
 #[derive(Clone, Debug, PartialEq)]
 struct Allocation {
     claim: Claim,
-    /// What it last was granted.
+    /// The fraction that was granted last.
     fraction: f64,
-    /// Grants that may still be in use: the largest of them counts.
+    /// Grants that may still be in use; the largest of them counts.
     grants: Vec<Grant>,
 }
 
 impl Allocation {
-    /// What may be in use of it: at least the reserved fraction.
-    fn in_use(&self) -> f64 {
+    /// Largest fraction that the gateway may be using: at least the reserved fraction.
+    fn max_in_use(&self) -> f64 {
         self.grants.iter().map(|grant| grant.fraction).fold(self.claim.floor, f64::max)
     }
 
-    fn drop_expired(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         self.grants.retain(|grant| now < grant.expires_at);
     }
 }
 
-/// Hands out quotas of one capacity.
+/// Allocates quotas of one capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allocator {
     terms: QuotaTerms,
-    begins_at: Timestamp,
-    /// When it last answered or began.
-    last_answer: Timestamp,
+    /// Start of granting: from then on no grant of a predecessor is in use.
+    first_grant_at: Timestamp,
+    /// Time of the last grant, or of the creation of the allocator if there is no grant yet.
+    last_grant_at: Timestamp,
     allocations: BTreeMap<String, Allocation>,
-    /// What may be in use of all allocations; never less than is so.
-    allocated: f64,
-    level: FillLevel,
-    next_division: Timestamp,
+    /// Sum of the fractions that may be in use under `allocations`. Expired grants of other gateways stay included
+    /// until the next computation of the fill level, so the sum is never too small.
+    allocated_in_use: f64,
+    fill_level: FillLevel,
+    next_fill_level_update: Timestamp,
 }
 
-/// Bounds what a gateway says of itself.
-fn bounded(claimed: f64, max: f64) -> f64 {
+/// Clamps a claimed value to `0.0..=max`; a value that isn't finite becomes 0.
+fn clamp_claimed(claimed: f64, max: f64) -> f64 {
     if claimed.is_finite() { claimed.clamp(0.0, max) } else { 0.0 }
 }
 
 impl Allocator {
-    /// Its role was acquired at `now`.
+    /// Creates the allocator of a gateway that acquired the allocator's leased role at `now`.
     pub fn new(terms: QuotaTerms, now: Timestamp) -> Allocator {
         Allocator {
             terms,
-            begins_at: now + terms.lifetime + terms.usage_window,
-            last_answer: now,
+            first_grant_at: now + terms.lifetime + terms.usage_window,
+            last_grant_at: now,
             allocations: BTreeMap::new(),
-            allocated: 0.0,
-            level: FillLevel::default(),
-            next_division: now,
+            allocated_in_use: 0.0,
+            fill_level: FillLevel::default(),
+            next_fill_level_update: now,
         }
     }
 
-    /// Drops what expired, and computes the fill level anew.
-    fn divide(&mut self, now: Timestamp) {
-        self.next_division = now + self.terms.lifetime * (1.0 / DIVISIONS_PER_LIFETIME);
+    /// Removes expired grants and computes the fill level of the remaining claims.
+    fn remove_expired_and_update_fill_level(&mut self, now: Timestamp) {
+        self.next_fill_level_update = now + self.terms.lifetime * (1.0 / FILL_LEVEL_UPDATES_PER_LIFETIME);
         for allocation in self.allocations.values_mut() {
-            allocation.drop_expired(now);
+            allocation.remove_expired(now);
         }
         self.allocations.retain(|_, allocation| !allocation.grants.is_empty());
-        self.allocated = self.allocations.values().map(Allocation::in_use).sum();
-        self.update_level();
+        self.allocated_in_use = self.allocations.values().map(Allocation::max_in_use).sum();
+        self.update_fill_level();
     }
 
-    fn update_level(&mut self) {
+    fn update_fill_level(&mut self) {
         let claims = self.allocations.values().map(|allocation| &allocation.claim);
-        self.level = fill_level(1.0 - self.reserved(), claims);
+        self.fill_level = fill_level(1.0 - self.total_reserved(), claims);
     }
 
-    /// What gateways without a quota use, seen or unseen.
-    fn reserved(&self) -> f64 {
+    /// Sum of the reserved fractions of all gateways without a quota, whether or not they have sent a request.
+    fn total_reserved(&self) -> f64 {
         let without_quota = self.terms.max_gateways.saturating_sub(self.allocations.len());
         self.terms.reserved_fraction() * without_quota as f64
     }
 
-    /// A gateway claims a quota, with a weight and with what it can use of the whole; returns its quota from now on, if any.
+    /// Answers a request for a quota: `weight` is the gateway's weight in the division and `demand` the largest fraction
+    /// that it can use. Returns the granted fraction; `None` before granting starts, and
+    /// when `max_gateways` other gateways have quotas.
     ///
     /// # Panics
     ///
-    /// Where more than the whole could be in use, which is checked at each answer.
+    /// Panics if more than the whole capacity could be in use after the grant.
     pub fn allocate(&mut self, gateway: &str, weight: f64, demand: f64, now: Timestamp) -> Option<f64> {
-        if now < self.begins_at {
+        if now < self.first_grant_at {
             return None;
         }
         let floor = self.terms.reserved_fraction();
-        let claim = Claim { weight: bounded(weight, MAX_WEIGHT), demand: bounded(demand, 1.0), floor };
-        if now >= self.next_division {
-            self.divide(now);
+        let claim =
+            Claim { weight: clamp_claimed(weight, MAX_WEIGHT), demand: clamp_claimed(demand, 1.0), floor };
+        if now >= self.next_fill_level_update {
+            self.remove_expired_and_update_fill_level(now);
         }
         if !self.allocations.contains_key(gateway) {
             if self.allocations.len() >= self.terms.max_gateways {
                 return None;
             }
-            // What was reserved for it counts as its own from now on.
+            // From now on the gateway's reserved fraction counts under its allocation.
             let allocation = Allocation { claim, fraction: floor, grants: Vec::new() };
             self.allocations.insert(gateway.to_owned(), allocation);
-            self.allocated += floor;
-            self.update_level();
+            self.allocated_in_use += floor;
+            self.update_fill_level();
         }
-        let reserved = self.reserved();
+        let reserved = self.total_reserved();
         let allocation = self.allocations.get_mut(gateway)?;
-        let in_use_before = allocation.in_use();
+        let in_use_before = allocation.max_in_use();
         allocation.claim = claim;
-        allocation.drop_expired(now);
-        let in_use = allocation.in_use();
-        self.allocated += in_use - in_use_before;
-        let free = 1.0 - reserved - (self.allocated - in_use);
-        let largest = in_use * MAX_GROWTH + floor;
-        let fraction = self.level.share(&claim).min(free).min(largest).max(floor);
+        allocation.remove_expired(now);
+        let in_use = allocation.max_in_use();
+        self.allocated_in_use += in_use - in_use_before;
+        let free = 1.0 - reserved - (self.allocated_in_use - in_use);
+        let growth_limit = in_use * MAX_GROWTH_FACTOR + floor;
+        let fraction = self.fill_level.share(&claim).min(free).min(growth_limit).max(floor);
         let expires_at = now + self.terms.lifetime + self.terms.usage_window;
-        // Each length holds a few answers; of equal ones the latest stands for all.
+        // A gateway gets several grants in each lifetime. The new grant covers all earlier grants that aren't larger.
         allocation.grants.retain(|grant| grant.fraction > fraction + ROUNDING_TOLERANCE);
         allocation.grants.push(Grant { fraction, expires_at });
         allocation.fraction = fraction;
-        self.allocated += allocation.in_use() - in_use;
-        self.last_answer = now;
-        let (gateways, in_use) = (self.allocations.len(), self.in_use());
-        assert!(in_use <= 1.0 + ROUNDING_TOLERANCE, "quotas of {gateways} gateways add up to {in_use}");
+        self.allocated_in_use += allocation.max_in_use() - in_use;
+        self.last_grant_at = now;
+        let (gateways, in_use) = (self.allocations.len(), self.fraction_in_use());
+        assert!(
+            in_use <= 1.0 + ROUNDING_TOLERANCE,
+            "quotas of {gateways} gateways add up to {in_use} of the capacity, more than 1"
+        );
         Some(fraction)
     }
 
-    /// The most that may be in use, as a fraction of the whole.
-    pub fn in_use(&self) -> f64 {
-        self.allocated + self.reserved()
+    /// Upper bound of the use of all gateways, as a fraction of the whole capacity.
+    pub fn fraction_in_use(&self) -> f64 {
+        self.allocated_in_use + self.total_reserved()
     }
 
-    /// How fairly it is divided now.
+    /// Fairness of the last grants, measured by the granted fraction per weight.
     pub fn fairness(&self) -> Fairness {
-        let satisfaction =
+        let fraction_per_weight =
             |allocation: &Allocation| allocation.fraction / allocation.claim.weight.max(ROUNDING_TOLERANCE);
-        let satisfactions = || self.allocations.values().map(satisfaction);
+        let fractions_per_weight = || self.allocations.values().map(fraction_per_weight);
         Fairness {
             gateways: self.allocations.len(),
-            in_use: self.in_use(),
-            jain_index: jain_index(satisfactions()),
-            max_to_min_ratio: max_to_min_ratio(satisfactions()),
+            in_use: self.fraction_in_use(),
+            jain_index: jain_index(fractions_per_weight()),
+            max_to_min_ratio: max_to_min_ratio(fractions_per_weight()),
         }
     }
 
-    /// Gateways that have a quota.
+    /// Number of gateways that have a quota.
     pub fn gateways(&self) -> usize {
         self.allocations.len()
     }
 
-    /// Whether nothing that it handed out can be in use, and it began long ago.
+    /// Whether all grants have ended, and at least a quota lifetime plus the usage window has passed since creation.
     pub fn is_idle(&self, now: Timestamp) -> bool {
-        self.last_answer + self.terms.lifetime + self.terms.usage_window <= now
+        self.last_grant_at + self.terms.lifetime + self.terms.usage_window <= now
     }
 }
--- a/crates/quotas/src/capacity.rs
+++ b/crates/quotas/src/capacity.rs
@@ -1,29 +1,30 @@
-//! What is divided among gateways. Each capacity has a key: messages name it by that, and capacities are divided among
-//! allocators by a hash of it.
+//! Capacities that are divided among gateways. Each capacity has a key, which identifies the capacity in messages. A hash
+//! of the key selects the allocator of the capacity.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A capacity that gateways share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Capacity {
-    /// What an engine can bear in slow start, by its id. More than that, of all gateways together, overloads it.
+    /// The load that an engine can take in slow start, by engine id. The engine is overloaded if the gateways together
+    /// send more.
     SlowStart(u32),
-    /// Threads of an engine, by its id. Concurrency limits catch what is beyond them.
+    /// Threads of an engine, by engine id. Concurrency limits protect the engine when gateways use more threads.
     Threads(u32),
-    /// A tenant's quota, by a hash of its name: settings may list tenants in any order.
+    /// A tenant's quota, by a hash of the tenant's name: the order of tenants in the settings may differ among gateways.
     Tenant(u32),
 }
 
-/// The kind stands above so many bits of id.
+/// Number of low bits of a key that hold the id; the bits above hold the kind of the capacity.
 const ID_BITS: u32 = 32;
 
 impl Capacity {
-    /// The capacity of a tenant.
+    /// The capacity of the tenant with this name.
     pub fn tenant(name: &str) -> Capacity {
         Capacity::Tenant(xxh3_64(name.as_bytes()) as u32)
     }
 
-    /// Its key.
+    /// The key of the capacity on the wire: kind in the upper and id in the lower 32 bits.
     pub fn key(self) -> u64 {
         let (kind, id) = match self {
             Capacity::SlowStart(id) => (0, id),
@@ -33,7 +34,7 @@
         kind << ID_BITS | u64::from(id)
     }
 
-    /// `None` for kinds of a later version.
+    /// The capacity with this key; `None` if the kind is unknown, for example from a later version.
     pub fn from_key(key: u64) -> Option<Capacity> {
         let id = key as u32;
         match key >> ID_BITS {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Whether more than the whole of it must never be used.
+    /// Whether the gateways together must never use more than the whole capacity.
     pub fn is_strict(self) -> bool {
         matches!(self, Capacity::SlowStart(_))
     }
--- a/crates/quotas/src/fairness.rs
+++ b/crates/quotas/src/fairness.rs
@@ -1,20 +1,22 @@
-//! Measures of how fair a division is.
+//! Fairness measures for the division of a capacity among gateways.
 
-/// How fairly a capacity is divided.
+/// Fairness of the current division of a capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fairness {
-    /// Gateways that have a quota.
+    /// Number of gateways that have a quota.
     pub gateways: usize,
-    /// The fraction of the whole that may be in use, reserved fractions among it.
+    /// Fraction of the whole capacity that may be in use, including reserved fractions.
     pub in_use: f64,
-    /// Jain's index over gateways, of what each has for what it wants.
+    /// Jain's fairness index of the gateways' granted fractions per weight: 1 is the fairest.
     pub jain_index: f64,
-    /// How much better off a request is at the best gateway than at the worst; `None` where the worst has nothing.
+    /// Ratio of the largest to the smallest granted fraction per weight; `None` if the smallest is 0 or there are no
+    /// gateways.
     pub max_to_min_ratio: Option<f64>,
 }
 
-/// Jain's index of what each got for what it deserved (Jain, Chiu, Hawe: "A Quantitative Measure of Fairness and
-/// Discrimination", 1984): 1 where all got the same fraction of it, 1 by their number where a single one got all.
+/// Jain's fairness index (Jain, Chiu, Hawe: "A Quantitative Measure of Fairness and Discrimination", 1984) of allocations
+/// relative to their claims. The index is 1 if all values are equal or there are none, and 1/n if one of n values is
+/// positive and the others are 0.
 pub fn jain_index(fractions: impl Iterator<Item = f64>) -> f64 {
     let mut count = 0.0;
     let mut sum = 0.0;
@@ -27,13 +29,13 @@
     if squares > 0.0 { sum * sum / (count * squares) } else { 1.0 }
 }
 
-/// The largest fraction by the smallest; `None` where the smallest is nothing.
+/// Ratio of the largest to the smallest value; `None` if the smallest is 0 or there are no values.
 pub fn max_to_min_ratio(fractions: impl Iterator<Item = f64>) -> Option<f64> {
-    let mut least = f64::MAX;
-    let mut most = 0.0_f64;
+    let mut min = f64::MAX;
+    let mut max = 0.0_f64;
     for fraction in fractions {
-        least = least.min(fraction);
-        most = most.max(fraction);
+        min = min.min(fraction);
+        max = max.max(fraction);
     }
-    (least > 0.0 && least <= most).then(|| most / least)
+    (min > 0.0 && min <= max).then(|| max / min)
 }
--- a/crates/quotas/src/lib.rs
+++ b/crates/quotas/src/lib.rs
@@ -1,8 +1,9 @@
-//! Quotas: capacities that several gateways use, divided among them.
+//! Quotas: division of shared capacities among gateways.
 //!
-//! One gateway allocates a capacity and hands out quotas for a time; a gateway without one uses a default fraction. What is
-//! used of a strict capacity never adds up to more than the whole, whoever is cut off, dies or stalls; of any other, to no
-//! more than half beyond it. The crate does no I/O.
+//! For each capacity, one gateway is the quota allocator and grants quotas for a limited time. A gateway without a granted
+//! quota uses a default fraction. Gateways never use more than the whole of a strict capacity together, even while
+//! gateways are partitioned, crash or stall; of any other capacity they use at most 1.5 times the whole. The crate does
+//! no I/O.
 
 #![deny(missing_docs)]
 
@@ -17,55 +18,56 @@
 use larchfall_policy::time::Duration;
 use serde::{Deserialize, Serialize};
 
-/// What holds for one kind of capacity, the same at all gateways of a fleet.
+/// Terms of the quotas of one kind of capacity. All gateways of a fleet must use the same terms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTerms {
-    /// There are never more gateways than this, whether or not they are seen.
+    /// Maximum number of gateways in the fleet, including gateways that the allocator doesn't know.
     pub max_gateways: usize,
-    /// How long a quota lasts, from before it was requested and less the margin.
+    /// Lifetime of a quota, counted from the time of the request and before the drift margin is subtracted.
     pub lifetime: Duration,
-    /// Largest difference in speed between two clocks of the fleet, in thousandths.
+    /// Maximum difference in rate between two clocks of the fleet, in thousandths.
     pub drift_margin_per_mille: u32,
-    /// How long use counts after it ended: the capacity is what is borne within any such time.
+    /// Time for which past use still counts, because the capacity limits the use within any interval of this length.
     pub usage_window: Duration,
-    /// Whether more than the whole may never be used.
+    /// Whether the gateways together must never use more than the whole capacity.
     pub strict: bool,
 }
 
 impl QuotaTerms {
-    /// The fraction that is reserved for each gateway without a quota: half of an equal part, so that no more than half of
-    /// the whole is ever reserved.
+    /// The fraction that is reserved for each gateway without a quota: half of an equal share, so that at most half of the
+    /// whole capacity is ever reserved.
     pub fn reserved_fraction(&self) -> f64 {
         0.5 / self.max_gateways.max(1) as f64
     }
 
-    /// The fraction that a gateway uses while it has no quota: what is reserved for it where more than the whole does harm,
-    /// else an equal part, so that all is as without allocators when there are none. All gateways without a quota then use
-    /// half of their equal parts more than is reserved: at most half of the whole beyond it.
+    /// The fraction that a gateway uses while it has no granted quota. Of a strict capacity this is the reserved fraction,
+    /// because using more than the whole would do harm. Of any other capacity this is an equal share, so that without
+    /// allocators the capacity is divided equally. Gateways without a quota then use twice their reserved fraction, so all
+    /// gateways together use at most half of the whole more than the whole.
     pub fn default_fraction(&self) -> f64 {
         if self.strict { self.reserved_fraction() } else { 2.0 * self.reserved_fraction() }
     }
 
-    /// The part of a quota's length that a gateway may rely on.
+    /// The part of a quota's lifetime that a gateway may use: the lifetime less the drift margin.
     pub fn usable_lifetime(&self) -> Duration {
         self.lifetime * (f64::from(1000_u32.saturating_sub(self.drift_margin_per_mille)) / 1000.0)
     }
 }
 
-/// How much a gateway wants of a capacity. Encoded by position.
+/// A gateway's demand for one capacity in a request. Encoded by position.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaDemand {
-    /// The capacity's key.
+    /// Key of the capacity, see [`capacity::Capacity::key`].
     pub capacity: u64,
-    /// The gateway's weight in the division.
+    /// The gateway's weight in the division of the capacity; quotas are proportional to weights.
     pub weight: f32,
 }
 
-/// The quota that an allocator hands out of a capacity. Encoded by position.
+/// The quota of one capacity that an allocator grants. Encoded by position.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// The capacity's key.
+    /// Key of the capacity, see [`capacity::Capacity::key`].
     pub capacity: u64,
-    /// Fraction of the capacity, in 0..=1.
+    /// Granted fraction of the whole capacity, in 0..=1.
     pub fraction: f64,
 }
--- a/crates/quotas/src/manager.rs
+++ b/crates/quotas/src/manager.rs
@@ -1,5 +1,5 @@
-//! One gateway's quotas of all capacities that are handed out, and its part as the allocator of some: whom it asks and
-//! when, what it answers, and what fraction of each it may use.
+//! Quota manager of one gateway: sends requests for quotas to the allocators, keeps the granted quotas, and answers the
+//! requests for capacities of which this gateway is the allocator.
 
 use crate::allocator::Allocator;
 use crate::capacity::Capacity;
@@ -10,23 +10,23 @@
 use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests within a quota's length.
+/// Number of requests for each quota in one quota lifetime.
 const REQUESTS_PER_LIFETIME: f64 = 4.0;
-/// Rounds whose answers count; answers to older ones are ignored.
+/// Number of latest request rounds whose answers are accepted; answers to earlier rounds are ignored.
 const MAX_ROUNDS: usize = 16;
-/// Gateways ask for any part of the whole: their weights decide.
+/// Demand of each gateway as a fraction of the whole. Only the weights of the gateways determine the division.
 const FULL_DEMAND: f64 = 1.0;
 
-/// Settings of one gateway, from the operator's file.
+/// Quota settings from the operator's configuration file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// Terms of strict capacities.
+    /// Terms for strict capacities.
     pub strict: QuotaTerms,
-    /// Terms of all others.
+    /// Terms for all other capacities.
     pub soft: QuotaTerms,
-    /// Allocator roles that the capacities are divided among.
+    /// Number of leased allocator roles among which the capacities are divided.
     pub allocators: usize,
-    /// Of capacities beyond this many a gateway has its default fraction only.
+    /// Maximum number of capacities with quotas; further capacities are used with the default fraction.
     pub max_capacities: usize,
 }
 
@@ -40,40 +40,40 @@
 /// A request to one allocator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaRequest {
-    /// Index of the allocator's role.
+    /// Index of the allocator's leased role.
     pub allocator: usize,
-    /// Number of the request, for its answers.
+    /// Number of the request round; the answer repeats it.
     pub round: u32,
-    /// One entry for each of its capacities.
+    /// One demand for each capacity of this allocator.
     pub demands: Vec<QuotaDemand>,
 }
 
-/// The terms that go with a request: an allocator answers only under its own.
+/// The terms that a request carries. An allocator grants quotas only if the terms equal its own.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestTerms {
-    /// Gateways that there are at most.
+    /// Maximum number of gateways in the fleet.
     pub max_gateways: usize,
-    /// How long quotas last.
+    /// Lifetime of a quota, before the drift margin is subtracted.
     pub lifetime: Duration,
 }
 
-/// What a gateway may use of one capacity now.
+/// The part of one capacity that a gateway may use now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaStatus {
-    /// The capacity's key.
+    /// Key of the capacity, see [`Capacity::key`].
     pub capacity: u64,
-    /// Fraction of the capacity.
+    /// Fraction of the whole capacity, in 0..=1.
     pub fraction: f64,
-    /// Whether it was granted; else it is the default fraction.
+    /// Whether an allocator granted the fraction; otherwise it is the default fraction.
     pub granted: bool,
 }
 
-/// What this gateway hands out of one capacity now.
+/// State of a capacity of which this gateway is the allocator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllocationStatus {
-    /// The capacity's key.
+    /// Key of the capacity, see [`Capacity::key`].
     pub capacity: u64,
-    /// How fairly it is divided.
+    /// Fairness of the current division.
     pub fairness: Fairness,
 }
 
@@ -83,19 +83,19 @@
     requested_at: Timestamp,
 }
 
-/// An allocator of one holding of its role.
-struct Allocating {
+/// An allocator and the fencing token of the lease under which it grants.
+struct ActiveAllocator {
     token: u64,
     allocator: Allocator,
 }
 
-/// One gateway's quotas.
+/// Holds the quotas of one gateway, and the allocators that run on the gateway.
 pub struct QuotaManager {
     settings: QuotaSettings,
-    /// By key.
-    held: BTreeMap<u64, HeldQuota>,
-    /// By key.
-    allocators: BTreeMap<u64, Allocating>,
+    /// By key of the capacity.
+    held_quotas: BTreeMap<u64, HeldQuota>,
+    /// By key of the capacity.
+    allocators: BTreeMap<u64, ActiveAllocator>,
     rounds: VecDeque<Round>,
     last_round: u32,
     next_request: Timestamp,
@@ -103,11 +103,11 @@
 }
 
 impl QuotaManager {
-    /// The first requests are due at once.
+    /// Creates a manager whose first requests are due at `now`.
     pub fn new(settings: QuotaSettings, now: Timestamp) -> QuotaManager {
         QuotaManager {
             settings,
-            held: BTreeMap::new(),
+            held_quotas: BTreeMap::new(),
             allocators: BTreeMap::new(),
             rounds: VecDeque::new(),
             last_round: 0,
@@ -116,29 +116,29 @@
         }
     }
 
-    /// The terms of this gateway's own requests.
+    /// The terms that this gateway's requests carry.
     pub fn request_terms(&self) -> RequestTerms {
         let QuotaTerms { max_gateways, lifetime, .. } = self.settings.strict;
         RequestTerms { max_gateways, lifetime }
     }
 
-    /// Allocator roles that the capacities are divided among.
+    /// Number of leased allocator roles among which the capacities are divided.
     pub fn allocators(&self) -> usize {
         self.settings.allocators
     }
 
-    /// When the next requests are due.
+    /// Time when the next requests are due.
     pub fn next_request(&self) -> Timestamp {
         self.next_request
     }
 
-    /// The requests to allocators, where they are due: `arrivals` is all that came to this gateway so far, `wanted` what it
-    /// wants by its demand, `allocator_of` the index of a capacity's allocator by its key. Capacities that are not wanted
-    /// any more are forgotten.
+    /// Returns the requests to the allocators if they are due, else nothing. `arrivals` counts all requests that arrived at
+    /// this gateway so far, `demands` derives the wanted capacities from the demand, and `allocator_of` maps the key of a
+    /// capacity to the index of its allocator. Removes quotas of capacities that are no longer wanted.
     pub fn due_requests(
         &mut self,
         arrivals: impl FnOnce() -> Arrivals,
-        wanted: impl FnOnce(&Demand) -> Vec<CapacityDemand>,
+        demands: impl FnOnce(&Demand) -> Vec<CapacityDemand>,
         allocator_of: impl Fn(u64) -> usize,
         now: Timestamp,
     ) -> Vec<QuotaRequest> {
@@ -147,18 +147,17 @@
         }
         self.next_request = now + self.settings.strict.lifetime * (1.0 / REQUESTS_PER_LIFETIME);
         self.demand.observe(arrivals());
-        let wanted = wanted(&self.demand).into_iter().take(self.settings.max_capacities);
+        let demands = demands(&self.demand).into_iter().take(self.settings.max_capacities);
         let weights: BTreeMap<u64, f64> =
-            wanted.map(|wanted| (wanted.capacity.key(), wanted.weight)).collect();
-        self.held.retain(|capacity, _| weights.contains_key(capacity));
+            demands.map(|demand| (demand.capacity.key(), demand.weight)).collect();
+        self.held_quotas.retain(|capacity, _| weights.contains_key(capacity));
         for capacity in weights.keys() {
             let terms = self.settings.terms(*capacity);
-            self.held.entry(*capacity).or_insert_with(|| HeldQuota::new(terms));
+            self.held_quotas.entry(*capacity).or_insert_with(|| HeldQuota::new(terms));
         }
-        // What was handed out of a capacity that is not wanted here any more may be in use at others.
-        self.allocators.retain(|capacity, allocating| {
-            weights.contains_key(capacity) || !allocating.allocator.is_idle(now)
-        });
+        // Other gateways may still use granted quotas of a capacity that this gateway no longer wants.
+        self.allocators
+            .retain(|capacity, active| weights.contains_key(capacity) || !active.allocator.is_idle(now));
         let round = self.start_round(now);
         let mut by_allocator: BTreeMap<usize, Vec<QuotaDemand>> = BTreeMap::new();
         for (capacity, weight) in weights {
@@ -178,8 +177,9 @@
         self.last_round
     }
 
-    /// Answers a request as the allocator under this token. Nothing is granted of capacities whose allocator has not begun
-    /// yet, and nothing at all to a gateway with other terms: what it relies on would not be what is counted here.
+    /// Answers a request as the allocator that holds the lease with this fencing token. Grants no quota of a capacity
+    /// whose allocator is still waiting for grants of its predecessor to end. Grants nothing to a gateway with other terms,
+    /// because the gateway would use a quota longer or in another amount than this allocator accounts for.
     pub fn on_request(
         &mut self,
         token: u64,
@@ -200,54 +200,54 @@
         grants
     }
 
-    /// The allocator of a capacity under this token. Another token is another holding: what was handed out meanwhile is not
-    /// known here.
+    /// The allocator of a capacity under this fencing token; `None` if there are too many capacities. A new token means that
+    /// the lease was lost in between, so a new allocator starts that doesn't rely on the earlier grants.
     fn allocator(&mut self, token: u64, capacity: u64, now: Timestamp) -> Option<&mut Allocator> {
         let is_known = self.allocators.contains_key(&capacity);
         if !is_known && self.allocators.len() >= self.settings.max_capacities {
             return None;
         }
         let terms = self.settings.terms(capacity);
-        let new = || Allocating { token, allocator: Allocator::new(terms, now) };
-        let allocating = self.allocators.entry(capacity).or_insert_with(new);
-        if allocating.token != token {
-            *allocating = new();
+        let new_allocator = || ActiveAllocator { token, allocator: Allocator::new(terms, now) };
+        let active = self.allocators.entry(capacity).or_insert_with(new_allocator);
+        if active.token != token {
+            *active = new_allocator();
         }
-        Some(&mut allocating.allocator)
+        Some(&mut active.allocator)
     }
 
-    /// Takes an allocator's answer to the requests of a round; returns how many of its grants count.
+    /// Applies an allocator's answer to the requests of a round; returns the number of accepted grants.
     pub fn on_grants(&mut self, round: u32, token: u64, grants: &[QuotaGrant], now: Timestamp) -> usize {
-        let Some(round) = self.rounds.iter().find(|known| known.number == round).copied() else { return 0 };
+        let Some(round) = self.rounds.iter().find(|sent| sent.number == round).copied() else { return 0 };
         let mut accepted = 0;
         for grant in grants {
-            if let Some(held) = self.held.get_mut(&grant.capacity) {
-                accepted += usize::from(held.on_grant(grant.fraction, token, round.requested_at, now));
+            if let Some(quota) = self.held_quotas.get_mut(&grant.capacity) {
+                accepted += usize::from(quota.on_grant(grant.fraction, token, round.requested_at, now));
             }
         }
         accepted
     }
 
-    /// What this gateway may use of each capacity now.
+    /// The part of each capacity that this gateway may use now.
     pub fn quotas(&self, now: Timestamp) -> impl Iterator<Item = QuotaStatus> {
-        self.held.iter().map(move |(capacity, held)| QuotaStatus {
+        self.held_quotas.iter().map(move |(capacity, quota)| QuotaStatus {
             capacity: *capacity,
-            fraction: held.fraction(now),
-            granted: held.is_granted(now),
+            fraction: quota.fraction(now),
+            granted: quota.is_granted(now),
         })
     }
 
-    /// The fraction of a strict capacity that nobody has granted yet.
+    /// The fraction of a strict capacity that this gateway may use without a granted quota.
     pub fn strict_default_fraction(&self) -> f64 {
         self.settings.strict.default_fraction()
     }
 
-    /// What this gateway hands out now.
+    /// The capacities of which this gateway is the allocator and has granted quotas that may still be in use.
     pub fn allocations(&self, now: Timestamp) -> impl Iterator<Item = AllocationStatus> {
-        let busy = self.allocators.iter().filter(move |(_, allocating)| !allocating.allocator.is_idle(now));
-        busy.map(|(capacity, allocating)| AllocationStatus {
+        let in_use = self.allocators.iter().filter(move |(_, active)| !active.allocator.is_idle(now));
+        in_use.map(|(capacity, active)| AllocationStatus {
             capacity: *capacity,
-            fairness: allocating.allocator.fairness(),
+            fairness: active.allocator.fairness(),
         })
     }
 }
--- a/crates/quotas/src/max_min.rs
+++ b/crates/quotas/src/max_min.rs
@@ -1,73 +1,76 @@
-//! Weighted max-min fair division: each gets its demand or an equal multiple of its weight, whichever is less, and its
-//! floor at least (progressive filling: Bertsekas and Gallager, "Data Networks", 1992, section 6.5.2).
+//! Weighted max-min fair division by progressive filling (Bertsekas and Gallager, "Data Networks", 1992, section 6.5.2).
+//! Each claim gets the lesser of its demand and its weight times a common multiple, but at least its floor.
 
-/// One claim on the whole.
+/// A claim to a part of the whole.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
-    /// Without a weight above zero it gets its floor.
+    /// Weight in the division; a claim without a positive weight gets only its floor.
     pub weight: f64,
-    /// More than this is of no use to it.
+    /// Maximum share, unless the floor is greater.
     pub demand: f64,
-    /// It gets at least this, unless floors alone are more than the whole.
+    /// Minimum share, unless the sum of all floors exceeds the whole.
     pub floor: f64,
 }
 
-/// How far the whole goes. With it the share of each claim can be computed by itself.
+/// Result of progressive filling, from which the share of each claim can be computed without the other claims.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FillLevel {
-    /// The multiple of its weight that each may have.
+    /// The common multiple: each claim may get its weight times this value.
     multiple: f64,
-    /// What is left of each share where floors alone are more than the whole, else 1.
+    /// Factor that scales shares down if the sum of all floors exceeds the whole, else 1.
     scale: f64,
 }
 
 impl FillLevel {
-    /// The share of one claim.
+    /// The share of this claim.
     pub fn share(self, claim: &Claim) -> f64 {
         (claim.weight.max(0.0) * self.multiple).min(claim.demand).max(claim.floor) * self.scale
     }
 }
 
-/// Where the sum of all shares, as the level rises, begins or ends to grow with one of them.
+/// A multiple at which the slope of the sum of all shares changes: at `multiple`, one share starts to grow above its floor
+/// or stops growing at its demand.
 #[derive(Clone, Copy, Debug)]
-struct Bend {
-    level: f64,
+struct Breakpoint {
+    multiple: f64,
     slope_change: f64,
 }
 
-/// The level at which all shares together are the whole. Their sum grows with the level in straight lines, between bends
-/// at which one of them leaves its floor or reaches its demand: one walk along them, in their order.
+/// Computes the fill level at which the shares add up to the whole. The sum of the shares is a piecewise linear function of
+/// the common multiple, so the function visits the breakpoints in ascending order until the sum would exceed the whole.
 pub fn fill_level<'a>(whole: f64, claims: impl Iterator<Item = &'a Claim>) -> FillLevel {
     let mut sum = 0.0;
-    let mut bends = Vec::new();
+    let mut breakpoints = Vec::new();
     for claim in claims {
         sum += claim.floor;
         if claim.weight > 0.0 && claim.demand > claim.floor {
-            bends.push(Bend { level: claim.floor / claim.weight, slope_change: claim.weight });
-            bends.push(Bend { level: claim.demand / claim.weight, slope_change: -claim.weight });
+            breakpoints.push(Breakpoint { multiple: claim.floor / claim.weight, slope_change: claim.weight });
+            breakpoints
+                .push(Breakpoint { multiple: claim.demand / claim.weight, slope_change: -claim.weight });
         }
     }
     if sum >= whole {
         return FillLevel { multiple: 0.0, scale: if sum > 0.0 { whole.max(0.0) / sum } else { 1.0 } };
     }
-    bends.sort_by(|a, b| a.level.total_cmp(&b.level));
-    let mut level = 0.0;
+    breakpoints.sort_by(|a, b| a.multiple.total_cmp(&b.multiple));
+    let mut multiple = 0.0;
     let mut slope = 0.0;
-    for bend in bends {
-        let sum_at_bend = sum + slope * (bend.level - level);
-        if sum_at_bend > whole {
+    for breakpoint in breakpoints {
+        let next_sum = sum + slope * (breakpoint.multiple - multiple);
+        if next_sum > whole {
             break;
         }
-        sum = sum_at_bend;
-        level = bend.level;
-        slope += bend.slope_change;
+        sum = next_sum;
+        multiple = breakpoint.multiple;
+        slope += breakpoint.slope_change;
     }
-    // Weights that were added and taken away again leave a rounding error: that is no slope.
-    let rest = if slope > 1e-12 { (whole - sum) / slope } else { 0.0 };
-    FillLevel { multiple: level + rest, scale: 1.0 }
+    // Adding and subtracting weights leaves rounding errors, so a slope of at most 1e-12 counts as zero.
+    let remainder = if slope > 1e-12 { (whole - sum) / slope } else { 0.0 };
+    FillLevel { multiple: multiple + remainder, scale: 1.0 }
 }
 
-/// The shares of a whole, in the order of the claims. Where floors alone are more than the whole they are scaled down.
+/// Divides the whole and returns the shares in the order of the claims. If the sum of all floors exceeds the whole, each
+/// share is the scaled-down floor.
 pub fn divide(whole: f64, claims: &[Claim]) -> Vec<f64> {
     let level = fill_level(whole, claims.iter());
     claims.iter().map(|claim| level.share(claim)).collect()
--- a/crates/quotas/tests/division.rs
+++ b/crates/quotas/tests/division.rs
@@ -1,4 +1,4 @@
-//! Division, fairness, capacities and demand, as tables.
+//! Tests of max-min division, fairness measures, capacity keys and demand.
 
 use larchfall_policy::time::Duration;
 use larchfall_policy::types::{Engine, Idempotency, RequestClass};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn each_gets_its_demand_or_an_equal_multiple_of_its_weight() {
+fn shares_are_the_demand_or_a_common_multiple_of_the_weight() {
     let cases: [(f64, Vec<Claim>, &[f64]); 7] = [
         (1.0, vec![], &[]),
         (1.0, vec![claim(1.0, 9.0, 0.0), claim(1.0, 9.0, 0.0)], &[0.5, 0.5]),
@@ -23,25 +23,27 @@
         (1.0, vec![claim(1.0, 9.0, 1.0), claim(1.0, 9.0, 3.0)], &[0.25, 0.75]),
         (1.0, vec![claim(1.0, 0.1, 0.0), claim(2.0, 0.3, 0.0)], &[0.1, 0.3]),
     ];
-    for (whole, claims, shares) in cases {
-        let got = divide(whole, &claims);
-        let same = got.len() == shares.len() && got.iter().zip(shares).all(|(a, b)| (a - b).abs() < 1e-9);
-        assert!(same, "{claims:?}: {got:?}");
+    for (whole, claims, expected) in cases {
+        let shares = divide(whole, &claims);
+        let is_equal =
+            shares.len() == expected.len() && shares.iter().zip(expected).all(|(a, b)| (a - b).abs() < 1e-9);
+        assert!(is_equal, "claims {claims:?}: shares {shares:?}, expected {expected:?}");
     }
 }
 
 proptest! {
     #[test]
-    fn a_division_gives_out_the_whole_or_all_that_is_wanted_and_never_more(
+    fn shares_add_up_to_the_whole_or_to_the_total_demand(
         claims in proptest::collection::vec((0.0..10.0_f64, 0.0..1.0_f64, 0.0..0.02_f64), 1..40),
     ) {
         let claims: Vec<Claim> =
             claims.into_iter().map(|(weight, demand, floor)| claim(weight, demand, floor)).collect();
         let shares = divide(1.0, &claims);
         let sum: f64 = shares.iter().sum();
-        let useful: f64 = claims.iter().filter(|c| c.weight > 0.0).map(|c| c.demand.max(c.floor)).sum();
-        prop_assert!(sum <= 1.0 + 1e-9, "{}", sum);
-        prop_assert!(sum >= useful.min(1.0) - 1e-6, "{} of {}", sum, useful);
+        let total_demand: f64 =
+            claims.iter().filter(|claim| claim.weight > 0.0).map(|claim| claim.demand.max(claim.floor)).sum();
+        prop_assert!(sum <= 1.0 + 1e-9, "sum of shares is {}", sum);
+        prop_assert!(sum >= total_demand.min(1.0) - 1e-6, "sum {}, total demand {}", sum, total_demand);
         for (share, claim) in shares.iter().zip(&claims) {
             prop_assert!(*share >= claim.floor - 1e-9 && *share <= claim.demand.max(claim.floor) + 1e-9);
         }
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn capacities_come_back_from_their_keys() {
+fn capacities_are_decoded_from_their_keys() {
     for capacity in
         [Capacity::SlowStart(0), Capacity::Threads(u32::MAX), Capacity::Tenant(7), Capacity::tenant("acme")]
     {
@@ -59,9 +61,9 @@
     assert_ne!(Capacity::tenant("acme"), Capacity::tenant("arena"));
 }
 
-/// What came is counted whatever became of it, decays, and counts for an engine only by classes that may go there.
+/// Demand decays with each observation, and the demand for an engine includes only the request classes that it may serve.
 #[test]
-fn demand_is_what_came_recently_for_an_engine_and_a_tenant() {
+fn demand_counts_recent_arrivals_by_engine_and_tenant() {
     let class = |threads, kinds| RequestClass {
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(1000),
@@ -85,17 +87,17 @@
             arrivals.count(1, None);
         }
         demand.observe(arrivals.clone());
-        let of_kind = |kind| demand.engine_demand(&engine(kind), &classes);
+        let engine_demand = |kind| demand.engine_demand(&engine(kind), &classes);
         observed.push(
-            [of_kind(0), of_kind(1), demand.tenant_demand(0), demand.tenant_demand(1)]
-                .map(|w| (w * 100.0).round()),
+            [engine_demand(0), engine_demand(1), demand.tenant_demand(0), demand.tenant_demand(1)]
+                .map(|demand| (demand * 100.0).round()),
         );
     }
     assert_eq!(observed, [[2000., 6000., 5., 1000.], [1400., 4200., 5., 700.], [980., 2940., 5., 490.]]);
 }
 
 #[test]
-fn fairness_is_one_where_all_get_the_same_fraction_of_what_they_deserve() {
+fn fairness_index_is_one_for_equal_fractions() {
     let cases: [(&[f64], f64, Option<f64>); 5] = [
         (&[], 1.0, None),
         (&[0.3, 0.3, 0.3], 1.0, Some(1.0)),
@@ -103,8 +105,8 @@
         (&[3.0, 1.0], 0.8, Some(3.0)),
         (&[0.0, 0.0], 1.0, None),
     ];
-    for (fractions, jain, ratio) in cases {
-        assert!((jain_index(fractions.iter().copied()) - jain).abs() < 1e-9, "{fractions:?}");
-        assert_eq!(max_to_min_ratio(fractions.iter().copied()), ratio, "{fractions:?}");
+    for (fractions, expected_index, expected_ratio) in cases {
+        assert!((jain_index(fractions.iter().copied()) - expected_index).abs() < 1e-9, "{fractions:?}");
+        assert_eq!(max_to_min_ratio(fractions.iter().copied()), expected_ratio, "{fractions:?}");
     }
 }
