--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -62,7 +62,7 @@
     platform: Platform,
     fitness_thresholds: Mutex<FitnessThresholds>,
     fitness: Mutex<Fitness>,
-    /// Sends records to the thread of [`VoterRecordWriter`]; `None` without a folder for the voter record.
+    /// Sends records to the thread of [`VoterRecordWriter`]; `None` without a directory for the voter record.
     record_sender: Option<SyncSender<VoterRecord>>,
     supervisor: Supervisor,
     /// `None` if the operator's file configures no quotas.
@@ -91,7 +91,7 @@
 pub struct OpenedLeases {
     /// The service, for the cluster.
     pub service: Arc<LeaseService>,
-    /// Must be started once the cluster socket is open; `None` without a folder for the voter record.
+    /// Must be started once the cluster socket is open; `None` without a directory for the voter record.
     pub record_writer: Option<VoterRecordWriter>,
 }
 
@@ -103,7 +103,8 @@
         let now = (platform.steady_clock)();
         // The disk is opened on gateways that are not voters too, since a reload of the settings may make them
         // voters.
-        let mut disk = config.voter_record_directory.as_ref().map(|folder| (platform.open_disk)(folder));
+        let mut disk =
+            config.voter_record_directory.as_ref().map(|directory| (platform.open_disk)(directory));
         let is_voter = config.settings.voters.contains(&member_id.name);
         let record = load_voter_record(state, disk.as_mut(), is_voter);
         let settings = config.settings;
