--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -1,95 +1,97 @@
-//! Datagrams between gateways: a version, then one message in postcard's form, then CRC-32C over all of it. What can't be
-//! read whole is rejected with a reason, and none of it is believed.
+//! Datagrams that gateways send each other: a version byte, a message in postcard encoding, and a CRC-32C of all
+//! preceding bytes. A datagram that cannot be decoded completely is rejected with a reason, and none of its content is
+//! used.
 //!
-//! Postcard encodes by position: the order and types of fields and variants are the wire format, their names are not.
+//! Postcard encodes by position. The order and types of fields and variants are the wire format; their names are not.
 
 use crate::member_update::{MAX_NAME_BYTES, MemberInfo, MemberState, MemberStatus, MemberUpdate};
 use crc::{CRC_32_ISCSI, Crc};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// Largest datagram, below what every path carries in one piece.
+/// Maximum datagram size in bytes, small enough that no network path fragments the datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// First byte of every datagram of this crate.
+/// Protocol version, the first byte of every membership datagram.
 pub const VERSION: u8 = 1;
 const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 
-/// What a datagram says beside the updates that it carries.
+/// Message of a datagram, sent along with the member updates.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// Are you there? Acknowledged at once.
+    /// Asks the recipient for an immediate acknowledgement.
     Ping {
-        /// Number of the ping, for its answer.
+        /// Sequence number that the acknowledgement repeats.
         sequence: u32,
     },
-    /// Ping that member for me: I had no answer.
+    /// Asks the recipient to ping a member that did not acknowledge the sender's ping.
     PingRequest {
-        /// Number of the sender's probe, for the answer.
+        /// Sequence number of the sender's probe, repeated in the `Ack` or `Nack`.
         sequence: u32,
-        /// The member.
+        /// Name of the member to ping.
         name: String,
-        /// Its address.
+        /// Address of the member to ping.
         address: SocketAddrV4,
     },
-    /// A ping's answer, or a helper's report of one.
+    /// Acknowledges a ping, or tells the requester of a `PingRequest` that the member acknowledged.
     Ack {
-        /// Number of the ping or probe.
+        /// Sequence number of the `Ping` or `PingRequest`.
         sequence: u32,
     },
-    /// A helper had no answer either: so it is not the sender's own path that fails.
+    /// Tells the requester of a `PingRequest` that the member did not acknowledge this ping either, so the requester's
+    /// own network is not at fault.
     Nack {
-        /// Number of the probe.
+        /// Sequence number of the `PingRequest`.
         sequence: u32,
     },
-    /// A page of all that the sender knows.
-    Table {
-        /// The page begins after this name.
+    /// Carries one page of the sender's member table as updates.
+    TablePage {
+        /// The page starts after this member name; `None` starts with the first name.
         after: Option<String>,
-        /// Whether the same page is wanted in return.
+        /// Whether the recipient shall send its own page for the same `after`.
         wants_reply: bool,
     },
 }
 
-/// One message on the wire.
+/// Datagram of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Datagram {
     version: u8,
-    /// The sender's cluster.
+    /// Name of the sender's cluster.
     pub cluster: String,
     /// The sender's name.
     pub name: String,
-    /// What it claims of itself.
+    /// Status that the sender claims for itself.
     pub status: MemberStatus,
-    /// What it says of itself.
+    /// Address, zone and capacity of the sender.
     pub info: MemberInfo,
-    /// What it says.
+    /// Message of this datagram.
     pub payload: Payload,
-    /// Claims about other members.
+    /// Claims about members other than the sender.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Why a datagram is ignored.
+/// Reason for rejecting received bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DatagramError {
-    /// Longer than any gateway writes.
-    #[error("datagram of more than {MAX_DATAGRAM_BYTES} bytes")]
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram is longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    /// Of a version that this gateway does not speak.
-    #[error("datagram of version {0}, not {VERSION}")]
+    /// The first byte is not [`VERSION`]; carries the received byte.
+    #[error("unsupported datagram version {0}, expected {VERSION}")]
     Version(u8),
-    /// Cut short, altered, or no datagram of a gateway.
-    #[error("corrupt datagram")]
+    /// The datagram is truncated, altered or not a membership datagram.
+    #[error("datagram cannot be decoded or its checksum does not match")]
     Corrupt,
-    /// From a gateway of another cluster.
-    #[error("datagram of another cluster")]
+    /// The sender belongs to another cluster.
+    #[error("datagram belongs to another cluster")]
     OtherCluster,
-    /// Whole, but with what no gateway writes.
-    #[error("malformed datagram")]
+    /// The checksum matches, but a name has an invalid length or the sender claims to be suspected or dead.
+    #[error("datagram has a name of invalid length or an invalid sender state")]
     Malformed,
 }
 
 impl Datagram {
-    /// A datagram of this version, without updates yet.
+    /// Creates a datagram of the current version without updates.
     pub fn new(cluster: &str, sender: MemberUpdate, payload: Payload) -> Datagram {
         Datagram {
             version: VERSION,
@@ -102,18 +104,18 @@
         }
     }
 
-    /// Bytes left for updates; their number takes one of them.
+    /// Returns the bytes left for updates. One byte stays reserved for the length of the update list.
     pub fn remaining_bytes(&self) -> usize {
         MAX_DATAGRAM_BYTES.saturating_sub(self.encode().len() + 1)
     }
 
-    /// Its bytes.
+    /// Returns the wire format with version and checksum.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain structures into a vector: postcard has no way to fail here.
+        // Postcard does not fail for plain structures that are written to a growing vector.
         postcard::to_allocvec_crc32(self, CHECKSUM.digest()).unwrap_or_default()
     }
 
-    /// Reads a datagram of `cluster`.
+    /// Decodes and validates a received datagram. Rejects datagrams of clusters other than `cluster`.
     pub fn decode(bytes: &[u8], cluster: &str) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::TooLong);
@@ -130,26 +132,28 @@
     }
 
     fn is_well_formed(&self) -> bool {
-        let payload_is = match &self.payload {
+        let is_payload_valid = match &self.payload {
             Payload::PingRequest { name, .. } => name.len() <= MAX_NAME_BYTES,
-            Payload::Table { after, .. } => after.as_ref().is_none_or(|name| name.len() <= MAX_NAME_BYTES),
+            Payload::TablePage { after, .. } => {
+                after.as_ref().is_none_or(|name| name.len() <= MAX_NAME_BYTES)
+            }
             Payload::Ping { .. } | Payload::Ack { .. } | Payload::Nack { .. } => true,
         };
-        // A sender is alive and says so of itself; leaving is the one other thing it may say.
-        let sender_may_say = matches!(self.status.state, MemberState::Alive | MemberState::Left);
+        // A process that sends is neither suspected nor dead in its own view, so it claims to be alive or leaving.
+        let is_sender_state_valid = matches!(self.status.state, MemberState::Alive | MemberState::Left);
         self.sender().is_well_formed()
-            && payload_is
-            && sender_may_say
+            && is_payload_valid
+            && is_sender_state_valid
             && self.updates.iter().all(MemberUpdate::is_well_formed)
     }
 
-    /// What the sender claims of itself, as an update.
+    /// Returns the sender's claim about itself as an update without reporter.
     pub fn sender(&self) -> MemberUpdate {
         MemberUpdate { name: self.name.clone(), status: self.status, info: self.info.clone(), reporter: None }
     }
 }
 
-/// Bytes that an update takes in a datagram.
+/// Returns the number of bytes that an update takes in a datagram.
 pub fn encoded_len(update: &MemberUpdate) -> usize {
     postcard::to_allocvec(update).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
--- a/crates/membership/src/fleet_size.rs
+++ b/crates/membership/src/fleet_size.rs
@@ -1,67 +1,71 @@
-//! How many gateways to count when something is divided by their number.
+//! Estimates the number of gateways in the fleet. Limits that the gateways share are divided by this number.
 //!
-//! Counting too many leaves a part unused; counting too few hands the same part out twice, and an engine in slow start is
-//! overloaded by the sum. So the count goes up at once and down slowly, and not at all while the members that fell silent
-//! might be the other side of a network partition.
+//! An estimate that is too high leaves a part of a limit unused. An estimate that is too low hands out the same part
+//! twice, and the sum overloads an engine in slow start. The count therefore rises at once and falls slowly. It does not
+//! fall while the dead members might be the other side of a network partition.
 
 use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// How the count follows the fleet.
+/// Settings for how the gateway count follows the live members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSizeSettings {
-    /// Never fewer than were alive at any time within this window.
+    /// The count is at least the highest number of live members within this window.
     pub decrease_delay: Duration,
-    /// After that, one fewer in each such step.
+    /// Minimum time between two decrements of the count by one.
     pub decrease_interval: Duration,
-    /// Never fewer than this.
+    /// Lower bound of the count.
     pub min_gateways: usize,
 }
 
-/// What this gateway sees of the fleet.
+/// Numbers of live and dead members in this gateway's view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Members that are alive or suspected, this gateway among them.
+    /// Number of alive and suspected members, including this gateway.
     pub live: usize,
-    /// Members declared dead because they fell silent: they may be alive where this gateway can't see.
+    /// Number of members that were declared dead after they stopped responding. They may be alive on the other side of a
+    /// network partition.
     pub dead: usize,
 }
 
 impl FleetView {
-    /// Whether most of all that may be alive are in sight. A gateway that sees nobody else may be cut off, or just started.
-    fn is_majority_in_sight(self) -> bool {
+    /// Returns whether live members outnumber dead ones. `false` for a gateway that sees no other live member, because that
+    /// gateway may be cut off or may have just started.
+    fn is_majority_visible(self) -> bool {
         self.live > self.dead.max(1)
     }
 }
 
-/// How many may have been alive when.
+/// Number of live members at one time.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Timestamp,
     live: usize,
 }
 
-/// Counts the gateways of the fleet.
+/// Estimate of the number of gateways in the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSize {
     settings: FleetSizeSettings,
-    /// Maxima of the window: falling numbers, of which the first is the largest.
+    /// Candidates for the maximum within `decrease_delay`, oldest first, with strictly decreasing `live`. The first one is
+    /// the current maximum.
     maxima: VecDeque<Sample>,
-    counted: usize,
+    count: usize,
     changed_at: Timestamp,
 }
 
 impl FleetSize {
-    /// `initial` are counted until more are seen, or enough to go down from there.
+    /// Starts with a count of `initial`, which stays until more live members are seen or until a visible majority allows
+    /// the count to fall.
     pub fn new(settings: FleetSizeSettings, initial: usize, now: Timestamp) -> FleetSize {
-        let counted = initial.max(settings.min_gateways).max(1);
-        FleetSize { settings, maxima: VecDeque::new(), counted, changed_at: now }
+        let count = initial.max(settings.min_gateways).max(1);
+        FleetSize { settings, maxima: VecDeque::new(), count, changed_at: now }
     }
 
-    /// How many to count now that the fleet looks like this.
+    /// Updates the estimate from the current view and returns it.
     pub fn observe(&mut self, view: FleetView, now: Timestamp) -> usize {
         let live =
-            if view.is_majority_in_sight() { view.live } else { (view.live + view.dead).max(self.counted) };
+            if view.is_majority_visible() { view.live } else { (view.live + view.dead).max(self.count) };
         while self.maxima.back().is_some_and(|sample| sample.live <= live) {
             self.maxima.pop_back();
         }
@@ -71,13 +75,13 @@
         }
         let floor =
             self.maxima.front().map_or(1, |sample| sample.live).max(self.settings.min_gateways).max(1);
-        if floor >= self.counted {
-            self.counted = floor;
+        if floor >= self.count {
+            self.count = floor;
             self.changed_at = now;
         } else if now.since(self.changed_at) >= self.settings.decrease_interval {
-            self.counted -= 1;
+            self.count -= 1;
             self.changed_at = now;
         }
-        self.counted
+        self.count
     }
 }
--- a/crates/membership/src/gossip_queue.rs
+++ b/crates/membership/src/gossip_queue.rs
@@ -1,17 +1,19 @@
-//! Which members' updates are passed on with other datagrams, and how often: each change a multiple of the logarithm of the
-//! fleet's size, the least sent first (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
-//! Group Membership Protocol", 2002, section 4.1). One entry a name, so the queue is bounded by the members.
+//! Selects the member updates that are piggybacked on outgoing datagrams. Each change is sent a number of times that grows
+//! with the logarithm of the fleet size, least-sent first (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
+//! Infection-style Process Group Membership Protocol", 2002, section 4.1). The queue holds at most one entry per member
+//! name, so the number of members bounds its length.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The paper's multiple: enough for all but one in some thousands to hear of a change.
-const RETRANSMIT_MULTIPLE: f64 = 3.0;
+/// Factor on log2 of the fleet size, from the SWIM paper. With this factor all but about one in several thousand members
+/// receive a change.
+const RETRANSMIT_FACTOR: f64 = 3.0;
 
-/// Names whose updates are to be passed on.
+/// Names of members whose updates are waiting to be sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GossipQueue {
     send_counts: BTreeMap<String, u32>,
-    /// The same entries, the least sent first.
+    /// Entries of `send_counts`, sorted by send count and then by name.
     order: BTreeSet<Entry>,
 }
 
@@ -22,13 +24,13 @@
 }
 
 impl GossipQueue {
-    /// Something changed about this member.
+    /// Adds a member after a change, or resets the send count if the member is already queued.
     pub fn enqueue(&mut self, name: &str) {
         self.remove(name);
         self.insert(Entry { send_count: 0, name: name.to_owned() });
     }
 
-    /// Nothing more is to be passed on about this member.
+    /// Removes a member if present.
     pub fn remove(&mut self, name: &str) {
         if let Some(send_count) = self.send_counts.remove(name) {
             self.order.remove(&Entry { send_count, name: name.to_owned() });
@@ -40,22 +42,23 @@
         self.order.insert(entry);
     }
 
-    /// How many members' updates wait.
+    /// Returns the number of queued members.
     pub fn len(&self) -> usize {
         self.send_counts.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no member is queued.
     pub fn is_empty(&self) -> bool {
         self.send_counts.is_empty()
     }
 
-    /// Takes the next to pass on, the least sent first, for as long as `accept` takes them; what was sent often enough
-    /// leaves the queue.
-    pub fn take_next(&mut self, members: usize, mut accept: impl FnMut(&str) -> bool) {
-        let max_sends = (RETRANSMIT_MULTIPLE * ((members + 1) as f64).log2()).ceil().max(1.0) as u32;
-        let taken: Vec<Entry> = self.order.iter().take_while(|entry| accept(&entry.name)).cloned().collect();
-        for entry in taken {
+    /// Offers the queued names to `accept`, least-sent first, until `accept` returns `false`. Counts each accepted name as
+    /// sent and removes the names that reached the maximum number of sends for a fleet of `members`.
+    pub fn take_batch(&mut self, members: usize, mut accept: impl FnMut(&str) -> bool) {
+        let max_sends = (RETRANSMIT_FACTOR * ((members + 1) as f64).log2()).ceil().max(1.0) as u32;
+        let accepted: Vec<Entry> =
+            self.order.iter().take_while(|entry| accept(&entry.name)).cloned().collect();
+        for entry in accepted {
             self.remove(&entry.name);
             let send_count = entry.send_count + 1;
             if send_count < max_sends {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which gateways of a fleet are alive, as one of them knows it: SWIM with Lifeguard's extensions.
+//! Membership of the gateway fleet: each gateway detects which gateways are alive with the SWIM protocol and its
+//! Lifeguard extensions.
 //!
-//! The crate does no I/O: points in time, datagrams and a random seed come in, datagrams and changes go out. The options
-//! weighed, and what is kept and changed of the sources, stand in docs/membership.md.
+//! The crate does no I/O. Its inputs are timestamps, datagrams and a random seed; its outputs are datagrams and member
+//! changes. docs/membership.md explains the choice of protocol and the differences from the papers.
 
 #![deny(missing_docs)]
 
--- a/crates/membership/src/member_update.rs
+++ b/crates/membership/src/member_update.rs
@@ -1,60 +1,62 @@
-//! What is claimed of a member, and which of two claims supersedes the other.
+//! Claims about members, and the order that decides which of two claims supersedes the other.
 //!
-//! Statuses of one name are totally ordered, and only the highest is kept: order, duplication and loss of datagrams then
-//! can't matter for where all gateways end up.
+//! The statuses of one member name are totally ordered, and each gateway keeps only the highest status. All gateways
+//! therefore converge to the same status even if datagrams are reordered, duplicated or lost.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// Longest name of a gateway or zone: it bounds what a datagram holds of members.
+/// Maximum length in bytes of a gateway or zone name. Limits the size of an update in a datagram.
 pub const MAX_NAME_BYTES: usize = 48;
 
-/// State of a member, the weakest claim first. Encoded by position.
+/// State of a member. The order of the variants is the precedence of claims, weakest first, and the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is alive.
+    /// The member responds to probes.
     Alive,
-    /// It did not answer somebody lately.
+    /// The member did not acknowledge a recent probe of at least one gateway.
     Suspected,
-    /// It did not refute a suspicion in time. Final for its generation.
+    /// The member did not refute a suspicion in time. Final for the member's generation.
     Dead,
-    /// It said itself that it leaves. Final as well, and stronger: it is known to hold nothing more.
+    /// The member announced that it leaves. Final for the member's generation. Stronger than `Dead`, because a member that
+    /// left is known to hold nothing any more.
     Left,
 }
 
-/// A claim about a member. Encoded by position.
+/// Claim about the status of a member. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Grows with each start of a process under one name, and when a live one hears that it was declared dead.
+    /// Increases with each process start under the member's name, and when a live member learns that it was declared dead.
     pub generation: u64,
-    /// Grows with each suspicion that the member refutes; no other gateway ever raises it.
+    /// Increases with each suspicion that the member refutes. Only the member itself increases its incarnation.
     pub incarnation: u32,
-    /// The claimed state.
+    /// Claimed state.
     pub state: MemberState,
 }
 
-/// The order of statuses: the first field that differs decides.
+/// Sort key of a status. The first field that differs decides.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     generation: u64,
-    /// A generation that ended stays ended, whatever incarnation is claimed of it later.
+    /// The final state of a generation that ended. Compared before the incarnation, so that no later incarnation revives
+    /// the generation.
     ended: Option<MemberState>,
     incarnation: u32,
     state: MemberState,
 }
 
 impl MemberStatus {
-    /// A live member's claim of itself.
+    /// Creates the claim that a live member makes about itself.
     pub fn alive(generation: u64, incarnation: u32) -> MemberStatus {
         MemberStatus { generation, incarnation, state: MemberState::Alive }
     }
 
-    /// The same incarnation in another state.
-    pub fn with(self, state: MemberState) -> MemberStatus {
+    /// Returns the same generation and incarnation with another state.
+    pub fn with_state(self, state: MemberState) -> MemberStatus {
         MemberStatus { state, ..self }
     }
 
-    /// Whether its generation is over.
+    /// Returns whether the generation has ended, as dead or left.
     pub fn is_final(self) -> bool {
         self.state >= MemberState::Dead
     }
@@ -68,52 +70,54 @@
         }
     }
 
-    /// Whether this claim replaces the other.
+    /// Returns whether this claim takes precedence over the other claim.
     pub fn supersedes(self, other: MemberStatus) -> bool {
         self.precedence() > other.precedence()
     }
 }
 
-/// What a gateway claims of itself after it heard `heard` of itself; `None` where nothing is to be refuted. A suspicion is
-/// answered by the next incarnation, an end by a new generation, since the one that ended stays so.
-pub fn refutation(own: MemberStatus, heard: MemberStatus) -> Option<MemberStatus> {
-    if heard.generation < own.generation || !heard.supersedes(own) {
+/// Returns the new status with which a gateway refutes a `claim` about itself, or `None` if the claim does not supersede
+/// the gateway's `own` status. A suspicion is refuted with the next incarnation. A claim that the gateway ended is refuted
+/// with a new generation, because a generation that ended cannot be revived.
+pub fn refutation(own: MemberStatus, claim: MemberStatus) -> Option<MemberStatus> {
+    if claim.generation < own.generation || !claim.supersedes(own) {
         return None;
     }
-    let is_suspicion = heard.generation == own.generation && !heard.is_final();
+    let is_suspicion = claim.generation == own.generation && !claim.is_final();
     Some(if is_suspicion {
-        MemberStatus::alive(own.generation, heard.incarnation.saturating_add(1))
+        MemberStatus::alive(own.generation, claim.incarnation.saturating_add(1))
     } else {
-        MemberStatus::alive(heard.generation.saturating_add(1), 0)
+        MemberStatus::alive(claim.generation.saturating_add(1), 0)
     })
 }
 
-/// What a gateway says of itself beside that it is alive. Encoded by position.
+/// Properties that a member announces about itself. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Where its datagrams come from.
+    /// Address from which the member sends its datagrams.
     pub address: SocketAddrV4,
-    /// Its zone; empty where it has none.
+    /// Zone of the member; empty if the member has no zone.
     pub zone: String,
-    /// Requests a second that it can serve, as it says.
+    /// Requests per second that the member is configured to serve.
     pub requests_per_second: u32,
 }
 
-/// A claim about a member as it is passed on. Encoded by position.
+/// Claim about a member as gossip carries it. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// The claim.
+    /// Claimed status.
     pub status: MemberStatus,
-    /// What it says of itself.
+    /// Properties that the member announced.
     pub info: MemberInfo,
-    /// Who had no answer, where it is suspected: more reporters shorten the suspicion.
+    /// Name of a gateway whose probe the suspected member did not acknowledge; `None` for members that are not suspected.
+    /// Additional reporters shorten the suspicion timeout.
     pub reporter: Option<String>,
 }
 
 impl MemberUpdate {
-    /// Whether its texts are within bounds.
+    /// Returns whether the member name is not empty and no name exceeds [`MAX_NAME_BYTES`].
     pub fn is_well_formed(&self) -> bool {
         let fits = |text: &str| text.len() <= MAX_NAME_BYTES;
         !self.name.is_empty()
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,9 +1,8 @@
-//! One gateway's part in finding out who is alive: whom it probes and when, what it believes of what it hears, and what it
-//! passes on.
+//! Membership state machine of one gateway: schedules probes, merges claims about members, and gossips changes.
 //!
-//! The caller calls [`Membership::on_timer`] when [`Membership::next_timer`] has come and [`Membership::on_datagram`] with
-//! each datagram, and sends what the [`Output`] holds. SWIM's rounds, suspicion and incarnations, with Lifeguard's care for
-//! a gateway that is slow itself.
+//! The caller calls [`Membership::on_timer`] at the time that [`Membership::next_timer`] returns, calls
+//! [`Membership::on_datagram`] for each received datagram, and sends the datagrams of the returned [`Output`]. Probe
+//! rounds, suspicion and incarnations follow SWIM. Timeouts adapt to a slow local gateway as in Lifeguard.
 
 mod output;
 mod probes;
@@ -26,38 +25,39 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// Members beyond the helpers that hear at once when this gateway leaves.
+/// Number of members, in addition to `helper_count`, that a leaving gateway notifies directly.
 const EXTRA_LEAVE_NOTICES: usize = 2;
 
-/// One gateway as this one knows it.
+/// Entry of the member table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// The highest claim.
+    /// Highest status received so far.
     pub status: MemberStatus,
-    /// What it says of itself.
+    /// Address, zone and capacity that the member announced.
     pub info: MemberInfo,
-    /// Since when it is in this state.
+    /// Time at which the member entered the current state or generation in this gateway's view. For this gateway's own
+    /// entry also updated by each refutation.
     pub state_since: Timestamp,
-    /// When its own datagram last came.
+    /// Time of the last datagram sent by the member itself in its current generation; `None` before the first one.
     pub last_heard_at: Option<Timestamp>,
 }
 
-/// One gateway's view of all members.
+/// Member table of one gateway, with the protocol state that maintains the table.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    me: String,
+    own_name: String,
     settings: MembershipSettings,
     random: WyRand,
-    /// All that are known, this gateway among them.
+    /// All known members by name, including this gateway and remembered members that have ended.
     members: BTreeMap<String, Member>,
-    /// How many of them are live: needed for each datagram.
+    /// Number of alive and suspected members. Cached because each outgoing datagram needs this number.
     live_count: usize,
-    /// No ended member is to be forgotten before.
-    next_forget: Timestamp,
+    /// Earliest time at which an ended member may expire.
+    next_expiry: Timestamp,
     suspicions: BTreeMap<String, Suspicion>,
     gossip: GossipQueue,
     health: LocalHealth,
-    /// Whom to probe in the present round, the next last.
+    /// Names still to be probed in the current round. The last element is probed next.
     probe_order: Vec<String>,
     probe: Option<Probe>,
     relayed_probes: VecDeque<RelayedProbe>,
@@ -69,7 +69,8 @@
 }
 
 impl Membership {
-    /// A gateway that knows only itself and the seeds.
+    /// Creates the membership of a gateway that knows only itself and the seed addresses. `seed` initializes the random
+    /// number generator.
     pub fn new(
         name: &str,
         generation: u64,
@@ -79,16 +80,16 @@
         now: Timestamp,
     ) -> Membership {
         let status = MemberStatus::alive(generation, 0);
-        let myself = Member { status, info, state_since: now, last_heard_at: Some(now) };
+        let own_entry = Member { status, info, state_since: now, last_heard_at: Some(now) };
         let mut gossip = GossipQueue::default();
         gossip.enqueue(name);
         Membership {
-            me: name.to_owned(),
+            own_name: name.to_owned(),
             settings,
             random: WyRand::new_seed(seed),
-            members: BTreeMap::from([(name.to_owned(), myself)]),
+            members: BTreeMap::from([(name.to_owned(), own_entry)]),
             live_count: 1,
-            next_forget: now,
+            next_expiry: now,
             suspicions: BTreeMap::new(),
             gossip,
             health: LocalHealth::default(),
@@ -103,49 +104,50 @@
         }
     }
 
-    /// All that are known, among them the ended that are remembered.
+    /// Returns all known members, including this gateway and remembered members that have ended.
     pub fn members(&self) -> &BTreeMap<String, Member> {
         &self.members
     }
 
-    /// Grows with each change of [`Membership::members`], but for when members were heard.
+    /// Returns a number that increases with each change of [`Membership::members`], except changes of
+    /// [`Member::last_heard_at`].
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// This gateway's own health.
+    /// Returns the local health of this gateway.
     pub fn local_health(&self) -> LocalHealth {
         self.health
     }
 
-    /// This gateway's own entry.
+    /// Returns this gateway's entry in the member table.
     pub fn own_entry(&self) -> &Member {
-        &self.members[&self.me]
+        &self.members[&self.own_name]
     }
 
-    /// Whether another process of this name that was started later has it.
+    /// Returns whether a process that started later uses this gateway's name. This gateway is then no longer a member.
     pub fn is_name_taken(&self) -> bool {
         self.name_taken
     }
 
-    /// Members that are alive or suspected, this gateway among them.
+    /// Returns the alive and suspected members, including this gateway.
     pub fn live_members(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.members.iter().filter(|(_, member)| !member.status.is_final())
     }
 
-    /// What this gateway sees of the fleet, to count it.
+    /// Returns the numbers of live and dead members, the input of [`FleetSize`](crate::fleet_size::FleetSize).
     pub fn fleet_view(&self) -> FleetView {
         let is_dead = |member: &&Member| member.status.state == MemberState::Dead;
         FleetView { live: self.live_count, dead: self.members.values().filter(is_dead).count() }
     }
 
-    /// Takes settings that were read again; what is known stays.
+    /// Replaces the settings after a reload and keeps the member table.
     pub fn update_settings(&mut self, settings: MembershipSettings) {
         self.settings = settings;
-        self.next_forget = Timestamp::default();
+        self.next_expiry = Timestamp::default();
     }
 
-    /// When the timer is to run next.
+    /// Returns the time at which [`Membership::on_timer`] is due.
     pub fn next_timer(&self) -> Timestamp {
         let probe = self.probe.as_ref().map(Probe::next_timer);
         let suspicion = self.suspicions.values().map(Suspicion::deadline).min();
@@ -156,11 +158,12 @@
             .fold(self.next_probe.min(self.next_table), Timestamp::min)
     }
 
-    /// Says that this gateway leaves, to some members at once: there is no later round of its own to pass it on in.
+    /// Marks this gateway as left and notifies several members directly, because this gateway sends no further probes that
+    /// could carry the update.
     pub fn leave(&mut self, now: Timestamp) -> Output {
         let mut output = Output::default();
-        let left = self.own_entry().status.with(MemberState::Left);
-        if let Some(update) = self.update_about(&self.me) {
+        let left = self.own_entry().status.with_state(MemberState::Left);
+        if let Some(update) = self.update_about(&self.own_name) {
             let update = MemberUpdate { status: left, ..update };
             self.apply_update(&update, ChangeReason::Heard, now, &mut output);
         }
@@ -172,7 +175,7 @@
         output
     }
 
-    /// Runs what is due.
+    /// Runs all timers that are due: suspicions, probes, table exchanges and the expiry of ended members.
     pub fn on_timer(&mut self, now: Timestamp) -> Output {
         let mut output = Output::default();
         if self.name_taken || self.own_entry().status.is_final() {
@@ -181,37 +184,39 @@
             return output;
         }
         self.postpone_after_stall(now);
-        self.end_suspicions(now, &mut output);
-        self.end_relayed_probes(now, &mut output);
+        self.expire_suspicions(now, &mut output);
+        self.expire_relayed_probes(now, &mut output);
         self.check_probe(now, &mut output);
         if now >= self.next_probe {
-            self.next_probe = now + self.health.stretch(self.settings.probe_interval);
+            self.next_probe = now + self.health.scale_timeout(self.settings.probe_interval);
             self.start_probe(now, &mut output);
         }
         if now >= self.next_table {
             self.next_table = now + self.settings.table_exchange_interval;
-            self.send_tables(&mut output);
+            self.send_table_pages(&mut output);
         }
-        self.forget_ended(now);
+        self.remove_expired_members(now);
         output
     }
 
-    /// Takes in a datagram that came from this address.
+    /// Processes a datagram received from the address `from`. Returns an error if the sender is not allowed or if another
+    /// process took over this gateway's name.
     pub fn on_datagram(
         &mut self,
         from: SocketAddrV4,
         datagram: &Datagram,
         now: Timestamp,
     ) -> Result<Output, Rejection> {
-        if !self.may_send(from) || datagram.info.address != from {
+        if !self.is_allowed_address(from) || datagram.info.address != from {
             return Err(Rejection::UnknownSender);
         }
         let mut output = Output::default();
         if self.name_taken || self.own_entry().status.is_final() {
             return Ok(output);
         }
-        if datagram.name == self.me {
-            // Its own datagram may come back to it; another's under this name may not be answered.
+        if datagram.name == self.own_name {
+            // The datagram is either this gateway's own, reflected by the network, or comes from another process with the
+            // same name, which must not receive a reply.
             if datagram.status.generation > self.own_entry().status.generation {
                 self.name_taken = true;
                 return Err(Rejection::NameTaken);
@@ -224,7 +229,7 @@
         {
             sender.last_heard_at = Some(now);
         }
-        // Where the sender's claim of itself is outdated, the next datagram tells it.
+        // A sender whose claim about itself is outdated learns the newer status from the next datagram.
         if self.members.get(&datagram.name).is_some_and(|m| m.status.supersedes(datagram.status)) {
             self.gossip.enqueue(&datagram.name);
         }
@@ -234,11 +239,17 @@
         if self.name_taken {
             return Err(Rejection::NameTaken);
         }
-        self.answer(from, datagram, now, &mut output);
+        self.process_payload(from, datagram, now, &mut output);
         Ok(output)
     }
 
-    fn answer(&mut self, from: SocketAddrV4, datagram: &Datagram, now: Timestamp, output: &mut Output) {
+    fn process_payload(
+        &mut self,
+        from: SocketAddrV4,
+        datagram: &Datagram,
+        now: Timestamp,
+        output: &mut Output,
+    ) {
         match &datagram.payload {
             Payload::Ping { sequence } => {
                 self.send_to_member(&datagram.name, from, Payload::Ack { sequence: *sequence }, output);
@@ -248,7 +259,7 @@
             }
             Payload::Ack { sequence } => self.on_ack(*sequence, output),
             Payload::Nack { sequence } => self.on_nack(*sequence),
-            Payload::Table { after, wants_reply } => {
+            Payload::TablePage { after, wants_reply } => {
                 if *wants_reply {
                     self.send_page(from, after.clone(), false, output);
                 }
@@ -256,7 +267,7 @@
         }
     }
 
-    fn may_send(&self, from: SocketAddrV4) -> bool {
+    fn is_allowed_address(&self, from: SocketAddrV4) -> bool {
         self.settings.allowed_networks.iter().any(|network| network.contains(*from.ip()))
     }
 
--- a/crates/membership/src/membership/output.rs
+++ b/crates/membership/src/membership/output.rs
@@ -1,62 +1,62 @@
-//! What comes of a call: datagrams to send, and changes of members.
+//! Results of a call to the membership state machine: datagrams to send and member changes.
 
 use crate::datagram::Datagram;
 use crate::member_update::MemberState;
 use std::net::SocketAddrV4;
 
-/// Why a member's state changed.
+/// Reason for the change of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ChangeReason {
-    /// It sent a datagram itself.
+    /// The member announced its state in its own datagram.
     Heard,
-    /// This gateway probed it and had no answer.
+    /// The member did not acknowledge a probe of this gateway.
     NoAnswer,
-    /// Another member says so.
+    /// Another member passed on the claim.
     Gossip,
-    /// It was suspected and did not refute that in time.
+    /// The member did not refute a suspicion in time.
     SuspicionTimeout,
 }
 
-/// A member's state changed, or it began a new generation.
+/// Change of a member's state or start of a new generation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberChange {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// The state before; `None` where it was not known.
+    /// State before the change; `None` if the member was unknown.
     pub previous_state: Option<MemberState>,
-    /// The state now.
+    /// State after the change.
     pub state: MemberState,
-    /// The generation now.
+    /// Generation after the change.
     pub generation: u64,
-    /// Why.
+    /// Reason for the change.
     pub reason: ChangeReason,
 }
 
-/// A datagram to be sent.
+/// Datagram that the caller shall send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Where to.
+    /// Address of the recipient.
     pub to: SocketAddrV4,
-    /// What.
+    /// Datagram, not yet encoded.
     pub datagram: Datagram,
 }
 
-/// What comes of a call.
+/// Datagrams and member changes that a call produced.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// To be sent, in this order.
+    /// Datagrams to send, in this order.
     pub datagrams: Vec<OutgoingDatagram>,
-    /// In the order in which they happened.
+    /// Changes of other members, and this gateway's own departure, in the order in which they happened.
     pub changes: Vec<MemberChange>,
 }
 
-/// Why a datagram that could be read was ignored.
+/// Reason for rejecting a datagram that was decoded successfully.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Rejection {
-    /// It came from outside the networks, or from another address than it says.
-    #[error("unknown sender")]
+    /// The source address is outside the allowed networks or differs from the address that the sender announces.
+    #[error("source address is not in an allowed network or differs from the announced address")]
     UnknownSender,
-    /// Another process under this gateway's own name started later: this one is no member any more.
-    #[error("another process has this name")]
+    /// A process that started later uses this gateway's name, so this gateway is no longer a member.
+    #[error("a process that started later uses this gateway's name")]
     NameTaken,
 }
--- a/crates/membership/src/membership/probes.rs
+++ b/crates/membership/src/membership/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: one member at a time is pinged, by helpers as well where it does not answer.
+//! Probes: this gateway pings one member at a time. If the member does not acknowledge the ping, helpers ping it as well.
 
 use super::output::{ChangeReason, Output};
 use super::{Member, Membership};
@@ -9,19 +9,19 @@
 use nanorand::Rng;
 use std::net::SocketAddrV4;
 
-/// Pings for other members that are not over yet; requests beyond this many are ignored.
+/// Maximum number of pending pings on behalf of other members. Further ping requests are ignored.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// The probe that is under way.
+/// Probe that awaits an acknowledgement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Probe {
     sequence: u32,
     name: String,
-    /// When helpers are asked.
+    /// Time at which helpers are asked to ping the member.
     ask_helpers_at: Timestamp,
     deadline: Timestamp,
     helpers_asked: bool,
-    nacks: usize,
+    nack_count: usize,
 }
 
 impl Probe {
@@ -30,39 +30,39 @@
     }
 }
 
-/// A ping for another member's probe.
+/// Ping that this gateway sent on behalf of another member's probe.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RelayedProbe {
     sequence: u32,
-    /// Number of the other member's probe.
+    /// Sequence number of the requester's probe.
     requested_sequence: u32,
     requested_by: SocketAddrV4,
     pub(super) deadline: Timestamp,
 }
 
 impl Membership {
-    /// Pings the next member in turn, each once a round in a random order; and some that this gateway suspects, so that a
-    /// refutation has more than one way here.
+    /// Starts a probe of the next member. Each member is probed once per round, in random order. Also pings some suspected
+    /// members, so that a refutation can reach this gateway on more than one path.
     pub(super) fn start_probe(&mut self, now: Timestamp, output: &mut Output) {
         if self.probe.is_some() {
             return;
         }
         let mut suspected: Vec<String> = self.suspicions.keys().cloned().collect();
         self.random.shuffle(&mut suspected);
-        // A few of them: what a round costs must not grow with the fleet.
+        // Limited so that the cost of a probe does not grow with the fleet size.
         suspected.truncate(self.settings.helper_count);
         for name in suspected {
             self.ping_member(&name, output);
         }
-        let Some(name) = self.next_in_turn() else { return };
+        let Some(name) = self.next_probe_target() else { return };
         let sequence = self.ping_member(&name, output);
         self.probe = Some(Probe {
             sequence,
             name,
-            ask_helpers_at: now + self.health.stretch(self.settings.probe_timeout),
-            deadline: now + self.health.stretch(self.settings.probe_interval),
+            ask_helpers_at: now + self.health.scale_timeout(self.settings.probe_timeout),
+            deadline: now + self.health.scale_timeout(self.settings.probe_interval),
             helpers_asked: false,
-            nacks: 0,
+            nack_count: 0,
         });
     }
 
@@ -73,8 +73,9 @@
         sequence
     }
 
-    /// The next live member of the round; a new round begins where none is left. `None` where there is no other.
-    fn next_in_turn(&mut self) -> Option<String> {
+    /// Returns the next live member to probe and starts a new round if the current one is finished. Returns `None` if there
+    /// is no other live member.
+    fn next_probe_target(&mut self) -> Option<String> {
         let is_live = |member: &Member| !member.status.is_final();
         loop {
             while let Some(name) = self.probe_order.pop() {
@@ -82,7 +83,7 @@
                     return Some(name);
                 }
             }
-            let others = self.live_members().map(|(name, _)| name).filter(|name| **name != self.me);
+            let others = self.live_members().map(|(name, _)| name).filter(|name| **name != self.own_name);
             let mut round: Vec<String> = others.cloned().collect();
             if round.is_empty() {
                 return None;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Asks helpers where the probe has no answer yet, and ends it at its deadline.
+    /// Asks helpers to ping the member if the acknowledgement is overdue, and fails the probe at its deadline.
     pub(super) fn check_probe(&mut self, now: Timestamp, output: &mut Output) {
         let Some(mut probe) = self.probe.take() else { return };
         if now >= probe.deadline {
@@ -114,17 +115,17 @@
     }
 
     fn on_probe_failed(&mut self, probe: &Probe, now: Timestamp, output: &mut Output) {
-        // Helpers that say nothing at all leave it open whether this gateway's own network is at fault.
-        if probe.nacks == 0 {
-            self.health.record(HealthEvent::Unanswered);
+        // Without a nack from any helper, this gateway's own network may be at fault.
+        if probe.nack_count == 0 {
+            self.health.record(HealthEvent::ProbeUnanswered);
         }
         let Some(update) = self.update_about(&probe.name).filter(|u| !u.status.is_final()) else { return };
-        let status = update.status.with(MemberState::Suspected);
-        let suspected = MemberUpdate { status, reporter: Some(self.me.clone()), ..update };
+        let status = update.status.with_state(MemberState::Suspected);
+        let suspected = MemberUpdate { status, reporter: Some(self.own_name.clone()), ..update };
         self.apply_update(&suspected, ChangeReason::NoAnswer, now, output);
     }
 
-    /// Pings a member for another one's probe.
+    /// Pings a member on behalf of the probe of another gateway.
     pub(super) fn relay_probe(
         &mut self,
         requested_by: SocketAddrV4,
@@ -133,7 +134,7 @@
         now: Timestamp,
         output: &mut Output,
     ) {
-        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || !self.may_send(address) {
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || !self.is_allowed_address(address) {
             return;
         }
         let sequence = self.next_sequence();
@@ -144,7 +145,7 @@
 
     pub(super) fn on_ack(&mut self, sequence: u32, output: &mut Output) {
         if self.probe.take_if(|probe| probe.sequence == sequence).is_some() {
-            self.health.record(HealthEvent::Acked);
+            self.health.record(HealthEvent::ProbeAcked);
         }
         let relayed = self.relayed_probes.iter().position(|relayed| relayed.sequence == sequence);
         if let Some(relayed) = relayed.and_then(|index| self.relayed_probes.remove(index)) {
@@ -155,12 +156,12 @@
 
     pub(super) fn on_nack(&mut self, sequence: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
-            probe.nacks += 1;
+            probe.nack_count += 1;
         }
     }
 
-    /// Reports pings for other members that had no answer.
-    pub(super) fn end_relayed_probes(&mut self, now: Timestamp, output: &mut Output) {
+    /// Sends a nack to the requester of each ping that was not acknowledged in time.
+    pub(super) fn expire_relayed_probes(&mut self, now: Timestamp, output: &mut Output) {
         while self.relayed_probes.front().is_some_and(|relayed| relayed.deadline <= now) {
             let Some(relayed) = self.relayed_probes.pop_front() else { return };
             let nack = Payload::Nack { sequence: relayed.requested_sequence };
@@ -168,7 +169,8 @@
         }
     }
 
-    /// A gateway that stalled has heard nobody, and that says nothing of the others.
+    /// Extends suspicions and drops the current probe after this gateway stalled: a gateway that did not run received no
+    /// datagrams, so missing replies do not count against other members.
     pub(super) fn postpone_after_stall(&mut self, now: Timestamp) {
         let late_by = now.since(self.next_timer());
         if late_by <= self.settings.probe_interval {
@@ -178,16 +180,16 @@
         for suspicion in self.suspicions.values_mut() {
             suspicion.postpone(late_by);
         }
-        // Its answers may wait in the socket.
+        // Acknowledgements may still be waiting in the socket, so the probe neither succeeds nor fails.
         self.probe = None;
         self.relayed_probes.clear();
         self.next_probe = now + self.settings.probe_timeout;
     }
 
-    /// Some other live members at random, without `excluded`.
+    /// Returns up to `count` random live members other than this gateway and `excluded`.
     pub(super) fn random_live_members(&mut self, count: usize, excluded: Option<&str>) -> Vec<String> {
         let others = self.members.iter().filter(|(_, member)| !member.status.is_final());
-        let names = others.map(|(name, _)| name).filter(|name| **name != self.me);
+        let names = others.map(|(name, _)| name).filter(|name| **name != self.own_name);
         let mut candidates: Vec<&String> = names.filter(|name| excluded != Some(name.as_str())).collect();
         let mut chosen = Vec::new();
         while chosen.len() < count && !candidates.is_empty() {
--- a/crates/membership/src/membership/sending.rs
+++ b/crates/membership/src/membership/sending.rs
@@ -1,4 +1,4 @@
-//! Datagrams of this gateway, and the updates that they carry.
+//! Builds the datagrams of this gateway and fills them with member updates.
 
 use super::output::{OutgoingDatagram, Output};
 use super::{Member, Membership};
@@ -10,31 +10,31 @@
 use std::net::SocketAddrV4;
 use std::ops::Bound;
 
-/// What `me` passes on about a member.
-fn describe(name: &str, member: &Member, suspicion: Option<&Suspicion>, me: &str) -> MemberUpdate {
+/// Returns the update about a member that the gateway `own_name` sends to others.
+fn member_update(name: &str, member: &Member, suspicion: Option<&Suspicion>, own_name: &str) -> MemberUpdate {
     MemberUpdate {
         name: name.to_owned(),
         status: member.status,
         info: member.info.clone(),
-        reporter: suspicion.map(|suspicion| suspicion.reporter(me).to_owned()),
+        reporter: suspicion.map(|suspicion| suspicion.reporter_to_send(own_name).to_owned()),
     }
 }
 
 impl Membership {
     pub(super) fn update_about(&self, name: &str) -> Option<MemberUpdate> {
-        Some(describe(name, self.members.get(name)?, self.suspicions.get(name), &self.me))
+        Some(member_update(name, self.members.get(name)?, self.suspicions.get(name), &self.own_name))
     }
 
     fn new_datagram(&self, payload: Payload) -> Option<Datagram> {
-        Some(Datagram::new(&self.settings.cluster, self.update_about(&self.me)?, payload))
+        Some(Datagram::new(&self.settings.cluster, self.update_about(&self.own_name)?, payload))
     }
 
-    /// Sends to an address, whoever has it.
+    /// Sends a datagram to an address without regard to the member at that address.
     pub(super) fn send(&mut self, to: SocketAddrV4, payload: Payload, output: &mut Output) {
         self.send_with_updates(None, to, payload, output);
     }
 
-    /// Sends to a member.
+    /// Sends a datagram to a member, together with a claim that the member is suspected or has ended, if there is one.
     pub(super) fn send_to_member(
         &mut self,
         name: &str,
@@ -45,8 +45,8 @@
         self.send_with_updates(Some(name), to, payload, output);
     }
 
-    /// Sends a datagram with as many updates as it holds. A recipient that is claimed to be suspected or dead hears that
-    /// first: it alone can refute it.
+    /// Sends a datagram with as many queued updates as fit. If the recipient is not alive in this gateway's table, the update
+    /// about the recipient comes first, because only the recipient can refute it.
     fn send_with_updates(
         &mut self,
         recipient: Option<&str>,
@@ -61,11 +61,11 @@
             remaining = remaining.saturating_sub(encoded_len(&update));
             datagram.updates.push(update);
         }
-        self.gossip.take_next(self.live_count, |name| {
+        self.gossip.take_batch(self.live_count, |name| {
             let Some(member) = self.members.get(name).filter(|_| recipient != Some(name)) else {
                 return true;
             };
-            let update = describe(name, member, self.suspicions.get(name), &self.me);
+            let update = member_update(name, member, self.suspicions.get(name), &self.own_name);
             let update_bytes = encoded_len(&update);
             let fits = update_bytes <= remaining;
             if fits {
@@ -77,20 +77,20 @@
         output.datagrams.push(OutgoingDatagram { to, datagram });
     }
 
-    /// Sends a page of all that is known to a live member, and one to a member that seemed dead or is known by its address
-    /// only.
-    pub(super) fn send_tables(&mut self, output: &mut Output) {
+    /// Sends a page of the member table to a random live member, and another page to a random address of a dead member or of
+    /// a seed that is not a live member.
+    pub(super) fn send_table_pages(&mut self, output: &mut Output) {
         let live_addresses: BTreeSet<SocketAddrV4> =
             self.live_members().map(|(_, m)| m.info.address).collect();
         let dead = self.members.values().filter(|member| member.status.state == MemberState::Dead);
-        let mut absent: Vec<SocketAddrV4> = dead.map(|member| member.info.address).collect();
-        absent.extend(self.settings.seeds.iter().copied());
-        absent.retain(|address| !live_addresses.contains(address));
+        let mut unreachable: Vec<SocketAddrV4> = dead.map(|member| member.info.address).collect();
+        unreachable.extend(self.settings.seeds.iter().copied());
+        unreachable.retain(|address| !live_addresses.contains(address));
         let live = self.random_live_members(1, None);
         let mut recipients: Vec<SocketAddrV4> =
             live.iter().map(|name| self.members[name].info.address).collect();
-        if !absent.is_empty() {
-            recipients.push(absent[self.random.generate_range(0..absent.len())]);
+        if !unreachable.is_empty() {
+            recipients.push(unreachable[self.random.generate_range(0..unreachable.len())]);
         }
         for to in recipients {
             let index = self.random.generate_range(0..self.members.len());
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Sends a page of what is known, from after this name on and round the end.
+    /// Sends a page of the member table that starts after the name `after` and wraps around at the end of the table.
     pub(super) fn send_page(
         &mut self,
         to: SocketAddrV4,
@@ -108,14 +108,14 @@
         output: &mut Output,
     ) {
         let start = after.clone().unwrap_or_default();
-        let Some(mut datagram) = self.new_datagram(Payload::Table { after, wants_reply }) else { return };
+        let Some(mut datagram) = self.new_datagram(Payload::TablePage { after, wants_reply }) else { return };
         let mut remaining = datagram.remaining_bytes();
-        let later = self.members.range::<String, _>((Bound::Excluded(&start), Bound::Unbounded));
-        let in_turn = later.chain(self.members.range::<String, _>(..=&start));
-        for (name, member) in in_turn.filter(|(name, _)| **name != self.me) {
-            let update = describe(name, member, self.suspicions.get(name), &self.me);
-            let Some(left) = remaining.checked_sub(encoded_len(&update)) else { break };
-            remaining = left;
+        let after_start = self.members.range::<String, _>((Bound::Excluded(&start), Bound::Unbounded));
+        let rotated_members = after_start.chain(self.members.range::<String, _>(..=&start));
+        for (name, member) in rotated_members.filter(|(name, _)| **name != self.own_name) {
+            let update = member_update(name, member, self.suspicions.get(name), &self.own_name);
+            let Some(bytes_left) = remaining.checked_sub(encoded_len(&update)) else { break };
+            remaining = bytes_left;
             datagram.updates.push(update);
         }
         output.datagrams.push(OutgoingDatagram { to, datagram });
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -1,5 +1,5 @@
-//! What this gateway believes: claims about members, refutations of claims about itself, and ended members that are
-//! forgotten.
+//! Maintains the member table: applies claims about members, refutes claims about this gateway, and removes ended members
+//! after the retention time.
 
 use super::output::{ChangeReason, MemberChange, Output};
 use super::{Member, Membership};
@@ -9,7 +9,8 @@
 use larchfall_policy::time::Timestamp;
 
 impl Membership {
-    /// The one place where what is known of others changes: the claim that supersedes the other stays, and is passed on.
+    /// Applies a claim if it supersedes the known status of the member, and queues the change for gossip. All changes of
+    /// other members go through this method.
     pub(super) fn apply_update(
         &mut self,
         update: &MemberUpdate,
@@ -18,13 +19,13 @@
         output: &mut Output,
     ) {
         let MemberUpdate { name, status, info, .. } = update;
-        if *name == self.me && reason != ChangeReason::Heard {
+        if *name == self.own_name && reason != ChangeReason::Heard {
             self.refute(*status, info, now);
             return;
         }
         let known = self.members.get(name).map(|member| member.status);
         if known.is_none() && (self.members.len() >= self.settings.max_members || status.is_final()) {
-            // Of a member that ended before it was heard of nothing need be known.
+            // The table needs no entry for a member that ended before this gateway learned of the member.
             return;
         }
         if known.is_some_and(|known| !status.supersedes(known)) {
@@ -37,24 +38,24 @@
         self.live_count -= usize::from(known.is_some_and(|known| !known.is_final()));
         self.live_count += usize::from(!status.is_final());
         if status.is_final() {
-            self.next_forget = self.next_forget.min(now + self.settings.ended_retention);
+            self.next_expiry = self.next_expiry.min(now + self.settings.ended_retention);
         }
         self.version += 1;
         self.gossip.enqueue(name);
         if status.state == MemberState::Suspected {
             let reporter = update.reporter.clone().unwrap_or_default();
-            let period = self.health.stretch(self.settings.probe_interval);
-            let suspicion = Suspicion::new(reporter, self.live_count, period, now);
+            let interval = self.health.scale_timeout(self.settings.probe_interval);
+            let suspicion = Suspicion::new(reporter, self.live_count, interval, now);
             self.suspicions.insert(name.clone(), suspicion);
         } else {
             self.suspicions.remove(name);
         }
     }
 
-    /// The same claim from one more reporter.
+    /// Adds the reporter of a suspicion that is already known.
     fn confirm_suspicion(&mut self, update: &MemberUpdate) {
         if let (Some(reporter), Some(suspicion)) = (&update.reporter, self.suspicions.get_mut(&update.name))
-            && suspicion.confirm(reporter.clone())
+            && suspicion.add_reporter(reporter.clone())
         {
             self.gossip.enqueue(&update.name);
         }
@@ -94,48 +95,48 @@
         member.info = info.clone();
     }
 
-    /// Answers what others claim of this gateway.
-    fn refute(&mut self, claimed: MemberStatus, info: &MemberInfo, now: Timestamp) {
-        let myself = self.own_entry();
-        if claimed.generation > myself.status.generation && info.address != myself.info.address {
+    /// Refutes a claim of another gateway about this gateway, or detects that another process took over the name.
+    fn refute(&mut self, claim: MemberStatus, info: &MemberInfo, now: Timestamp) {
+        let own_entry = self.own_entry();
+        if claim.generation > own_entry.status.generation && info.address != own_entry.info.address {
             self.name_taken = true;
             return;
         }
-        let Some(status) = refutation(myself.status, claimed) else { return };
-        if let Some(myself) = self.members.get_mut(&self.me) {
-            myself.status = status;
-            myself.state_since = now;
+        let Some(status) = refutation(own_entry.status, claim) else { return };
+        if let Some(own_entry) = self.members.get_mut(&self.own_name) {
+            own_entry.status = status;
+            own_entry.state_since = now;
         }
         self.version += 1;
-        self.health.record(HealthEvent::Refuted);
-        self.gossip.enqueue(&self.me);
+        self.health.record(HealthEvent::ClaimRefuted);
+        self.gossip.enqueue(&self.own_name);
     }
 
-    /// Declares members dead that did not refute a suspicion in time.
-    pub(super) fn end_suspicions(&mut self, now: Timestamp, output: &mut Output) {
-        let is_over = |suspicion: &Suspicion| suspicion.deadline() <= now;
-        let over: Vec<String> =
-            self.suspicions.iter().filter(|(_, s)| is_over(s)).map(|(name, _)| name.clone()).collect();
-        for name in over {
+    /// Declares suspected members dead that did not refute the suspicion in time.
+    pub(super) fn expire_suspicions(&mut self, now: Timestamp, output: &mut Output) {
+        let is_expired = |suspicion: &Suspicion| suspicion.deadline() <= now;
+        let expired: Vec<String> =
+            self.suspicions.iter().filter(|(_, s)| is_expired(s)).map(|(name, _)| name.clone()).collect();
+        for name in expired {
             let Some(update) = self.update_about(&name) else { continue };
-            let dead = MemberUpdate { status: update.status.with(MemberState::Dead), ..update };
+            let dead = MemberUpdate { status: update.status.with_state(MemberState::Dead), ..update };
             self.apply_update(&dead, ChangeReason::SuspicionTimeout, now, output);
         }
     }
 
-    /// Forgets members that ended long enough ago.
-    pub(super) fn forget_ended(&mut self, now: Timestamp) {
-        if self.live_count == self.members.len() || now < self.next_forget {
+    /// Removes members that ended at least `ended_retention` ago.
+    pub(super) fn remove_expired_members(&mut self, now: Timestamp) {
+        if self.live_count == self.members.len() || now < self.next_expiry {
             return;
         }
-        let remember = self.settings.ended_retention;
+        let retention = self.settings.ended_retention;
         let count_before = self.members.len();
-        let me = &self.me;
+        let own_name = &self.own_name;
         self.members.retain(|name, member| {
-            name == me || !member.status.is_final() || now.since(member.state_since) < remember
+            name == own_name || !member.status.is_final() || now.since(member.state_since) < retention
         });
         self.version += u64::from(count_before != self.members.len());
         let ended = self.members.values().filter(|member| member.status.is_final());
-        self.next_forget = ended.map(|member| member.state_since + remember).min().unwrap_or(now);
+        self.next_expiry = ended.map(|member| member.state_since + retention).min().unwrap_or(now);
     }
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,33 +1,37 @@
-//! How long a suspected member has to refute it, after Lifeguard (section IV.B): long while one gateway alone had no
-//! answer, which may be that one's own fault, and shorter with each further reporter.
+//! Time that a suspected member has to refute the suspicion, after Lifeguard (section IV.B). The timeout is long while only
+//! one gateway reports a missing acknowledgement, because that gateway may be at fault itself. Each further reporter
+//! shortens the timeout.
 
 use larchfall_policy::time::{Duration, Timestamp};
 
-/// Further reporters that bring the timeout down to the shortest.
+/// Number of reporters after the first with which the timeout reaches its minimum.
 const MAX_CONFIRMATIONS: usize = 3;
-/// Rounds of gossip that a refutation may need, times the logarithm of how many pass it on.
+/// Minimum timeout in probe intervals, per unit of log2 of the number of members. Estimates the gossip rounds that a
+/// refutation may need.
 const MIN_TIMEOUT_ROUNDS: f64 = 3.0;
-/// How much longer the timeout is with a single reporter.
+/// Ratio of the timeout with a single reporter to the minimum timeout.
 const MAX_TIMEOUT_MULTIPLE: f64 = 4.0;
 
-/// The suspicion of one member.
+/// Suspicion of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Suspicion {
-    since: Timestamp,
-    /// The first is the one whose report began it.
+    started_at: Timestamp,
+    /// Names of the gateways that reported the member. The first one started the suspicion.
     reporters: Vec<String>,
     min_timeout: Duration,
 }
 
 impl Suspicion {
-    /// `members` are those who pass updates on; `period` is this gateway's own, as its health stretches it.
-    pub fn new(reporter: String, members: usize, period: Duration, now: Timestamp) -> Suspicion {
+    /// Starts a suspicion. `members` is the number of live members that gossip updates. `interval` is the probe interval,
+    /// scaled by the local health.
+    pub fn new(reporter: String, members: usize, interval: Duration, now: Timestamp) -> Suspicion {
         let rounds = MIN_TIMEOUT_ROUNDS * ((members + 1) as f64).log2().max(1.0);
-        Suspicion { since: now, reporters: vec![reporter], min_timeout: period * rounds }
+        Suspicion { started_at: now, reporters: vec![reporter], min_timeout: interval * rounds }
     }
 
-    /// Another gateway had no answer either; the same one counts once. Returns whether it is a new reporter.
-    pub fn confirm(&mut self, reporter: String) -> bool {
+    /// Adds a further gateway that reports the member. Returns `false` if the reporter is already known or if the timeout is
+    /// at its minimum.
+    pub fn add_reporter(&mut self, reporter: String) -> bool {
         let is_new = self.reporters.len() <= MAX_CONFIRMATIONS && !self.reporters.contains(&reporter);
         if is_new {
             self.reporters.push(reporter);
@@ -35,22 +39,22 @@
         is_new
     }
 
-    /// Whom to name when it is passed on: this gateway where it reported it itself, else the first who did. A gateway that
-    /// only passes on what it heard is no further reporter.
-    pub fn reporter(&self, me: &str) -> &str {
-        self.reporters.iter().find(|reporter| *reporter == me).unwrap_or(&self.reporters[0])
+    /// Returns the reporter to name in gossip: `own_name` if this gateway reported the member itself, otherwise the first
+    /// reporter. A gateway that only passes on a suspicion is not a reporter.
+    pub fn reporter_to_send(&self, own_name: &str) -> &str {
+        self.reporters.iter().find(|reporter| *reporter == own_name).unwrap_or(&self.reporters[0])
     }
 
-    /// When the member counts as dead.
+    /// Returns the time at which the member is declared dead unless the suspicion is refuted.
     pub fn deadline(&self) -> Timestamp {
         let confirmations = (self.reporters.len() - 1).min(MAX_CONFIRMATIONS) as f64;
         let progress = (confirmations + 1.0).ln() / ((MAX_CONFIRMATIONS + 1) as f64).ln();
         let multiple = MAX_TIMEOUT_MULTIPLE - (MAX_TIMEOUT_MULTIPLE - 1.0) * progress;
-        self.since + self.min_timeout * multiple
+        self.started_at + self.min_timeout * multiple
     }
 
-    /// Time in which this gateway did not run is nobody's silence.
+    /// Extends the deadline by the time for which this gateway did not run and could not receive a refutation.
     pub fn postpone(&mut self, by: Duration) {
-        self.since = self.since + by;
+        self.started_at = self.started_at + by;
     }
 }
--- a/crates/membership/tests/components.rs
+++ b/crates/membership/tests/components.rs
@@ -73,7 +73,7 @@
         ("e", false, 12),
     ];
     for (who, new, ends) in cases {
-        assert_eq!(suspicion.confirm(who.into()), new, "{who}");
+        assert_eq!(suspicion.add_reporter(who.into()), new, "{who}");
         assert_eq!(suspicion.deadline().micros() / 1_000_000, ends, "{who}");
     }
     suspicion.postpone(s(5));
@@ -84,17 +84,17 @@
 fn own_health_stretches_timeouts() {
     let mut health = LocalHealth::default();
     let events = [
-        (HealthEvent::Unanswered, 2),
+        (HealthEvent::ProbeUnanswered, 2),
         (HealthEvent::Stalled, 4),
-        (HealthEvent::Refuted, 5),
-        (HealthEvent::Acked, 4),
+        (HealthEvent::ClaimRefuted, 5),
+        (HealthEvent::ProbeAcked, 4),
     ];
     for (event, times) in events {
         health.record(event);
-        assert_eq!(health.stretch(s(1)), s(times), "{event:?}");
+        assert_eq!(health.scale_timeout(s(1)), s(times), "{event:?}");
     }
     (0..20).for_each(|_| health.record(HealthEvent::Stalled));
-    assert_eq!(health.stretch(s(1)), s(9));
+    assert_eq!(health.scale_timeout(s(1)), s(9));
 }
 
 #[test]
@@ -103,7 +103,7 @@
     gossip.enqueue("a");
     let take = |gossip: &mut GossipQueue, count: usize| {
         let mut taken = Vec::new();
-        gossip.take_next(7, |name| {
+        gossip.take_batch(7, |name| {
             let fits = taken.len() < count;
             taken.extend(fits.then(|| name.to_owned()));
             fits
--- a/crates/membership/tests/datagram_bytes.rs
+++ b/crates/membership/tests/datagram_bytes.rs
@@ -39,7 +39,7 @@
         (Payload::Ack { sequence: 300 }, "0103746f79026e30bc0502007f000001d836027a31fa0102ac02007be229ce"),
         (Payload::Nack { sequence: 300 }, "0103746f79026e30bc0502007f000001d836027a31fa0103ac0200c3486c13"),
         (
-            Payload::Table { after: Some("n1".into()), wants_reply: true },
+            Payload::TablePage { after: Some("n1".into()), wants_reply: true },
             "0103746f79026e30bc0502007f000001d836027a31fa010401026e310100422ed358",
         ),
     ];
@@ -56,7 +56,7 @@
         info: info(port, ""),
         reporter: reporter.map(str::to_owned),
     };
-    let mut datagram = Datagram::new("toy", sender(), Payload::Table { after: None, wants_reply: false });
+    let mut datagram = Datagram::new("toy", sender(), Payload::TablePage { after: None, wants_reply: false });
     datagram.updates = vec![
         update("n1", 0, MemberState::Alive, 7001, None),
         update("n2", 1, MemberState::Suspected, 7002, Some("n9")),
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -166,11 +166,11 @@
         let mut next = world.clone();
         match act {
             Act::Suspect { by, member } => {
-                let status = next.tables[by][member]?.with(MemberState::Suspected);
+                let status = next.tables[by][member]?.with_state(MemberState::Suspected);
                 next.believe(by, member, status, self);
             }
             Act::DeclareDead { by, member } => {
-                let status = next.tables[by][member]?.with(MemberState::Dead);
+                let status = next.tables[by][member]?.with_state(MemberState::Dead);
                 next.believe(by, member, status, self);
             }
             Act::Send { from, to, about } => {
