--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -12,7 +12,11 @@
 }
 
 fn check_not_negative(field: impl Into<String>, value: f64) -> CheckResult {
-    if value.is_finite() && value >= 0.0 { Ok(()) } else { reject(field, Problem::NegativeOrNotFinite { value }) }
+    if value.is_finite() && value >= 0.0 {
+        Ok(())
+    } else {
+        reject(field, Problem::NegativeOrNotFinite { value })
+    }
 }
 
 pub(crate) fn check(raw: &Raw) -> CheckResult {
--- a/crates/gateway/src/cli/help.rs
+++ b/crates/gateway/src/cli/help.rs
@@ -8,9 +8,9 @@
        larchfall members --config FILE --site FILE       members that the running gateway knows, and their state
        larchfall leases --config FILE --site FILE        holder of each lease, as the running gateway knows it
        larchfall quotas --config FILE --site FILE        quotas of the running gateway, and those that it allocates
-       larchfall engines --config FILE --site FILE       health of each engine, as observed by the running gateway and others
+       larchfall engines --config FILE --site FILE       health of each engine, as observed by this and other gateways
        larchfall subsets --config FILE --site FILE --fronts N [--chart FILE.svg]
-                                                         engines that each of N gateways would use under [subsets]; queries no gateway
+                                                         engines that each of N gateways would use; queries no gateway
        larchfall version                                 print the version
        larchfall help                                    print this help
 
--- a/crates/gateway/src/startup/cluster.rs
+++ b/crates/gateway/src/startup/cluster.rs
@@ -58,7 +58,7 @@
             LeaseService::open(state, LeaseSetup { settings, member_id, seed, platform, quota_inputs })
         })
         .transpose()
-        .map_err(StartupError::Leases)?;
+        .map_err(StartupError::ProgramSupervisor)?;
     let (leases, record_writer) = match opened_leases {
         Some(OpenedLeases { service, record_writer }) => (Some(service), record_writer),
         None => (None, None),
--- a/crates/gateway/src/startup/error.rs
+++ b/crates/gateway/src/startup/error.rs
@@ -47,10 +47,10 @@
     },
     /// The thread that supervises the operator's programs could not be started.
     #[error("duties: cannot start the supervisor of programs: {0}")]
-    Leases(io::Error),
+    ProgramSupervisor(io::Error),
     /// The thread that writes the voter record could not be started.
     #[error("cannot start the thread that writes the voter record: {0}")]
-    RecordThread(io::Error),
+    VoterRecordThread(io::Error),
     /// The timer thread could not be started.
     #[error("cannot start the timer thread: {0}")]
     TimerThread(io::Error),
@@ -70,8 +70,8 @@
             StartupError::Randomness(_)
             | StartupError::SocketPair(_)
             | StartupError::Signals(_)
-            | StartupError::Leases(_)
-            | StartupError::RecordThread(_)
+            | StartupError::ProgramSupervisor(_)
+            | StartupError::VoterRecordThread(_)
             | StartupError::TimerThread(_)
             | StartupError::MainCoroutinePanicked => EXIT_FAILURE,
         }
--- a/crates/gateway/src/startup/mod.rs
+++ b/crates/gateway/src/startup/mod.rs
@@ -130,7 +130,7 @@
     let JoinedCluster { cluster, record_writer } =
         cluster::join(state, settings, quota_inputs, seed, platform)?;
     if let Some(writer) = record_writer {
-        writer.start(state, &cluster).map_err(StartupError::RecordThread)?;
+        writer.start(state, &cluster).map_err(StartupError::VoterRecordThread)?;
     }
     Ok(Some(cluster))
 }
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -53,7 +53,7 @@
     #[error("must list 3, 5 or 7 different gateway names of 1 to {maximum} bytes, got {names:?}")]
     InvalidVoterNames { names: Vec<String>, maximum: usize },
     #[error(
-        "{maximum_ms} ms is less than lease-ms ({lease_ms} ms), so voters would grant less than a lease needs"
+        "{maximum_ms} ms is less than lease-ms ({lease_ms} ms), so voters would reject leases of this length"
     )]
     MaximumBelowLease { maximum_ms: u64, lease_ms: u64 },
     #[error(
--- a/crates/operator-config/src/health_gossip.rs
+++ b/crates/operator-config/src/health_gossip.rs
@@ -26,15 +26,16 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawSignals {
-    #[serde(default = "default_ms::<250>")]
-    every_ms: Spanned<u64>,
+    #[serde(rename = "every-ms", default = "default_ms::<250>")]
+    interval_ms: Spanned<u64>,
     #[serde(default = "default_count::<8>")]
     fanout: Spanned<usize>,
     #[serde(default = "default_ms::<10_000>")]
     window_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<4_000>")]
-    lasts_ms: Spanned<u64>,
-    turn_ms: Option<Spanned<u64>>,
+    #[serde(rename = "lasts-ms", default = "default_ms::<4_000>")]
+    max_age_ms: Spanned<u64>,
+    #[serde(rename = "turn-ms")]
+    probe_slot_ms: Option<Spanned<u64>>,
 }
 
 pub(crate) fn check(
@@ -47,12 +48,12 @@
         return Err(table.invalid(spanned, "every-ms", Problem::NeedsMembership));
     }
     let raw = spanned.get_ref();
-    let interval = table.duration(&raw.every_ms, "every-ms", 20, 60_000)?;
+    let interval = table.duration(&raw.interval_ms, "every-ms", 20, 60_000)?;
     let fanout = table.count(&raw.fanout, "fanout", 1, 64)?;
     let window = table.duration(&raw.window_ms, "window-ms", 100, 600_000)?;
-    let max_age = table.duration(&raw.lasts_ms, "lasts-ms", 100, 600_000)?;
+    let max_age = table.duration(&raw.max_age_ms, "lasts-ms", 100, 600_000)?;
     let probe_slot =
-        raw.turn_ms.as_ref().map(|slot| table.duration(slot, "turn-ms", 100, 600_000)).transpose()?;
+        raw.probe_slot_ms.as_ref().map(|slot| table.duration(slot, "turn-ms", 100, 600_000)).transpose()?;
     Ok(HealthGossipConfig {
         interval,
         fanout,
--- a/crates/operator-config/src/leases.rs
+++ b/crates/operator-config/src/leases.rs
@@ -77,35 +77,36 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawDuties {
-    electors: Spanned<Vec<Spanned<String>>>,
-    #[serde(default)]
-    electors_before: Option<Spanned<Vec<Spanned<String>>>>,
-    #[serde(default = "default_ms::<3_000>")]
-    lease_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<10_000>")]
-    longest_ms: Spanned<u64>,
-    #[serde(default = "default_count::<60>")]
-    margin: Spanned<usize>,
-    #[serde(default = "default_ms::<30_000>")]
-    least_ms: Spanned<u64>,
-    #[serde(default)]
-    record: Option<PathBuf>,
-    #[serde(default)]
-    stale_ms: Option<Spanned<u64>>,
-    #[serde(default)]
-    ill: Option<Spanned<usize>>,
-    #[serde(default)]
-    probing: Option<Spanned<usize>>,
-    #[serde(default)]
-    keepers: Option<Spanned<usize>>,
-    #[serde(default = "default_ms::<1_000>")]
-    share_ms: Spanned<u64>,
-    #[serde(default = "default_quota_kinds")]
-    hand_out: Vec<RawQuotaKind>,
-    #[serde(default = "default_ms::<500>")]
-    probe_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<1_500>")]
-    fresh_ms: Spanned<u64>,
+    #[serde(rename = "electors")]
+    voters: Spanned<Vec<Spanned<String>>>,
+    #[serde(rename = "electors-before", default)]
+    previous_voters: Option<Spanned<Vec<Spanned<String>>>>,
+    #[serde(rename = "lease-ms", default = "default_ms::<3_000>")]
+    lease_length_ms: Spanned<u64>,
+    #[serde(rename = "longest-ms", default = "default_ms::<10_000>")]
+    longest_lease_ms: Spanned<u64>,
+    #[serde(rename = "margin", default = "default_count::<60>")]
+    drift_margin_per_mille: Spanned<usize>,
+    #[serde(rename = "least-ms", default = "default_ms::<30_000>")]
+    min_hold_time_ms: Spanned<u64>,
+    #[serde(rename = "record", default)]
+    voter_record_directory: Option<PathBuf>,
+    #[serde(rename = "stale-ms", default)]
+    max_discovery_silence_ms: Option<Spanned<u64>>,
+    #[serde(rename = "ill", default)]
+    unhealthy_score: Option<Spanned<usize>>,
+    #[serde(rename = "probing", default)]
+    health_check_roles: Option<Spanned<usize>>,
+    #[serde(rename = "keepers", default)]
+    quota_allocators: Option<Spanned<usize>>,
+    #[serde(rename = "share-ms", default = "default_ms::<1_000>")]
+    quota_lifetime_ms: Spanned<u64>,
+    #[serde(rename = "hand-out", default = "default_quota_kinds")]
+    quota_kinds: Vec<RawQuotaKind>,
+    #[serde(rename = "probe-ms", default = "default_ms::<500>")]
+    check_interval_ms: Spanned<u64>,
+    #[serde(rename = "fresh-ms", default = "default_ms::<1_500>")]
+    max_report_age_ms: Spanned<u64>,
 }
 
 #[derive(Clone, Copy, PartialEq, Deserialize)]
@@ -126,16 +127,17 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawProgram {
-    name: Spanned<String>,
+    #[serde(rename = "name")]
+    role: Spanned<String>,
     command: Spanned<Vec<String>>,
-    #[serde(default = "default_ms::<300>")]
-    end_ms: Spanned<u64>,
+    #[serde(rename = "end-ms", default = "default_ms::<300>")]
+    stop_grace_ms: Spanned<u64>,
 }
 
 /// Rejects programs in a file without a `[duties]` table, since programs run only under leases.
 pub(crate) fn reject_programs_without_leases(text: &str, programs: &[RawProgram]) -> Result<(), ConfigError> {
     match programs.first() {
-        Some(first) => Err(ConfigError::ProgramWithoutLeases { line: line(text, first.name.span().start) }),
+        Some(first) => Err(ConfigError::ProgramWithoutLeases { line: line(text, first.role.span().start) }),
         None => Ok(()),
     }
 }
@@ -148,29 +150,40 @@
 ) -> Result<LeaseConfig, ConfigError> {
     let table = Table::new(text, "duties");
     let Some(membership) = membership else {
-        return Err(table.invalid(&raw.electors, "electors", Problem::NeedsMembership));
+        return Err(table.invalid(&raw.voters, "electors", Problem::NeedsMembership));
     };
-    let previous = raw.electors_before.as_ref();
+    let previous = raw.previous_voters.as_ref();
     let previous = previous.map(|names| check_voters(&table, names, "electors-before")).transpose()?;
-    let current = check_voters(&table, &raw.electors, "electors")?;
-    let lease_length = table.duration(&raw.lease_ms, "lease-ms", 200, 60_000)?;
+    let current = check_voters(&table, &raw.voters, "electors")?;
+    let lease_length = table.duration(&raw.lease_length_ms, "lease-ms", 200, 60_000)?;
     let longest_lease = check_longest_lease(&table, &raw, lease_length)?;
     let load_sharing = check_load_sharing(&table, &raw)?;
     let quotas = check_quotas(&table, &raw)?;
     let mut roles = built_in_roles(load_sharing, quotas);
     let programs = check_programs(text, raw_programs, &mut roles, lease_length)?;
-    let drift_margin_per_mille = table.count(&raw.margin, "margin", 1, 500)? as u32;
+    let drift_margin_per_mille = table.count(&raw.drift_margin_per_mille, "margin", 1, 500)? as u32;
     let settings = LeaseSettings {
         cluster: membership.settings.cluster.clone(),
         voters: VoterSet { current, previous },
         terms: LeaseTerms { length: lease_length, drift_margin_per_mille },
-        voter_limits: VoterLimits { longest_lease, max_roles: MAX_ROLES, persistent: raw.record.is_some() },
+        voter_limits: VoterLimits {
+            longest_lease,
+            max_roles: MAX_ROLES,
+            persistent: raw.voter_record_directory.is_some(),
+        },
         roles,
-        min_hold_time: table.duration(&raw.least_ms, "least-ms", 0, 3_600_000)?,
+        min_hold_time: table.duration(&raw.min_hold_time_ms, "least-ms", 0, 3_600_000)?,
         better_holder_margin: MIN_SCORE_ADVANTAGE,
     };
     let fitness = check_fitness(&table, &raw)?;
-    Ok(LeaseConfig { settings, voter_record_directory: raw.record, fitness, load_sharing, quotas, programs })
+    Ok(LeaseConfig {
+        settings,
+        voter_record_directory: raw.voter_record_directory,
+        fitness,
+        load_sharing,
+        quotas,
+        programs,
+    })
 }
 
 /// Validates the names of the voters: 3, 5 or 7 different gateways.
@@ -195,35 +208,37 @@
     raw: &RawDuties,
     lease_length: Duration,
 ) -> Result<Duration, ConfigError> {
-    let longest = table.duration(&raw.longest_ms, "longest-ms", 200, 600_000)?;
+    let longest = table.duration(&raw.longest_lease_ms, "longest-ms", 200, 600_000)?;
     if longest < lease_length {
         let problem = Problem::MaximumBelowLease {
-            maximum_ms: *raw.longest_ms.get_ref(),
-            lease_ms: *raw.lease_ms.get_ref(),
+            maximum_ms: *raw.longest_lease_ms.get_ref(),
+            lease_ms: *raw.lease_length_ms.get_ref(),
         };
-        return Err(table.invalid(&raw.longest_ms, "longest-ms", problem));
+        return Err(table.invalid(&raw.longest_lease_ms, "longest-ms", problem));
     }
     Ok(longest)
 }
 
 fn check_load_sharing(table: &Table, raw: &RawDuties) -> Result<Option<LoadSharingSettings>, ConfigError> {
-    let role_count = raw.probing.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
-    let check_interval = table.duration(&raw.probe_ms, "probe-ms", 20, 60_000)?;
-    let max_report_age = table.duration(&raw.fresh_ms, "fresh-ms", 20, 600_000)?;
+    let role_count =
+        raw.health_check_roles.as_ref().map(|count| table.count(count, "probing", 1, 64)).transpose()?;
+    let check_interval = table.duration(&raw.check_interval_ms, "probe-ms", 20, 60_000)?;
+    let max_report_age = table.duration(&raw.max_report_age_ms, "fresh-ms", 20, 600_000)?;
     if max_report_age < check_interval {
         let problem = Problem::StaleBeforeNextProbe {
-            fresh_ms: *raw.fresh_ms.get_ref(),
-            probe_ms: *raw.probe_ms.get_ref(),
+            fresh_ms: *raw.max_report_age_ms.get_ref(),
+            probe_ms: *raw.check_interval_ms.get_ref(),
         };
-        return Err(table.invalid(&raw.fresh_ms, "fresh-ms", problem));
+        return Err(table.invalid(&raw.max_report_age_ms, "fresh-ms", problem));
     }
     Ok(role_count.map(|role_count| LoadSharingSettings { role_count, check_interval, max_report_age }))
 }
 
 fn check_quotas(table: &Table, raw: &RawDuties) -> Result<Option<QuotaConfig>, ConfigError> {
-    let allocators = raw.keepers.as_ref().map(|count| table.count(count, "keepers", 1, 64)).transpose()?;
-    let lifetime = table.duration(&raw.share_ms, "share-ms", 100, 60_000)?;
-    let is_allocated = |kind| raw.hand_out.contains(&kind);
+    let allocators =
+        raw.quota_allocators.as_ref().map(|count| table.count(count, "keepers", 1, 64)).transpose()?;
+    let lifetime = table.duration(&raw.quota_lifetime_ms, "share-ms", 100, 60_000)?;
+    let is_allocated = |kind| raw.quota_kinds.contains(&kind);
     let kinds = QuotaKinds {
         slow_start: is_allocated(RawQuotaKind::SlowStart),
         threads: is_allocated(RawQuotaKind::Threads),
@@ -237,7 +252,8 @@
     load_sharing: Option<LoadSharingSettings>,
     quotas: Option<QuotaConfig>,
 ) -> BTreeSet<String> {
-    let health_check_roles = (0..load_sharing.map_or(0, |settings| settings.role_count)).map(health_check_role);
+    let health_check_roles =
+        (0..load_sharing.map_or(0, |settings| settings.role_count)).map(health_check_role);
     let allocator_roles = (0..quotas.map_or(0, |quotas| quotas.allocators)).map(quota_allocator_role);
     health_check_roles.chain(allocator_roles).collect()
 }
@@ -255,26 +271,27 @@
     let max_stop_grace_ms = lease_length.micros() / 4000;
     let mut programs = Vec::new();
     for raw in raw_programs {
-        let role = raw.name.get_ref().clone();
+        let role = raw.role.get_ref().clone();
         if !(1..=MAX_NAME_BYTES).contains(&role.len()) || !roles.insert(role.clone()) {
             let problem = Problem::InvalidRoleName { value: role, maximum: MAX_NAME_BYTES };
-            return Err(table.invalid(&raw.name, "name", problem));
+            return Err(table.invalid(&raw.role, "name", problem));
         }
         let command = raw.command.get_ref().clone();
         if command.first().is_none_or(String::is_empty) {
             return Err(table.invalid(&raw.command, "command", Problem::EmptyCommand));
         }
-        let stop_grace = table.duration(&raw.end_ms, "end-ms", 10, max_stop_grace_ms)?;
+        let stop_grace = table.duration(&raw.stop_grace_ms, "end-ms", 10, max_stop_grace_ms)?;
         programs.push(ProgramConfig { role, command, stop_grace });
     }
     Ok(programs)
 }
 
 fn check_fitness(table: &Table, raw: &RawDuties) -> Result<FitnessThresholds, ConfigError> {
-    let max_silence = raw.stale_ms.as_ref();
+    let max_silence = raw.max_discovery_silence_ms.as_ref();
     let max_discovery_silence =
         max_silence.map(|limit| table.duration(limit, "stale-ms", 100, 3_600_000)).transpose()?;
-    let unhealthy_score = raw.ill.as_ref().map(|score| table.count(score, "ill", 1, 8)).transpose()?;
+    let unhealthy_score =
+        raw.unhealthy_score.as_ref().map(|score| table.count(score, "ill", 1, 8)).transpose()?;
     Ok(FitnessThresholds {
         max_discovery_silence,
         unhealthy_score: unhealthy_score.map(|score| score as u32),
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,9 @@
 //! Reads the operator's own settings, a TOML file in addition to the configuration that the platform provides. A file
-//! with any error is rejected as a whole, and a feature whose table is absent is off. Each module reads one table of the
-//! file: it deserializes a struct named `Raw…`, then validates and converts that struct. The `Raw…` structs and their
-//! fields have the names of the file's tables and keys, since error messages show these names.
+//! with any error is rejected as a whole, and a feature whose table is absent is off.
+//!
+//! Each module reads one table of the file: it deserializes a struct named `Raw…`, then validates and converts that
+//! struct. An error of a wrong type shows the name of the struct and its number of fields, so the structs are named after
+//! the file's tables; attributes give their fields the names of the file's keys.
 
 #![deny(missing_docs)]
 
@@ -48,13 +50,18 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
-    rest: Option<RawRest>,
-    fronts: Option<RawFronts>,
-    duties: Option<RawDuties>,
-    subsets: Option<RawSubsets>,
-    signals: Option<Spanned<RawSignals>>,
-    #[serde(default)]
-    duty: Vec<RawProgram>,
+    #[serde(rename = "rest")]
+    paged_rest: Option<RawRest>,
+    #[serde(rename = "fronts")]
+    membership: Option<RawFronts>,
+    #[serde(rename = "duties")]
+    leases: Option<RawDuties>,
+    #[serde(rename = "subsets")]
+    subsetting: Option<RawSubsets>,
+    #[serde(rename = "signals")]
+    health_gossip: Option<Spanned<RawSignals>>,
+    #[serde(rename = "duty", default)]
+    programs: Vec<RawProgram>,
 }
 
 /// Reads and validates a file. The text of an error starts with the path.
@@ -68,18 +75,18 @@
 /// settings.
 pub fn parse(text: &str, names: &Names) -> Result<OperatorConfig, ConfigError> {
     let raw: Raw = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
-    let membership = raw.fronts.map(|raw| membership::check(text, &raw)).transpose()?;
-    let leases = match raw.duties {
-        Some(duties) => Some(leases::check(text, duties, &raw.duty, membership.as_ref())?),
+    let membership = raw.membership.map(|raw| membership::check(text, &raw)).transpose()?;
+    let leases = match raw.leases {
+        Some(raw_leases) => Some(leases::check(text, raw_leases, &raw.programs, membership.as_ref())?),
         None => {
-            leases::reject_programs_without_leases(text, &raw.duty)?;
+            leases::reject_programs_without_leases(text, &raw.programs)?;
             None
         }
     };
-    let subsetting = raw.subsets.map(|raw| subsetting::check(text, &raw)).transpose()?;
+    let subsetting = raw.subsetting.map(|raw| subsetting::check(text, &raw)).transpose()?;
     let health_gossip =
-        raw.signals.map(|raw| health_gossip::check(text, &raw, membership.as_ref())).transpose()?;
-    let paged_rest = raw.rest.map(|raw| paged_rest::check(text, raw, names)).transpose()?;
+        raw.health_gossip.map(|raw| health_gossip::check(text, &raw, membership.as_ref())).transpose()?;
+    let paged_rest = raw.paged_rest.map(|raw| paged_rest::check(text, raw, names)).transpose()?;
     Ok(OperatorConfig { paged_rest, membership, leases, subsetting, health_gossip })
 }
 
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -37,49 +37,51 @@
 pub(crate) struct RawFronts {
     cluster: Spanned<String>,
     name: Spanned<String>,
-    address: Spanned<String>,
-    #[serde(default)]
-    told: Option<Spanned<String>>,
+    #[serde(rename = "address")]
+    listen: Spanned<String>,
+    #[serde(rename = "told", default)]
+    advertised: Option<Spanned<String>>,
     seeds: Vec<Spanned<String>>,
     networks: Vec<Spanned<String>>,
     #[serde(default)]
     zone: Option<Spanned<String>>,
-    #[serde(default)]
-    serves: u32,
-    #[serde(default = "default_ms::<500>")]
-    period_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<150>")]
-    answer_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<3_000>")]
-    table_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<60_000>")]
-    remembered_ms: Spanned<u64>,
-    #[serde(default = "default_count::<1_024>")]
-    most: Spanned<usize>,
-    #[serde(default)]
-    shares: bool,
-    #[serde(default = "default_ms::<30_000>")]
-    count_within_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<2_000>")]
-    count_step_ms: Spanned<u64>,
-    #[serde(default = "default_count::<1>")]
-    count_least: Spanned<usize>,
+    #[serde(rename = "serves", default)]
+    requests_per_second: u32,
+    #[serde(rename = "period-ms", default = "default_ms::<500>")]
+    probe_interval_ms: Spanned<u64>,
+    #[serde(rename = "answer-ms", default = "default_ms::<150>")]
+    probe_timeout_ms: Spanned<u64>,
+    #[serde(rename = "table-ms", default = "default_ms::<3_000>")]
+    table_interval_ms: Spanned<u64>,
+    #[serde(rename = "remembered-ms", default = "default_ms::<60_000>")]
+    remember_ended_ms: Spanned<u64>,
+    #[serde(rename = "most", default = "default_count::<1_024>")]
+    max_members: Spanned<usize>,
+    #[serde(rename = "shares", default)]
+    counts_live_gateways: bool,
+    #[serde(rename = "count-within-ms", default = "default_ms::<30_000>")]
+    fleet_size_window_ms: Spanned<u64>,
+    #[serde(rename = "count-step-ms", default = "default_ms::<2_000>")]
+    fleet_size_step_ms: Spanned<u64>,
+    #[serde(rename = "count-least", default = "default_count::<1>")]
+    min_fleet_size: Spanned<usize>,
 }
 
 pub(crate) fn check(text: &str, raw: &RawFronts) -> Result<MembershipConfig, ConfigError> {
     let table = Table::new(text, "fronts");
     let settings = membership_settings(&table, raw)?;
     let fleet_size = FleetSizeSettings {
-        window: table.duration(&raw.count_within_ms, "count-within-ms", 100, 3_600_000)?,
-        step: table.duration(&raw.count_step_ms, "count-step-ms", 10, 600_000)?,
-        min: table.count(&raw.count_least, "count-least", 1, 65_536)?,
+        window: table.duration(&raw.fleet_size_window_ms, "count-within-ms", 100, 3_600_000)?,
+        step: table.duration(&raw.fleet_size_step_ms, "count-step-ms", 10, 600_000)?,
+        min: table.count(&raw.min_fleet_size, "count-least", 1, 65_536)?,
     };
-    let listen = parse_address(&table, &raw.address, "address")?;
-    let advertised = raw.told.as_ref().map(|told| parse_address(&table, told, "told")).transpose()?;
+    let listen = parse_address(&table, &raw.listen, "address")?;
+    let advertised =
+        raw.advertised.as_ref().map(|address| parse_address(&table, address, "told")).transpose()?;
     let advertised = advertised.unwrap_or(listen);
     if advertised.port() == 0 || advertised.ip().is_unspecified() {
         return Err(table.invalid(
-            &raw.address,
+            &raw.listen,
             "address",
             Problem::UnreachableAddress { address: advertised },
         ));
@@ -90,30 +92,30 @@
         listen,
         advertised,
         zone: zone.map(|zone| check_name(&table, zone, "zone")).transpose()?.unwrap_or_default(),
-        requests_per_second: raw.serves,
+        requests_per_second: raw.requests_per_second,
         settings,
-        fleet_size: raw.shares.then_some(fleet_size),
+        fleet_size: raw.counts_live_gateways.then_some(fleet_size),
     })
 }
 
 fn membership_settings(table: &Table, raw: &RawFronts) -> Result<MembershipSettings, ConfigError> {
-    let probe_interval = table.duration(&raw.period_ms, "period-ms", 50, 60_000)?;
-    let probe_timeout = table.duration(&raw.answer_ms, "answer-ms", 10, 60_000)?;
+    let probe_interval = table.duration(&raw.probe_interval_ms, "period-ms", 50, 60_000)?;
+    let probe_timeout = table.duration(&raw.probe_timeout_ms, "answer-ms", 10, 60_000)?;
     if probe_timeout * 2.0 > probe_interval {
         let problem = Problem::ReplyTimeoutTooLong {
-            reply_timeout_ms: *raw.answer_ms.get_ref(),
-            period_ms: *raw.period_ms.get_ref(),
+            reply_timeout_ms: *raw.probe_timeout_ms.get_ref(),
+            period_ms: *raw.probe_interval_ms.get_ref(),
         };
-        return Err(table.invalid(&raw.answer_ms, "answer-ms", problem));
+        return Err(table.invalid(&raw.probe_timeout_ms, "answer-ms", problem));
     }
     Ok(MembershipSettings {
         cluster: check_name(table, &raw.cluster, "cluster")?,
         probe_interval,
         probe_timeout,
         helpers: INDIRECT_PING_HELPERS,
-        remember_ended: table.duration(&raw.remembered_ms, "remembered-ms", 1_000, 3_600_000)?,
-        table_interval: table.duration(&raw.table_ms, "table-ms", 100, 600_000)?,
-        max_members: table.count(&raw.most, "most", 2, 65_536)?,
+        remember_ended: table.duration(&raw.remember_ended_ms, "remembered-ms", 1_000, 3_600_000)?,
+        table_interval: table.duration(&raw.table_interval_ms, "table-ms", 100, 600_000)?,
+        max_members: table.count(&raw.max_members, "most", 2, 65_536)?,
         networks: raw.networks.iter().map(|value| parse_network(table, value)).collect::<Result<_, _>>()?,
         seeds: raw.seeds.iter().map(|seed| parse_address(table, seed, "seeds")).collect::<Result<_, _>>()?,
     })
--- a/crates/operator-config/src/paged_rest.rs
+++ b/crates/operator-config/src/paged_rest.rs
@@ -41,29 +41,30 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawRest {
     listen: Spanned<String>,
-    base: Option<Spanned<String>>,
-    #[serde(default)]
-    headers: HeaderFamily,
-    #[serde(default = "default_count::<32>")]
-    connections: Spanned<usize>,
-    #[serde(default = "default_count::<65_536>")]
-    statement_bytes: Spanned<usize>,
-    #[serde(default = "default_ms::<1_000>")]
-    poll_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<10_000>")]
-    kept_for_ms: Spanned<u64>,
-    #[serde(default = "default_count::<256>")]
-    results: Spanned<usize>,
-    #[serde(default = "default_count::<32>")]
-    in_hand: Spanned<usize>,
-    #[serde(default = "default_count::<4>")]
-    result_pages: Spanned<usize>,
-    #[serde(default = "default_count::<65_536>")]
-    result_bytes: Spanned<usize>,
-    #[serde(default = "default_count::<8_388_608>")]
-    all_bytes: Spanned<usize>,
+    #[serde(rename = "base")]
+    base_url: Option<Spanned<String>>,
+    #[serde(rename = "headers", default)]
+    header_family: HeaderFamily,
+    #[serde(rename = "connections", default = "default_count::<32>")]
+    max_connections: Spanned<usize>,
+    #[serde(rename = "statement-bytes", default = "default_count::<65_536>")]
+    max_statement_bytes: Spanned<usize>,
+    #[serde(rename = "poll-ms", default = "default_ms::<1_000>")]
+    poll_timeout_ms: Spanned<u64>,
+    #[serde(rename = "kept-for-ms", default = "default_ms::<10_000>")]
+    retention_ms: Spanned<u64>,
+    #[serde(rename = "results", default = "default_count::<256>")]
+    max_results: Spanned<usize>,
+    #[serde(rename = "in-hand", default = "default_count::<32>")]
+    max_in_flight: Spanned<usize>,
+    #[serde(rename = "result-pages", default = "default_count::<4>")]
+    max_result_pages: Spanned<usize>,
+    #[serde(rename = "result-bytes", default = "default_count::<65_536>")]
+    max_result_bytes: Spanned<usize>,
+    #[serde(rename = "all-bytes", default = "default_count::<8_388_608>")]
+    max_total_bytes: Spanned<usize>,
     #[serde(rename = "batch")]
-    request: Spanned<FieldSources>,
+    sources: Spanned<FieldSources>,
 }
 
 pub(crate) fn check(text: &str, raw: RawRest, names: &Names) -> Result<PagedRestConfig, ConfigError> {
@@ -71,45 +72,45 @@
     let listen = raw.listen.get_ref();
     let invalid = |_| table.invalid(&raw.listen, "listen", Problem::InvalidAddress { value: listen.clone() });
     let listen = listen.parse().map_err(invalid)?;
-    if let Some(base) = &raw.base {
+    if let Some(base) = &raw.base_url {
         let value = base.get_ref();
         if !(value.starts_with("http://") || value.starts_with("https://")) {
             return Err(table.invalid(base, "base", Problem::InvalidBaseUrl { value: value.clone() }));
         }
     }
-    let poll_timeout = table.duration(&raw.poll_ms, "poll-ms", 1, 60_000)?;
+    let poll_timeout = table.duration(&raw.poll_timeout_ms, "poll-ms", 1, 60_000)?;
     let limits = result_limits(&table, &raw, poll_timeout)?;
-    check_sources(&table, &raw.request, names)?;
+    check_sources(&table, &raw.sources, names)?;
     Ok(PagedRestConfig {
         listen,
-        base_url: raw.base.map(|base| base.into_inner().trim_end_matches('/').to_owned()),
-        header_family: raw.headers,
-        max_connections: table.count(&raw.connections, "connections", 1, 100_000)?,
-        max_statement_bytes: table.count(&raw.statement_bytes, "statement-bytes", 1, 1 << 20)?,
+        base_url: raw.base_url.map(|base| base.into_inner().trim_end_matches('/').to_owned()),
+        header_family: raw.header_family,
+        max_connections: table.count(&raw.max_connections, "connections", 1, 100_000)?,
+        max_statement_bytes: table.count(&raw.max_statement_bytes, "statement-bytes", 1, 1 << 20)?,
         poll_timeout,
         limits,
-        sources: raw.request.into_inner(),
+        sources: raw.sources.into_inner(),
     })
 }
 
 fn result_limits(table: &Table, raw: &RawRest, poll_timeout: Duration) -> Result<ResultLimits, ConfigError> {
-    let retention = table.duration(&raw.kept_for_ms, "kept-for-ms", 100, 3_600_000)?;
+    let retention = table.duration(&raw.retention_ms, "kept-for-ms", 100, 3_600_000)?;
     if retention <= poll_timeout {
         let problem = Problem::RetentionTooShort {
-            retention_ms: *raw.kept_for_ms.get_ref(),
-            poll_ms: *raw.poll_ms.get_ref(),
+            retention_ms: *raw.retention_ms.get_ref(),
+            poll_ms: *raw.poll_timeout_ms.get_ref(),
         };
-        return Err(table.invalid(&raw.kept_for_ms, "kept-for-ms", problem));
+        return Err(table.invalid(&raw.retention_ms, "kept-for-ms", problem));
     }
     let window = ResultWindow {
-        max_pages: table.count(&raw.result_pages, "result-pages", 1, 1024)?,
-        max_bytes: table.count(&raw.result_bytes, "result-bytes", 1024, 64 << 20)?,
+        max_pages: table.count(&raw.max_result_pages, "result-pages", 1, 1024)?,
+        max_bytes: table.count(&raw.max_result_bytes, "result-bytes", 1024, 64 << 20)?,
         retention,
     };
     Ok(ResultLimits {
-        max_results: table.count(&raw.results, "results", 1, 100_000)?,
-        max_in_flight: table.count(&raw.in_hand, "in-hand", 1, 100_000)?,
-        max_bytes: table.count(&raw.all_bytes, "all-bytes", 1024, 1 << 40)?,
+        max_results: table.count(&raw.max_results, "results", 1, 100_000)?,
+        max_in_flight: table.count(&raw.max_in_flight, "in-hand", 1, 100_000)?,
+        max_bytes: table.count(&raw.max_total_bytes, "all-bytes", 1024, 1 << 40)?,
         window,
     })
 }
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -23,24 +23,25 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) struct RawSubsets {
-    least: Spanned<usize>,
-    #[serde(default = "default_count::<250>")]
-    slack: Spanned<usize>,
-    #[serde(default = "default_ms::<1_000>")]
-    grows_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<10_000>")]
-    shrinks_ms: Spanned<u64>,
-    #[serde(default = "default_ms::<500>")]
-    look_ms: Spanned<u64>,
+    #[serde(rename = "least")]
+    min_engines: Spanned<usize>,
+    #[serde(rename = "slack", default = "default_count::<250>")]
+    load_slack_per_mille: Spanned<usize>,
+    #[serde(rename = "grows-ms", default = "default_ms::<1_000>")]
+    grow_interval_ms: Spanned<u64>,
+    #[serde(rename = "shrinks-ms", default = "default_ms::<10_000>")]
+    shrink_interval_ms: Spanned<u64>,
+    #[serde(rename = "look-ms", default = "default_ms::<500>")]
+    check_interval_ms: Spanned<u64>,
 }
 
 pub(crate) fn check(text: &str, raw: &RawSubsets) -> Result<SubsettingConfig, ConfigError> {
     let table = Table::new(text, "subsets");
-    let min_engines = table.count(&raw.least, "least", 1, 1024)?;
-    let load_slack = table.count(&raw.slack, "slack", 0, 1000)? as f64 / 1000.0;
-    let grow_interval = table.duration(&raw.grows_ms, "grows-ms", 10, 600_000)?;
-    let shrink_interval = table.duration(&raw.shrinks_ms, "shrinks-ms", 10, 3_600_000)?;
-    let check_interval = table.duration(&raw.look_ms, "look-ms", 10, 60_000)?;
+    let min_engines = table.count(&raw.min_engines, "least", 1, 1024)?;
+    let load_slack = table.count(&raw.load_slack_per_mille, "slack", 0, 1000)? as f64 / 1000.0;
+    let grow_interval = table.duration(&raw.grow_interval_ms, "grows-ms", 10, 600_000)?;
+    let shrink_interval = table.duration(&raw.shrink_interval_ms, "shrinks-ms", 10, 3_600_000)?;
+    let check_interval = table.duration(&raw.check_interval_ms, "look-ms", 10, 60_000)?;
     Ok(SubsettingConfig {
         plan: PlanSettings { min_engines, load_slack },
         aperture: ApertureSettings { grow_interval, shrink_interval },
