--- a/crates/gateway/src/cluster/leases/mod.rs
+++ b/crates/gateway/src/cluster/leases/mod.rs
@@ -155,6 +155,7 @@
         }
     }
 
+    /// Time until [`LeaseService::on_timer`] is due.
     pub(super) fn time_to_next_timer(&self) -> Duration {
         let now = self.now();
         let time_to_quota_request = self
@@ -179,22 +180,25 @@
         !self.supervisor.is_any_running() && !lock(&self.manager).holds_any_role()
     }
 
+    /// Gives up all leases at once, since a later process uses this gateway's name.
     pub(super) fn on_name_taken(&self, state: &State, cluster: &Cluster) {
         let output = lock(&self.manager).on_name_taken(self.now());
         self.apply_output(state, cluster, output);
     }
 
+    /// Updates the live members and the fitness of this gateway, runs the lease manager, and then updates programs, load
+    /// reports and quotas.
     pub(super) fn on_timer(&self, state: &Arc<State>, cluster: &Arc<Cluster>) {
         let now = self.now();
         *lock(&self.last_timer) = now;
         self.has_pending_events.store(false, Ordering::Relaxed);
         let state_now = state.clock.now();
         let membership = lock(&cluster.membership);
-        let health_score = membership.health().score();
+        let health_score = membership.local_health().score();
         // Membership uses the clock of the gateway's state, leases use the steady clock.
-        let to_steady_time = |member: &Member| now - state_now.since(member.since);
+        let to_steady_time = |member: &Member| now - state_now.since(member.state_since);
         let live_members: BTreeMap<String, Timestamp> =
-            membership.live().map(|(name, member)| (name.clone(), to_steady_time(member))).collect();
+            membership.live_members().map(|(name, member)| (name.clone(), to_steady_time(member))).collect();
         drop(membership);
         let endpoints = state.policy.endpoint_summary();
         let inputs = FitnessInputs {
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -71,9 +71,9 @@
     let table = Table::new(text, "fronts");
     let settings = membership_settings(&table, raw)?;
     let fleet_size = FleetSizeSettings {
-        window: table.duration(&raw.fleet_size_window_ms, "count-within-ms", 100, 3_600_000)?,
-        step: table.duration(&raw.fleet_size_step_ms, "count-step-ms", 10, 600_000)?,
-        min: table.count(&raw.min_fleet_size, "count-least", 1, 65_536)?,
+        decrease_delay: table.duration(&raw.fleet_size_window_ms, "count-within-ms", 100, 3_600_000)?,
+        decrease_interval: table.duration(&raw.fleet_size_step_ms, "count-step-ms", 10, 600_000)?,
+        min_gateways: table.count(&raw.min_fleet_size, "count-least", 1, 65_536)?,
     };
     let listen = parse_address(&table, &raw.listen, "address")?;
     let advertised =
@@ -112,11 +112,15 @@
         cluster: check_name(table, &raw.cluster, "cluster")?,
         probe_interval,
         probe_timeout,
-        helpers: INDIRECT_PING_HELPERS,
-        remember_ended: table.duration(&raw.remember_ended_ms, "remembered-ms", 1_000, 3_600_000)?,
-        table_interval: table.duration(&raw.table_interval_ms, "table-ms", 100, 600_000)?,
+        helper_count: INDIRECT_PING_HELPERS,
+        ended_retention: table.duration(&raw.remember_ended_ms, "remembered-ms", 1_000, 3_600_000)?,
+        table_exchange_interval: table.duration(&raw.table_interval_ms, "table-ms", 100, 600_000)?,
         max_members: table.count(&raw.max_members, "most", 2, 65_536)?,
-        networks: raw.networks.iter().map(|value| parse_network(table, value)).collect::<Result<_, _>>()?,
+        allowed_networks: raw
+            .networks
+            .iter()
+            .map(|value| parse_network(table, value))
+            .collect::<Result<_, _>>()?,
         seeds: raw.seeds.iter().map(|seed| parse_address(table, seed, "seeds")).collect::<Result<_, _>>()?,
     })
 }
--- a/crates/operator-config/tests/operator_file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -33,7 +33,10 @@
     let rest = example.paged_rest.unwrap();
     let membership = example.membership.unwrap();
     assert_eq!((rest.header_family, rest.sources.class.len()), (HeaderFamily::Both, 2));
-    assert_eq!((membership.advertised, membership.settings.networks[0].prefix_len), (membership.listen, 8));
+    assert_eq!(
+        (membership.advertised, membership.settings.allowed_networks[0].prefix_len),
+        (membership.listen, 8)
+    );
     let leases = example.leases.unwrap();
     assert_eq!((leases.settings.roles.len(), leases.programs.len(), leases.quotas), (5, 1, None));
     assert_eq!(leases.load_sharing.map(|sharing| sharing.max_report_age), Some(Duration::from_millis(1500)));
@@ -41,7 +44,8 @@
     assert!(parse(MINIMAL_FRONTS, &names()).unwrap().leases.is_none());
     let minimal = parse(MINIMAL_FRONTS, &names()).unwrap().membership.unwrap();
     assert!(
-        minimal.fleet_size.is_none() && membership.fleet_size.is_some_and(|fleet_size| fleet_size.min == 3)
+        minimal.fleet_size.is_none()
+            && membership.fleet_size.is_some_and(|fleet_size| fleet_size.min_gateways == 3)
     );
     assert_eq!(
         (minimal.settings.probe_interval, minimal.settings.max_members),
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -101,12 +101,15 @@
     let settings = membership.settings;
     assert_eq!((&settings.cluster[..], settings.max_members), ("harbor", 512));
     assert_eq!((settings.probe_interval, settings.probe_timeout), (ms(400), ms(120)));
-    assert_eq!((settings.table_interval, settings.remember_ended), (ms(2_500), ms(50_000)));
+    assert_eq!((settings.table_exchange_interval, settings.ended_retention), (ms(2_500), ms(50_000)));
     assert_eq!(settings.seeds, ["10.0.0.8:7400".parse().unwrap()]);
     let network = |address: [u8; 4], prefix_len| Network { address: address.into(), prefix_len };
-    assert_eq!(settings.networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
+    assert_eq!(settings.allowed_networks, [network([10, 0, 0, 0], 24), network([127, 0, 0, 1], 32)]);
     let fleet_size = membership.fleet_size.unwrap();
-    assert_eq!((fleet_size.window, fleet_size.step, fleet_size.min), (ms(20_000), ms(1_500), 2));
+    assert_eq!(
+        (fleet_size.decrease_delay, fleet_size.decrease_interval, fleet_size.min_gateways),
+        (ms(20_000), ms(1_500), 2)
+    );
 }
 
 #[test]
