--- a/crates/health-gossip/src/observation_store.rs
+++ b/crates/health-gossip/src/observation_store.rs
@@ -9,9 +9,9 @@
 
 /// If a gateway reports more than this fraction of engines as failing, the gateway's own network is assumed to be at
 /// fault.
-const OWN_NETWORK_FRACTION: f64 = 0.5;
+const OWN_NETWORK_FAULT_FRACTION: f64 = 0.5;
 /// Minimum number of reported engines for the assumption that a gateway's own network is at fault.
-const OWN_NETWORK_MIN_ENGINES: usize = 3;
+const OWN_NETWORK_FAULT_MIN_ENGINES: usize = 3;
 
 /// The latest counts of one engine process by one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,8 +81,8 @@
 impl FailingEngines {
     /// Whether so many engines fail that the reporting gateway's own network is probably at fault.
     pub fn suggests_own_network_fault(self) -> bool {
-        self.total >= OWN_NETWORK_MIN_ENGINES
-            && self.failing as f64 > self.total as f64 * OWN_NETWORK_FRACTION
+        self.total >= OWN_NETWORK_FAULT_MIN_ENGINES
+            && self.failing as f64 > self.total as f64 * OWN_NETWORK_FAULT_FRACTION
     }
 }
 
--- a/crates/health-gossip/src/observations.rs
+++ b/crates/health-gossip/src/observations.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Number of times that a changed entry is reported with precedence; afterwards all entries are reported in turn.
-const IMMEDIATE_SENDS: u32 = 3;
+const PRIORITY_SENDS: u32 = 3;
 
 /// The outcome of an attempt, as evidence about the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -144,9 +144,9 @@
         }
         // When all entries were sent often enough, reducing the counters keeps their order, so that the entries that
         // were sent the longest ago come first in the next reports.
-        if self.entries.values().all(|entry| entry.sends >= IMMEDIATE_SENDS) {
+        if self.entries.values().all(|entry| entry.sends >= PRIORITY_SENDS) {
             for entry in self.entries.values_mut() {
-                entry.sends -= IMMEDIATE_SENDS - 1;
+                entry.sends -= PRIORITY_SENDS - 1;
             }
         }
         Report { number: self.last_report_number, entries }
--- a/crates/quotas/src/allocator.rs
+++ b/crates/quotas/src/allocator.rs
@@ -166,14 +166,14 @@
 
     /// Fairness of the last grants, measured by the granted fraction per weight.
     pub fn fairness(&self) -> Fairness {
-        let fraction_per_weight =
+        let per_weight =
             |allocation: &Allocation| allocation.fraction / allocation.claim.weight.max(ROUNDING_TOLERANCE);
-        let fractions_per_weight = || self.allocations.values().map(fraction_per_weight);
+        let relative_fractions = || self.allocations.values().map(per_weight);
         Fairness {
             gateways: self.allocations.len(),
             in_use: self.fraction_in_use(),
-            jain_index: jain_index(fractions_per_weight()),
-            max_to_min_ratio: max_to_min_ratio(fractions_per_weight()),
+            jain_index: jain_index(relative_fractions()),
+            max_to_min_ratio: max_to_min_ratio(relative_fractions()),
         }
     }
 
--- a/crates/quotas/src/manager.rs
+++ b/crates/quotas/src/manager.rs
@@ -13,7 +13,7 @@
 /// Number of requests for each quota in one quota lifetime.
 const REQUESTS_PER_LIFETIME: f64 = 4.0;
 /// Number of latest request rounds whose answers are accepted; answers to earlier rounds are ignored.
-const MAX_ROUNDS: usize = 16;
+const MAX_ACCEPTED_ROUNDS: usize = 16;
 /// Demand of each gateway as a fraction of the whole. Only the weights of the gateways determine the division.
 const FULL_DEMAND: f64 = 1.0;
 
@@ -77,6 +77,7 @@
     pub fairness: Fairness,
 }
 
+/// A round of requests to all allocators.
 #[derive(Clone, Copy, Debug)]
 struct Round {
     number: u32,
@@ -172,7 +173,7 @@
     fn start_round(&mut self, now: Timestamp) -> u32 {
         self.last_round = self.last_round.wrapping_add(1);
         self.rounds.push_back(Round { number: self.last_round, requested_at: now });
-        if self.rounds.len() > MAX_ROUNDS {
+        if self.rounds.len() > MAX_ACCEPTED_ROUNDS {
             self.rounds.pop_front();
         }
         self.last_round
--- a/crates/quotas/tests/allocation.rs
+++ b/crates/quotas/tests/allocation.rs
@@ -161,10 +161,10 @@
     let total = request_quotas(&mut allocator, n, &mut shares);
     assert!(total > 0.99, "{total}");
     assert!(shares[0] > 4.0 * shares[1], "{shares:?}");
-    let five = request_quotas(&mut allocator, 5, &mut shares);
+    let live_total = request_quotas(&mut allocator, 5, &mut shares);
     // The seven stopped gateways keep their reserved fractions; the five live gateways share the rest.
     let reserved = terms(n).reserved_fraction();
-    assert!((five - (1.0 - 7.0 * reserved)).abs() < 0.01, "{five}");
+    assert!((live_total - (1.0 - 7.0 * reserved)).abs() < 0.01, "{live_total}");
     assert_eq!(allocator.gateways(), 5);
 }
 
@@ -195,25 +195,25 @@
     let settings = QuotaSettings { strict, soft, allocators: 2, max_capacities: 10 };
     let mut gateway = QuotaManager::new(settings, Timestamp::default());
     let mut allocator = QuotaManager::new(settings, Timestamp::default());
-    let all = [Capacity::SlowStart(4), Capacity::Threads(5), Capacity::Tenant(7)];
-    let wanted = |demand: &Demand| {
-        all.map(|capacity| CapacityDemand { capacity, weight: demand.tenant_demand(0) }).to_vec()
+    let capacities = [Capacity::SlowStart(4), Capacity::Threads(5), Capacity::Tenant(7)];
+    let demands_of = |demand: &Demand| {
+        capacities.map(|capacity| CapacityDemand { capacity, weight: demand.tenant_demand(0) }).to_vec()
     };
     let arrivals = |n: u64| Arrivals { classes: vec![], tenants: vec![n] };
     let allocator_of = |key: u64| key as usize % 2;
     let at = |ms: u64| Timestamp::from_micros(ms * 1000);
     let terms = gateway.request_terms();
-    let mut last = Vec::new();
+    let mut last_requests = Vec::new();
     for round in 0..12 {
         let now = at(1 + round * 250);
-        last = gateway.due_requests(|| arrivals(round * 10), wanted, allocator_of, now);
-        let again = gateway.due_requests(|| arrivals(round * 10), wanted, allocator_of, now);
+        last_requests = gateway.due_requests(|| arrivals(round * 10), demands_of, allocator_of, now);
+        let again = gateway.due_requests(|| arrivals(round * 10), demands_of, allocator_of, now);
         assert_eq!(again, [], "requests are due once in a quarter of a quota lifetime");
         if round == 0 {
             let fractions: Vec<f64> = gateway.quotas(now).map(|quota| quota.fraction).collect();
             assert_eq!(fractions, [0.125, 0.25, 0.25], "without grants the default fractions apply");
         }
-        for request in &last {
+        for request in &last_requests {
             let grants = allocator.on_request(7, "here", terms, &request.demands, now);
             gateway.on_grants(request.round, 7, &grants, now);
         }
@@ -221,23 +221,26 @@
     let requested_keys =
         |request: &QuotaRequest| request.demands.iter().map(|demand| demand.capacity).collect::<Vec<_>>();
     let requested: Vec<(usize, Vec<u64>)> =
-        last.iter().map(|request| (request.allocator, requested_keys(request))).collect();
-    assert_eq!(requested, [(0, vec![all[0].key()]), (1, vec![all[1].key(), all[2].key()])]);
-    assert!(last[0].demands[0].weight > 10.0, "{last:?}");
+        last_requests.iter().map(|request| (request.allocator, requested_keys(request))).collect();
+    assert_eq!(
+        requested,
+        [(0, vec![capacities[0].key()]), (1, vec![capacities[1].key(), capacities[2].key()])]
+    );
+    assert!(last_requests[0].demands[0].weight > 10.0, "{last_requests:?}");
     let now = at(2751);
     assert_eq!(gateway.quotas(now).filter(|quota| quota.granted).count(), 3);
     assert_eq!(allocator.allocations(now).count(), 3);
     assert!(gateway.quotas(now).all(|quota| quota.fraction > 2.0 * strict.reserved_fraction()));
     // No grants with other terms, from an allocator that just started, or for an unknown round.
-    let demands = [QuotaDemand { capacity: all[0].key(), weight: 1.0 }];
+    let demands = [QuotaDemand { capacity: capacities[0].key(), weight: 1.0 }];
     let other_terms = RequestTerms { max_gateways: 5, ..terms };
     assert_eq!(allocator.on_request(7, "there", other_terms, &demands, now), []);
     assert_eq!(allocator.on_request(8, "here", terms, &demands, now), []);
-    let grant = QuotaGrant { capacity: all[0].key(), fraction: 0.9 };
+    let grant = QuotaGrant { capacity: capacities[0].key(), fraction: 0.9 };
     assert_eq!(gateway.on_grants(999, 9, &[grant], now), 0);
-    let only_threads = |_: &Demand| vec![CapacityDemand { capacity: all[1], weight: 1.0 }];
+    let only_threads = |_: &Demand| vec![CapacityDemand { capacity: capacities[1], weight: 1.0 }];
     gateway.due_requests(|| arrivals(0), only_threads, allocator_of, at(9000));
-    let expected = QuotaStatus { capacity: all[1].key(), fraction: 0.25, granted: false };
+    let expected = QuotaStatus { capacity: capacities[1].key(), fraction: 0.25, granted: false };
     assert_eq!(gateway.quotas(at(9000)).collect::<Vec<_>>(), [expected]);
 }
 
--- a/crates/subsetting/src/aperture.rs
+++ b/crates/subsetting/src/aperture.rs
@@ -96,7 +96,7 @@
         engines: &[ReadyEngine],
     ) -> BTreeSet<u32> {
         let mut in_use = plan.subsets.get(&gateway.key).cloned().unwrap_or_default();
-        let preferred = preference_order(gateway, engines).into_iter().map(|engine| engine.id);
+        let preferred = preference_order(gateway, engines).into_iter().map(|ready| ready.id);
         let extra: Vec<u32> = preferred.filter(|id| !in_use.contains(id)).take(self.extra_engines).collect();
         in_use.extend(extra);
         in_use
