--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -9,8 +9,8 @@
 use larchfall_policy::time::Timestamp;
 
 impl Membership {
-    /// Applies a claim if it supersedes the known status of the member, and queues the change for gossip. All changes of
-    /// other members go through this method.
+    /// Applies a claim if it supersedes the known status of the member, and queues the change for gossip. All status
+    /// changes of other members go through this method.
     pub(super) fn apply_update(
         &mut self,
         update: &MemberUpdate,
--- a/crates/membership/tests/datagram_bytes.rs
+++ b/crates/membership/tests/datagram_bytes.rs
@@ -1,14 +1,14 @@
-//! A datagram of each kind, and its bytes as gateways of earlier versions write them.
+//! Wire compatibility: datagrams of each kind encode to the bytes that earlier versions of the gateway send.
 
 use larchfall_membership::datagram::{Datagram, Payload};
 use larchfall_membership::member_update::{MemberInfo, MemberState, MemberStatus, MemberUpdate};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn from_hex(hex: &str) -> Vec<u8> {
     (0..hex.len()).step_by(2).map(|i| u8::from_str_radix(&hex[i..i + 2], 16).unwrap()).collect()
 }
 
@@ -22,13 +22,13 @@
     MemberUpdate { name: "n0".into(), status, info: info(7000, "z1"), reporter: None }
 }
 
-fn assert_bytes(datagram: &Datagram, expected: &str) {
-    assert_eq!(hex(&datagram.encode()), expected, "{datagram:?}");
-    assert_eq!(Datagram::decode(&bytes_of(expected), "toy").as_ref(), Ok(datagram));
+fn assert_wire_format(datagram: &Datagram, expected: &str) {
+    assert_eq!(to_hex(&datagram.encode()), expected, "{datagram:?}");
+    assert_eq!(Datagram::decode(&from_hex(expected), "toy").as_ref(), Ok(datagram));
 }
 
 #[test]
-fn datagrams_of_each_kind_have_the_bytes_of_earlier_versions() {
+fn datagrams_of_each_kind_keep_their_wire_format() {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 9), 7001);
     let cases = [
         (Payload::Ping { sequence: 300 }, "0103746f79026e30bc0502007f000001d836027a31fa0100ac0200fac14e71"),
@@ -44,12 +44,12 @@
         ),
     ];
     for (payload, expected) in cases {
-        assert_bytes(&Datagram::new("toy", sender(), payload), expected);
+        assert_wire_format(&Datagram::new("toy", sender(), payload), expected);
     }
 }
 
 #[test]
-fn updates_of_each_state_have_the_bytes_of_earlier_versions() {
+fn updates_of_each_state_keep_their_wire_format() {
     let update = |name: &str, incarnation, state, port, reporter: Option<&str>| MemberUpdate {
         name: name.into(),
         status: MemberStatus { generation: 5, incarnation, state },
@@ -63,7 +63,7 @@
         update("n3", 2, MemberState::Dead, 7003, None),
         update("n4", 3, MemberState::Left, 7004, None),
     ];
-    assert_bytes(
+    assert_wire_format(
         &datagram,
         "0103746f79026e30bc0502007f000001d836027a31fa0104000004026e310500007f000001d93600fa0100026e320501017f000001da3600fa0101026e39026e330502027f000001db3600fa0100026e340503037f000001dc3600fa010090164105",
     );
