--- a/crates/gateway/src/client/paged_rest/connection.rs
+++ b/crates/gateway/src/client/paged_rest/connection.rs
@@ -89,11 +89,15 @@
 
     /// Handles a call, writes its response, and starts the timeout of the next call.
     fn respond(&mut self, call: &Call) -> Result<(), CloseReason> {
-        let closes = call.closes || self.state.shutdown.is_complete();
+        let closes = call.closes_connection || self.state.shutdown.is_complete();
         let response = calls::handle(self.state, self.service, call);
         self.write(&response.encode(closes, call.method))?;
         if closes {
-            return Err(if call.closes { CloseReason::CloseRequested } else { CloseReason::ShuttingDown });
+            return Err(if call.closes_connection {
+                CloseReason::CloseRequested
+            } else {
+                CloseReason::ShuttingDown
+            });
         }
         self.yield_to_others();
         self.sent_continue = false;
--- a/crates/gateway/src/client/paged_rest/pages.rs
+++ b/crates/gateway/src/client/paged_rest/pages.rs
@@ -5,7 +5,7 @@
 use crate::state::State;
 use crate::state::result_pages::AwaitedPage;
 use larchfall_paged_rest::call::{Call, Response};
-use larchfall_paged_rest::cursor::{FinalAnswer, Page};
+use larchfall_paged_rest::cursor::{Page, ResultOutcome};
 use larchfall_paged_rest::document::{self, PageContent, PageLinks};
 use larchfall_paged_rest::page_address::PageAddress;
 use larchfall_policy::time::Timestamp;
@@ -40,8 +40,8 @@
     lookup: AwaitedPage,
 ) -> Response {
     match lookup {
-        AwaitedPage::Page(page, final_answer) => {
-            count_delivered(state, final_answer);
+        AwaitedPage::Page(page, outcome) => {
+            count_delivered(state, outcome);
             responses::ok(page_document(service, call, address, &page))
         }
         // This gateway has signed the address, so the page existed at some time.
@@ -72,8 +72,8 @@
 }
 
 /// Counts a result as delivered when its last page is returned for the first time.
-pub(super) fn count_delivered(state: &State, final_answer: Option<FinalAnswer>) {
-    if let Some(FinalAnswer::Delivered(_)) = final_answer {
+pub(super) fn count_delivered(state: &State, outcome: Option<ResultOutcome>) {
+    if let Some(ResultOutcome::Delivered(_)) = outcome {
         state.counters.update_gateway(|counters| counters.results_delivered += 1);
     }
 }
--- a/crates/gateway/src/client/paged_rest/request_fields.rs
+++ b/crates/gateway/src/client/paged_rest/request_fields.rs
@@ -35,12 +35,12 @@
         return Err(FieldError::Invalid { field: "reference" });
     }
     let ordering_key =
-        parse_optional(fields.order_key.as_deref(), "key", client_request::parse_ordering_key)?;
+        parse_optional(fields.ordering_key.as_deref(), "key", client_request::parse_ordering_key)?;
     let class = fields.class.as_deref().ok_or(FieldError::Missing { field: "group" })?;
     let timeout = parse_optional(fields.timeout.as_deref(), "time-limit", client_request::parse_timeout)?;
-    let work_hint = parse_optional(fields.work.as_deref(), "work", client_request::parse_work_hint)?;
+    let work_hint = parse_optional(fields.work_hint.as_deref(), "work", client_request::parse_work_hint)?;
     let memory_hint_mb =
-        parse_optional(fields.memory.as_deref(), "memory", client_request::parse_memory_hint)?;
+        parse_optional(fields.memory_hint_mb.as_deref(), "memory", client_request::parse_memory_hint)?;
     Ok(ClientRequest {
         class,
         id,
--- a/crates/gateway/src/client/paged_rest/statement.rs
+++ b/crates/gateway/src/client/paged_rest/statement.rs
@@ -85,8 +85,8 @@
 ) -> Response {
     match pages::wait_for_page(state, service, first_page, received) {
         // The client has no page address yet, so it retries by posting the statement again.
-        AwaitedPage::Page(Page { end: Some(ResultEnd::Rejected), content, .. }, final_answer) => {
-            pages::count_delivered(state, final_answer);
+        AwaitedPage::Page(Page { end: Some(ResultEnd::Rejected), content, .. }, outcome) => {
+            pages::count_delivered(state, outcome);
             service.pages.abandon(first_page.result);
             let retry_after = content.error.and_then(|error| error.retry_after_millis);
             responses::rejected(retry_after.map(Duration::from_millis))
--- a/crates/gateway/src/state/result_pages.rs
+++ b/crates/gateway/src/state/result_pages.rs
@@ -3,7 +3,7 @@
 
 use super::lock;
 use super::timers::Timers;
-use larchfall_paged_rest::cursor::{FinalAnswer, Page, PageLookup, ResultEnd};
+use larchfall_paged_rest::cursor::{Page, PageLookup, ResultEnd, ResultOutcome};
 use larchfall_paged_rest::document::PageContent;
 use larchfall_paged_rest::page_address::PageAddress;
 use larchfall_paged_rest::results::{AbandonedResult, ResultId, ResultLimits, ResultStore};
@@ -42,7 +42,7 @@
 #[derive(Debug, PartialEq)]
 pub enum AwaitedPage {
     /// The page. The final answer is present when the last page is returned for the first time.
-    Page(Page<PageContent>, Option<FinalAnswer>),
+    Page(Page<PageContent>, Option<ResultOutcome>),
     /// The page precedes the page that was requested last and is no longer kept.
     Gone,
     /// The client was never given the address of this page.
@@ -121,11 +121,11 @@
             let mut open = lock(&self.open);
             let now = timers.clock().now();
             if now >= deadline {
-                open.results.push_empty(address.result, address.token, empty_page());
+                open.results.push_empty_page(address.result, address.token, empty_page());
             }
             match open.results.get(address.result, address.token, now) {
-                PageLookup::Found { page, final_answer } => {
-                    return AwaitedPage::Page(page, final_answer);
+                PageLookup::Found { page, outcome } => {
+                    return AwaitedPage::Page(page, outcome);
                 }
                 PageLookup::Gone => return AwaitedPage::Gone,
                 PageLookup::Unknown => return AwaitedPage::Unknown,
@@ -153,6 +153,6 @@
 
     /// Number of results whose final answer has not been delivered to the client.
     pub fn undelivered(&self) -> usize {
-        self.update(|results| results.undelivered())
+        self.update(|results| results.undelivered_count())
     }
 }
--- a/crates/operator-config/tests/refusals.rs
+++ b/crates/operator-config/tests/refusals.rs
@@ -85,8 +85,8 @@
     );
     assert_eq!(sources.tenant, [FieldSource::FamilyHeader("User".into()), value("acme")]);
     assert_eq!(sources.idempotency_key, [FieldSource::Header("Idempotency-Key".into())]);
-    assert_eq!((sources.order_key, sources.work), (session("order_key"), session("ms")));
-    assert_eq!((sources.memory, sources.timeout), (session("mb"), session("time_limit")));
+    assert_eq!((sources.ordering_key, sources.work_hint), (session("order_key"), session("ms")));
+    assert_eq!((sources.memory_hint_mb, sources.timeout), (session("mb"), session("time_limit")));
 }
 
 #[test]
--- a/crates/paged-rest/src/call.rs
+++ b/crates/paged-rest/src/call.rs
@@ -48,7 +48,7 @@
     /// Its body, out of its chunks where it came in such.
     pub body: Vec<u8>,
     /// Whether the connection ends after its response.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 impl Call {
@@ -161,7 +161,7 @@
         path: path.split('?').next().unwrap_or_default().to_owned(),
         headers: Vec::with_capacity(head.headers.len()),
         body: Vec::new(),
-        closes: head.version == Some(0),
+        closes_connection: head.version == Some(0),
     };
     let mut framing = Framing::default();
     for line in head.headers.iter() {
@@ -205,7 +205,7 @@
         }
         "connection" => {
             let mut options = value.split(',').map(str::trim);
-            call.closes |= options.any(|option| option.eq_ignore_ascii_case("close"));
+            call.closes_connection |= options.any(|option| option.eq_ignore_ascii_case("close"));
         }
         "expect" if value.eq_ignore_ascii_case("100-continue") => framing.expects_continue = true,
         "expect" => return Err(CallError::UnknownExpectation),
@@ -276,15 +276,15 @@
 }
 
 impl Response {
-    /// The response as bytes. The one to a HEAD call has no body; `closes` says that the connection ends after it.
-    pub fn encode(&self, closes: bool, method: Method) -> Vec<u8> {
+    /// The response as bytes. The one to a HEAD call has no body; `closes_connection` says that the connection ends after it.
+    pub fn encode(&self, closes_connection: bool, method: Method) -> Vec<u8> {
         let status = self.status;
         let reason = StatusCode::from_u16(status).ok().and_then(|code| code.canonical_reason());
         let mut head = format!("HTTP/1.1 {status} {}\r\n", reason.unwrap_or("Error"));
         for (name, value) in &self.headers {
             head += &format!("{name}: {value}\r\n");
         }
-        if closes {
+        if closes_connection {
             head += "Connection: close\r\n";
         }
         if status != 204 {
--- a/crates/paged-rest/src/cursor.rs
+++ b/crates/paged-rest/src/cursor.rs
@@ -29,7 +29,7 @@
 
 /// The one final answer of a request, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalAnswer {
+pub enum ResultOutcome {
     /// The last page was handed out.
     Delivered(ResultEnd),
     /// The client cancelled it, or did not ask for a page in time.
@@ -55,7 +55,7 @@
         /// What is under the token.
         page: Page<T>,
         /// The final answer, the first time that the last page is handed out.
-        final_answer: Option<FinalAnswer>,
+        outcome: Option<ResultOutcome>,
     },
     /// Not there yet.
     NotReady,
@@ -85,7 +85,7 @@
     /// Whether rows were handed out: then the result can't start again.
     rows_delivered: bool,
     last_asked: Timestamp,
-    final_answer: Option<FinalAnswer>,
+    outcome: Option<ResultOutcome>,
 }
 
 impl<T: Clone> ResultCursor<T> {
@@ -99,7 +99,7 @@
             known_tokens: 1,
             rows_delivered: false,
             last_asked: now,
-            final_answer: None,
+            outcome: None,
         }
     }
 
@@ -127,7 +127,7 @@
     /// Adds a page with so many bytes of rows, or the last one. Nothing is added after an end, or once nobody reads any
     /// more; false then.
     pub fn push(&mut self, content: T, size: usize, end: Option<ResultEnd>) -> bool {
-        if self.has_ended() || self.final_answer.is_some() {
+        if self.has_ended() || self.outcome.is_some() {
             return false;
         }
         self.pages.push_back(StoredPage { page: Page { token: self.next_token(), content, end }, size });
@@ -139,7 +139,7 @@
     /// would come again in another form. Otherwise what waits is dropped, except pages whose tokens are known, which have
     /// no rows.
     pub fn restart(&mut self) -> bool {
-        if self.rows_delivered || self.has_ended() || self.final_answer.is_some() {
+        if self.rows_delivered || self.has_ended() || self.outcome.is_some() {
             return false;
         }
         while self.pages.back().is_some_and(|stored| stored.page.token + 1 >= self.known_tokens) {
@@ -152,14 +152,14 @@
 
     /// A client asks for a token.
     pub fn get(&mut self, token: u64, now: Timestamp) -> PageLookup<T> {
-        if self.final_answer == Some(FinalAnswer::Abandoned) || token >= self.known_tokens {
+        if self.outcome == Some(ResultOutcome::Abandoned) || token >= self.known_tokens {
             return PageLookup::Unknown;
         }
         if token < self.first_token {
             return PageLookup::Gone;
         }
         // A client that has the last page has had it for as long as it is kept.
-        if self.final_answer.is_none() {
+        if self.outcome.is_none() {
             self.last_asked = now;
         }
         while self.first_token < token {
@@ -169,20 +169,20 @@
         }
         let Some(StoredPage { page, size }) = self.pages.front() else { return PageLookup::NotReady };
         self.rows_delivered |= *size > 0;
-        let mut final_answer = None;
+        let mut outcome = None;
         match page.end {
-            Some(end) if self.final_answer.is_none() => {
-                final_answer = Some(FinalAnswer::Delivered(end));
-                self.final_answer = final_answer;
+            Some(end) if self.outcome.is_none() => {
+                outcome = Some(ResultOutcome::Delivered(end));
+                self.outcome = outcome;
             }
             Some(_) => {}
             None => self.known_tokens = self.known_tokens.max(token + 2),
         }
-        PageLookup::Found { page: page.clone(), final_answer }
+        PageLookup::Found { page: page.clone(), outcome }
     }
 
     /// A call for this token has waited long enough: a page without rows is added for it, unless another is there.
-    pub fn push_empty(&mut self, token: u64, empty: T) {
+    pub fn push_empty_page(&mut self, token: u64, empty: T) {
         if token == self.next_token() && token < self.known_tokens {
             self.push(empty, 0, None);
         }
@@ -190,10 +190,10 @@
 
     /// The client cancels it; true where that is its final answer.
     pub fn abandon(&mut self) -> bool {
-        if self.final_answer.is_some() {
+        if self.outcome.is_some() {
             return false;
         }
-        self.final_answer = Some(FinalAnswer::Abandoned);
+        self.outcome = Some(ResultOutcome::Abandoned);
         self.buffered_bytes = 0;
         self.pages.clear();
         true
@@ -205,7 +205,7 @@
     }
 
     /// The final answer, once the client has had it.
-    pub fn final_answer(&self) -> Option<FinalAnswer> {
-        self.final_answer
+    pub fn outcome(&self) -> Option<ResultOutcome> {
+        self.outcome
     }
 }
--- a/crates/paged-rest/src/request_fields.rs
+++ b/crates/paged-rest/src/request_fields.rs
@@ -50,11 +50,13 @@
     pub idempotency_key: Vec<FieldSource>,
     /// Requests of one key run in their order.
     #[serde(rename = "key")]
-    pub order_key: Vec<FieldSource>,
+    pub ordering_key: Vec<FieldSource>,
     /// Milliseconds on one core.
-    pub work: Vec<FieldSource>,
+    #[serde(rename = "work")]
+    pub work_hint: Vec<FieldSource>,
     /// Megabytes.
-    pub memory: Vec<FieldSource>,
+    #[serde(rename = "memory")]
+    pub memory_hint_mb: Vec<FieldSource>,
     /// Milliseconds that the client waits in all.
     #[serde(rename = "time-limit")]
     pub timeout: Vec<FieldSource>,
@@ -67,9 +69,9 @@
     pub class: Option<String>,
     pub tenant: Option<String>,
     pub idempotency_key: Option<String>,
-    pub order_key: Option<String>,
-    pub work: Option<String>,
-    pub memory: Option<String>,
+    pub ordering_key: Option<String>,
+    pub work_hint: Option<String>,
+    pub memory_hint_mb: Option<String>,
     pub timeout: Option<String>,
 }
 
@@ -129,9 +131,9 @@
         class: find(&sources.class)?,
         tenant: find(&sources.tenant)?,
         idempotency_key: find(&sources.idempotency_key)?,
-        order_key: find(&sources.order_key)?,
-        work: find(&sources.work)?,
-        memory: find(&sources.memory)?,
+        ordering_key: find(&sources.ordering_key)?,
+        work_hint: find(&sources.work_hint)?,
+        memory_hint_mb: find(&sources.memory_hint_mb)?,
         timeout: find(&sources.timeout)?,
     })
 }
--- a/crates/paged-rest/src/results.rs
+++ b/crates/paged-rest/src/results.rs
@@ -1,7 +1,7 @@
 //! All open results, with limits over all of them: a result has its window while the sum allows, and one page at a time
 //! beyond, so that none is held up by what others keep.
 
-use crate::cursor::{FinalAnswer, PageLookup, ResultCursor, ResultEnd, ResultWindow};
+use crate::cursor::{PageLookup, ResultCursor, ResultEnd, ResultOutcome, ResultWindow};
 use larchfall_policy::time::Timestamp;
 use slab::Slab;
 use std::collections::{BTreeSet, VecDeque};
@@ -95,8 +95,8 @@
     }
 
     /// How many results have a client that has not had its final answer.
-    pub fn undelivered(&self) -> usize {
-        self.open.iter().filter(|(_, open)| open.cursor.final_answer().is_none()).count()
+    pub fn undelivered_count(&self) -> usize {
+        self.open.iter().filter(|(_, open)| open.cursor.outcome().is_none()).count()
     }
 
     /// Bytes that wait for clients.
@@ -158,7 +158,7 @@
     pub fn has_capacity(&mut self, id: ResultId) -> Option<bool> {
         let within_limit = self.buffered_bytes < self.limits.max_bytes;
         let cursor = &self.get_mut(id)?.cursor;
-        let is_read = cursor.final_answer().is_none();
+        let is_read = cursor.outcome().is_none();
         is_read.then(|| cursor.has_capacity() && (within_limit || cursor.buffered_bytes() == 0))
     }
 
@@ -180,15 +180,15 @@
     /// A client asks for a token. Of a result that is not open every page is unknown.
     pub fn get(&mut self, id: ResultId, token: u64, now: Timestamp) -> PageLookup<T> {
         let lookup = self.change(id, |cursor| cursor.get(token, now)).unwrap_or(PageLookup::Unknown);
-        if matches!(lookup, PageLookup::Found { final_answer: Some(_), .. }) {
+        if matches!(lookup, PageLookup::Found { outcome: Some(_), .. }) {
             self.delivered.push_back(id);
         }
         lookup
     }
 
-    /// A call for a token has waited long enough, see [`ResultCursor::push_empty`].
-    pub fn push_empty(&mut self, id: ResultId, token: u64, empty: T) {
-        self.change(id, |cursor| cursor.push_empty(token, empty));
+    /// A call for a token has waited long enough, see [`ResultCursor::push_empty_page`].
+    pub fn push_empty_page(&mut self, id: ResultId, token: u64, empty: T) {
+        self.change(id, |cursor| cursor.push_empty_page(token, empty));
     }
 
     /// The client cancels it. `None` where it had its final answer before.
@@ -215,7 +215,7 @@
             let Some(open) = self.open.get_mut(index) else { break };
             let id = ResultId { index, generation: open.generation };
             let request = open.request.take();
-            if open.cursor.final_answer().is_none() {
+            if open.cursor.outcome().is_none() {
                 abandoned.push(AbandonedResult { id, request });
             }
             self.remove(index);
@@ -238,7 +238,7 @@
 
 impl AbandonedResult {
     /// Its final answer.
-    pub fn final_answer(&self) -> FinalAnswer {
-        FinalAnswer::Abandoned
+    pub fn outcome(&self) -> ResultOutcome {
+        ResultOutcome::Abandoned
     }
 }
--- a/crates/paged-rest/tests/codecs.rs
+++ b/crates/paged-rest/tests/codecs.rs
@@ -9,12 +9,12 @@
 const MAX_BODY_BYTES: usize = 64;
 
 fn calls() -> Vec<(Vec<u8>, Call)> {
-    let call = |method, path: &str, headers: &[(&str, &str)], body: &[u8], closes| Call {
+    let call = |method, path: &str, headers: &[(&str, &str)], body: &[u8], closes_connection| Call {
         method,
         path: path.to_owned(),
         headers: headers.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect(),
         body: body.to_vec(),
-        closes,
+        closes_connection,
     };
     vec![
         (
@@ -188,7 +188,13 @@
     ];
     for (headers, family, class_sources, expected) in cases {
         let headers = headers.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect();
-        let call = Call { method: Method::Post, path: "/".into(), headers, body: Vec::new(), closes: false };
+        let call = Call {
+            method: Method::Post,
+            path: "/".into(),
+            headers,
+            body: Vec::new(),
+            closes_connection: false,
+        };
         let sources = FieldSources { class: sources(class_sources), ..FieldSources::default() };
         let class = read_fields(&call, family, &sources).map(|fields| fields.class);
         let class = class.map_err(|error| error.to_string());
@@ -240,7 +246,8 @@
         Response { status: 429, headers: vec![("Retry-After", "1".to_owned())], body: b"{}".to_vec() };
     let head = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1\r\n";
     let length = "Content-Type: application/json\r\nContent-Length: 2\r\n\r\n";
-    let text = |closes, method| String::from_utf8(response.encode(closes, method)).unwrap();
+    let text =
+        |closes_connection, method| String::from_utf8(response.encode(closes_connection, method)).unwrap();
     assert_eq!(text(false, Method::Get), format!("{head}{length}{{}}"));
     assert_eq!(text(true, Method::Head), format!("{head}Connection: close\r\n{length}"));
     let empty = Response { status: 204, headers: Vec::new(), body: Vec::new() };
--- a/crates/paged-rest/tests/results.rs
+++ b/crates/paged-rest/tests/results.rs
@@ -1,6 +1,6 @@
 //! One result and all results together against a simple model: any order of calls, engine pages, losses, ends and time.
 
-use larchfall_paged_rest::cursor::{FinalAnswer, PageLookup, ResultCursor, ResultEnd, ResultWindow};
+use larchfall_paged_rest::cursor::{PageLookup, ResultCursor, ResultEnd, ResultOutcome, ResultWindow};
 use larchfall_paged_rest::page_address::{AddressKey, PageAddress};
 use larchfall_paged_rest::results::{AbandonedResult, ResultId, ResultLimits, ResultStore};
 use larchfall_policy::time::{Duration, Timestamp};
@@ -45,7 +45,7 @@
     seen: BTreeMap<u64, (Vec<u32>, Option<ResultEnd>)>,
     made: Vec<u32>,
     next_row: u32,
-    final_answers: Vec<FinalAnswer>,
+    outcomes: Vec<ResultOutcome>,
 }
 
 proptest! {
@@ -84,13 +84,13 @@
                 Step::Get(by) => {
                     let token = next.saturating_add_signed(by.into());
                     match results.get(id, token, ms(now)) {
-                        PageLookup::Found { page, final_answer } => {
+                        PageLookup::Found { page, outcome } => {
                             prop_assert_eq!(page.token, token);
                             prop_assert!(token <= next, "{token} was never given out, {next} was");
                             let seen = (page.content.clone(), page.end);
                             let before = model.seen.entry(token).or_insert_with(|| seen.clone());
                             prop_assert_eq!(&*before, &seen, "token {} is another page now", token);
-                            model.final_answers.extend(final_answer);
+                            model.outcomes.extend(outcome);
                             if page.end.is_none() {
                                 next = next.max(token + 1);
                             }
@@ -100,26 +100,26 @@
                         PageLookup::Unknown => prop_assert!(token > next || !open),
                     }
                 }
-                Step::WaitEnded(by) => results.push_empty(id, next.saturating_add_signed(by.into()), Vec::new()),
+                Step::WaitEnded(by) => results.push_empty_page(id, next.saturating_add_signed(by.into()), Vec::new()),
                 Step::Abandon => {
-                    model.final_answers.extend(results.abandon(id).map(|abandoned| abandoned.final_answer()));
+                    model.outcomes.extend(results.abandon(id).map(|abandoned| abandoned.outcome()));
                     open = false;
                 }
                 Step::Time(by) => {
                     now += u64::from(by);
                     let abandoned = results.expire(ms(now));
-                    model.final_answers.extend(abandoned.iter().map(AbandonedResult::final_answer));
+                    model.outcomes.extend(abandoned.iter().map(AbandonedResult::outcome));
                     open &= results.is_open(id);
                 }
             }
             prop_assert!(results.buffered_bytes() <= limits.max_bytes.max(30) + 30, "{} bytes wait", results.buffered_bytes());
-            prop_assert!(model.final_answers.len() <= 1, "final answers {:?}", model.final_answers);
+            prop_assert!(model.outcomes.len() <= 1, "final answers {:?}", model.outcomes);
         }
         // What the client saw is what the engine made, from the first row on.
         let seen: Vec<u32> = model.seen.values().flat_map(|(rows, _)| rows.clone()).collect();
         prop_assert_eq!(&seen[..], &model.made[..seen.len()]);
-        model.final_answers.extend(results.expire(ms(now + 10_000)).iter().map(AbandonedResult::final_answer));
-        prop_assert_eq!(model.final_answers.len(), 1);
+        model.outcomes.extend(results.expire(ms(now + 10_000)).iter().map(AbandonedResult::outcome));
+        prop_assert_eq!(model.outcomes.len(), 1);
         prop_assert!(results.is_empty() && results.buffered_bytes() == 0, "all has left memory");
     }
 }
@@ -135,7 +135,7 @@
     assert!(cursor.push("", 0, Some(ResultEnd::Returned)));
     assert!(!cursor.push("c", 10, None), "after the end");
     let mut ask = |token| match cursor.get(token, ms(1)) {
-        PageLookup::Found { page, final_answer } => Ok((page.content, final_answer)),
+        PageLookup::Found { page, outcome } => Ok((page.content, outcome)),
         other => Err(other),
     };
     assert_eq!(ask(0), Ok(("a", None)));
@@ -143,7 +143,7 @@
     assert_eq!(ask(2), Err(PageLookup::Unknown), "one ahead");
     assert_eq!(ask(1), Ok(("b", None)));
     assert_eq!(ask(0), Err(PageLookup::Gone));
-    assert_eq!(ask(2), Ok(("", Some(FinalAnswer::Delivered(ResultEnd::Returned)))));
+    assert_eq!(ask(2), Ok(("", Some(ResultOutcome::Delivered(ResultEnd::Returned)))));
     assert_eq!(ask(2), Ok(("", None)), "the final answer counts once");
     assert!(!cursor.abandon(), "it had its final answer");
 }
@@ -151,13 +151,13 @@
 #[test]
 fn a_wait_that_ended_adds_a_page_without_rows_and_the_next_rows_get_the_next_token() {
     let mut cursor = ResultCursor::new(WINDOW, ms(0));
-    cursor.push_empty(1, "never given out");
-    cursor.push_empty(0, "");
-    cursor.push_empty(0, "twice");
+    cursor.push_empty_page(1, "never given out");
+    cursor.push_empty_page(0, "");
+    cursor.push_empty_page(0, "twice");
     cursor.push("rows", 10, None);
     for (token, content) in [(0, ""), (1, "rows")] {
         assert!(
-            matches!(cursor.get(token, ms(1)), PageLookup::Found { page, final_answer: None } if page.content == content),
+            matches!(cursor.get(token, ms(1)), PageLookup::Found { page, outcome: None } if page.content == content),
             "{token}"
         );
     }
@@ -209,9 +209,9 @@
     // One that was read to its end makes room at once, and is not kept longer by who asks again.
     results.push(again, "", 0, Some(ResultEnd::Returned));
     results.request_ended(again);
-    assert_eq!(results.undelivered(), 2);
-    assert!(matches!(results.get(again, 0, ms(1)), PageLookup::Found { final_answer: Some(_), .. }));
-    assert_eq!((results.undelivered(), results.len()), (1, 2));
+    assert_eq!(results.undelivered_count(), 2);
+    assert!(matches!(results.get(again, 0, ms(1)), PageLookup::Found { outcome: Some(_), .. }));
+    assert_eq!((results.undelivered_count(), results.len()), (1, 2));
     let third = results.open(ms(1)).unwrap();
     assert!(!results.is_open(again) && results.is_open(b) && results.open(ms(1)).is_none());
     results.push(third, "", 0, Some(ResultEnd::Returned));
