--- a/crates/leases/src/manager/campaign.rs
+++ b/crates/leases/src/manager/campaign.rs
@@ -35,12 +35,12 @@
     /// the preference order.
     pub(super) fn is_own_turn(&self, role: &str, now: Timestamp) -> bool {
         let Some(state) = self.roles.get(role) else { return false };
-        if now < state.handed_over_until {
+        if now < state.request_immediately_until {
             return true;
         }
         state.vacant_since.is_some_and(|vacant_since| {
             let order = self.preference_order(role, now);
-            let position = order.into_iter().take_while(|name| *name != self.me.name).count();
+            let position = order.into_iter().take_while(|name| *name != self.own_id.name).count();
             now >= vacant_since + self.terms().length * STAGGER_LEASE_FRACTION * position as f64
         })
     }
@@ -61,7 +61,7 @@
         let token = campaign.candidacy.token;
         // A later campaign uses a newer token, since the release may reach a voter late.
         state.raise_highest_token(token);
-        let pause = if now < state.handed_over_until { hand_over_pause } else { pause };
+        let pause = if now < state.request_immediately_until { hand_over_pause } else { pause };
         state.phase = Phase::Watching { not_before: now + pause };
         self.release_notices.push(ReleaseNotice::once(role, token));
         self.send_releases(output);
@@ -70,7 +70,7 @@
     /// Counts the votes of one voter in a round.
     pub(super) fn on_votes(
         &mut self,
-        voter: &str,
+        voter_name: &str,
         round: Round,
         votes: &[Vote],
         now: Timestamp,
@@ -78,7 +78,7 @@
     ) {
         let mut newer_token_roles = Vec::new();
         for vote in votes {
-            match self.count_vote(voter, round, vote, now, output) {
+            match self.count_vote(voter_name, round, vote, now, output) {
                 VoteResult::Counted => {}
                 VoteResult::NewerTokenNeeded => newer_token_roles.push(vote.role.clone()),
                 VoteResult::RefusedByMajority => self.abandon_campaign(&vote.role, now, output),
@@ -89,7 +89,7 @@
 
     fn count_vote(
         &mut self,
-        voter: &str,
+        voter_name: &str,
         round: Round,
         vote: &Vote,
         now: Timestamp,
@@ -103,11 +103,11 @@
             Phase::Campaigning(campaign) => {
                 let candidacy = &mut campaign.candidacy;
                 if candidacy.token == vote.token && vote.granted {
-                    candidacy.record_grant(voter, round.requested_at, round.terms);
+                    candidacy.record_grant(voter_name, round.requested_at, round.terms);
                     if candidacy.is_held(voters, now) {
                         let token = candidacy.token;
                         state.phase = Phase::Holding(Holding::new(candidacy.clone(), now));
-                        state.handed_over_until = Timestamp::default();
+                        state.request_immediately_until = Timestamp::default();
                         state.vacant_since = None;
                         output.report(&vote.role, LeaseEventKind::Acquired { token });
                     }
@@ -116,7 +116,7 @@
                     *candidacy = Candidacy::new(vote.highest_token + 1);
                     return VoteResult::NewerTokenNeeded;
                 } else if vote.held_by_other {
-                    campaign.refusing_voters.insert(voter.to_owned());
+                    campaign.refusing_voters.insert(voter_name.to_owned());
                     if campaign.refusing_voters.len() * 2 > voters.all().len() {
                         return VoteResult::RefusedByMajority;
                     }
@@ -127,7 +127,7 @@
                 if vote.granted
                     && let Some(candidacy) = holding.candidacy_with_token(vote.token)
                 {
-                    candidacy.record_grant(voter, round.requested_at, round.terms);
+                    candidacy.record_grant(voter_name, round.requested_at, round.terms);
                 }
                 if let Some(acquired) = holding.next_candidacy.take_if(|next| next.is_held(voters, now)) {
                     let token = acquired.token;
--- a/crates/leases/src/manager/hand_over.rs
+++ b/crates/leases/src/manager/hand_over.rs
@@ -89,7 +89,7 @@
         output: &mut Output,
     ) {
         let order = self.preference_order(role, now);
-        let successor = order.into_iter().find(|name| *name != self.me.name).map(str::to_owned);
+        let successor = order.into_iter().find(|name| *name != self.own_id.name).map(str::to_owned);
         let Some(state) = self.roles.get_mut(role) else { return };
         let Phase::Holding(holding) = &mut state.phase else { return };
         if holding.ending.is_some() {
@@ -128,7 +128,7 @@
             EndReason::Stalled
         } else if !self.fit {
             EndReason::Unfit
-        } else if self.has_better_holder(role, holding.since, check.now) {
+        } else if self.has_better_holder(role, holding.acquired_at, check.now) {
             EndReason::BetterHolder
         } else {
             return;
@@ -144,10 +144,10 @@
             return false;
         }
         let is_long_lived_other = |(name, since): &(&String, &Timestamp)| {
-            **name != self.me.name && now.since(**since) >= min_hold_time
+            **name != self.own_id.name && now.since(**since) >= min_hold_time
         };
         let others = self.live_members.iter().filter(is_long_lived_other).map(|(name, _)| name.as_str());
-        spread::better_holder(role, &self.me.name, others, self.settings.better_holder_margin).is_some()
+        spread::better_holder(role, &self.own_id.name, others, self.settings.better_holder_margin).is_some()
     }
 
     /// Sends all pending release notices to all voters.
--- a/crates/leases/src/manager/incoming.rs
+++ b/crates/leases/src/manager/incoming.rs
@@ -38,11 +38,13 @@
     /// Handles messages that this gateway addressed to itself, such as requests to its own voter, without the network.
     /// Also adds the voter record that is to be written, if any.
     pub(super) fn deliver_messages_to_self(&mut self, now: Timestamp, output: &mut Output) {
-        let me = self.me.clone();
+        let own_id = self.own_id.clone();
         for _ in 0..MAX_SELF_MESSAGES {
-            let Some(index) = output.messages.iter().position(|message| message.to == me.name) else { break };
+            let Some(index) = output.messages.iter().position(|message| message.to == own_id.name) else {
+                break;
+            };
             let message = output.messages.swap_remove(index);
-            self.handle(&me, &message.payload, now, output);
+            self.handle(&own_id, &message.payload, now, output);
         }
         if let Some(voter) = &mut self.voter
             && output.record_to_write.is_none()
@@ -87,23 +89,23 @@
         output: &mut Output,
     ) {
         let Some(voter) = &mut self.voter else { return };
-        let votes: Vec<Vote> =
+        let answers: Vec<Vote> =
             requests.iter().filter_map(|request| voter.on_request(candidate, request, round, now)).collect();
-        if !votes.is_empty() {
-            output.send(&candidate.name, Payload::Votes { round, votes });
+        if !answers.is_empty() {
+            output.send(&candidate.name, Payload::Votes { round, votes: answers });
         }
     }
 
     /// Handles a hand-over: the previous lease holder has released the role for this gateway, which requests it
     /// immediately.
     fn on_hand_over(&mut self, role: &str, token: u64, now: Timestamp, output: &mut Output) {
-        let handed_over_until = now + self.terms().length;
+        let request_immediately_until = now + self.terms().length;
         if !self.fit || self.leaving {
             return;
         }
         let Some(state) = self.roles.get_mut(role).filter(|state| !state.is_held()) else { return };
         state.raise_highest_token(token);
-        state.handed_over_until = handed_over_until;
+        state.request_immediately_until = request_immediately_until;
         state.listed_lease = None;
         // A campaign that is already running continues. If it fails because voters have not received the release yet,
         // this gateway starts another campaign after a short pause.
@@ -117,7 +119,7 @@
     fn send_lease_page(&self, to: &MemberId, after: Option<&str>, now: Timestamp, output: &mut Output) {
         let Some(voter) = self.voter.as_ref().filter(|voter| !voter.is_silent(now)) else { return };
         let page = |leases, complete| Payload::Leases { after: after.map(str::to_owned), leases, complete };
-        let empty = Datagram::new(&self.settings.cluster, &self.me, page(Vec::new(), true));
+        let empty = Datagram::new(&self.settings.cluster, &self.own_id, page(Vec::new(), true));
         let mut remaining_bytes = empty.remaining_bytes();
         let mut leases = Vec::new();
         let mut complete = true;
--- a/crates/leases/src/manager/listings.rs
+++ b/crates/leases/src/manager/listings.rs
@@ -14,7 +14,7 @@
 impl LeaseManager {
     pub(super) fn request_listings(&mut self, output: &mut Output) {
         let all_voters = self.settings.voters.all();
-        let others: Vec<&String> = all_voters.into_iter().filter(|name| **name != self.me.name).collect();
+        let others: Vec<&String> = all_voters.into_iter().filter(|name| **name != self.own_id.name).collect();
         for _ in 0..VOTERS_PER_LISTING.min(others.len()) {
             self.listing_requests = self.listing_requests.wrapping_add(1);
             output.send(others[self.listing_requests % others.len()], Payload::ListLeases { after: None });
--- a/crates/leases/src/manager/mod.rs
+++ b/crates/leases/src/manager/mod.rs
@@ -46,7 +46,7 @@
 /// Voters before the last change of the settings. Their grants still count until leases that they granted have expired.
 struct PreviousVoters {
     voters: VoterSet,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 /// State of the gateway that the checks of one timer call use for all roles.
@@ -61,7 +61,7 @@
 
 /// Leases of one gateway for all roles, and its voter.
 pub struct LeaseManager {
-    me: MemberId,
+    own_id: MemberId,
     settings: LeaseSettings,
     previous_voters: Option<PreviousVoters>,
     voters_changed_at: Option<Timestamp>,
@@ -91,20 +91,20 @@
 }
 
 impl LeaseManager {
-    /// Creates the manager of the gateway process `me`. `record` is the voter record found on disk, `wall_clock_us` the
-    /// Unix time in microseconds and `seed` the seed of the random pauses.
+    /// Creates the manager of the gateway process `own_id`. `record` is the voter record found on disk, `wall_clock_us`
+    /// the Unix time in microseconds and `seed` the seed of the random pauses.
     pub fn new(
-        me: MemberId,
+        own_id: MemberId,
         settings: LeaseSettings,
         record: Option<&VoterRecord>,
         wall_clock_us: u64,
         seed: u64,
         now: Timestamp,
     ) -> LeaseManager {
-        let is_voter = settings.voters.contains(&me.name);
+        let is_voter = settings.voters.contains(&own_id.name);
         let voter = is_voter.then(|| Voter::new(settings.voter_limits, record, wall_clock_us, now));
         let mut manager = LeaseManager {
-            me,
+            own_id,
             settings,
             previous_voters: None,
             voters_changed_at: None,
@@ -155,8 +155,10 @@
     /// Returns when [`LeaseManager::on_timer`] is to be called next.
     pub fn next_timer(&self) -> Timestamp {
         let role_timer = |role: &RoleState| match &role.phase {
-            Phase::Watching { not_before } => (role.handed_over_until > *not_before).then_some(*not_before),
-            Phase::Campaigning(campaign) => Some(campaign.since + self.campaign_length(campaign)),
+            Phase::Watching { not_before } => {
+                (role.request_immediately_until > *not_before).then_some(*not_before)
+            }
+            Phase::Campaigning(campaign) => Some(campaign.started_at + self.campaign_length(campaign)),
             Phase::Holding(holding) => self.lease_end(holding, self.last_timer),
         };
         let role_timers = self.roles.values().filter_map(role_timer);
@@ -166,7 +168,7 @@
     /// Returns when a held lease expires by the grants of the current voters or, while their grants still count, of the
     /// previous voters, whichever is later.
     fn lease_end(&self, holding: &Holding, now: Timestamp) -> Option<Timestamp> {
-        let previous = self.previous_voters.as_ref().filter(|previous| now < previous.until);
+        let previous = self.previous_voters.as_ref().filter(|previous| now < previous.expires_at);
         let voter_sets =
             || std::iter::once(&self.settings.voters).chain(previous.map(|previous| &previous.voters));
         let candidacies = std::iter::once(&holding.candidacy).chain(&holding.next_candidacy);
@@ -189,7 +191,7 @@
     /// Returns the lease holder of a role as far as this gateway knows.
     pub fn holder(&self, role: &str, now: Timestamp) -> Option<&str> {
         if self.permit(role, now).is_some() {
-            return Some(&self.me.name);
+            return Some(&self.own_id.name);
         }
         let listed = self.roles.get(role)?.listed_lease.as_ref().filter(|lease| now < lease.expires_at)?;
         Some(&listed.holder.name)
@@ -264,7 +266,7 @@
                 starts_campaign
             }
             Phase::Campaigning(campaign) => {
-                if check.now >= campaign.since + self.campaign_length(campaign) {
+                if check.now >= campaign.started_at + self.campaign_length(campaign) {
                     self.abandon_campaign(role, check.now, output);
                 }
                 false
@@ -280,12 +282,12 @@
     /// less than [`LeaseSettings::min_hold_time`] come last: otherwise a gateway that restarts repeatedly would acquire
     /// and lose the role each time.
     fn preference_order(&self, role: &str, now: Timestamp) -> Vec<&str> {
-        let is_settled = |name: &&str| {
+        let is_long_lived = |name: &&str| {
             self.live_members.get(*name).is_some_and(|since| now.since(*since) >= self.settings.min_hold_time)
         };
-        let names = self.live_members.keys().map(String::as_str).chain([self.me.name.as_str()]);
-        let (settled, recent): (BTreeSet<&str>, BTreeSet<&str>) = names.partition(is_settled);
-        let mut order = spread::preference_order(role, settled.into_iter());
+        let names = self.live_members.keys().map(String::as_str).chain([self.own_id.name.as_str()]);
+        let (long_lived, recent): (BTreeSet<&str>, BTreeSet<&str>) = names.partition(is_long_lived);
+        let mut order = spread::preference_order(role, long_lived.into_iter());
         order.extend(spread::preference_order(role, recent.into_iter()));
         order
     }
--- a/crates/leases/src/manager/reconfigure.rs
+++ b/crates/leases/src/manager/reconfigure.rs
@@ -60,7 +60,7 @@
         self.voters_changed_at = Some(now);
         self.previous_voters = Some(PreviousVoters {
             voters: self.settings.voters.clone(),
-            until: now + longest_lease + self.settings.terms.length,
+            expires_at: now + longest_lease + self.settings.terms.length,
         });
         Ok(())
     }
@@ -68,7 +68,7 @@
     /// Creates, updates or removes the voter of this gateway. A gateway that becomes a voter again starts with a silent
     /// period, like a voter after a process start.
     fn update_voter(&mut self, settings: &LeaseSettings, wall_clock_us: u64, now: Timestamp) {
-        let is_voter = settings.voters.contains(&self.me.name);
+        let is_voter = settings.voters.contains(&self.own_id.name);
         match &mut self.voter {
             Some(voter) if is_voter => voter.update_limits(settings.voter_limits),
             Some(voter) => {
--- a/crates/leases/src/manager/role_state.rs
+++ b/crates/leases/src/manager/role_state.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Campaign {
     pub(super) candidacy: Candidacy,
-    pub(super) since: Timestamp,
+    pub(super) started_at: Timestamp,
     /// Voters that have granted the role to another gateway.
     pub(super) refusing_voters: BTreeSet<String>,
 }
@@ -31,7 +31,7 @@
     pub(super) candidacy: Candidacy,
     /// Candidacy under a newer token, which collects grants while the lease of the current token is still in force.
     pub(super) next_candidacy: Option<Candidacy>,
-    pub(super) since: Timestamp,
+    pub(super) acquired_at: Timestamp,
     /// The hand-over of the role, if it has started.
     pub(super) ending: Option<Ending>,
 }
@@ -44,8 +44,8 @@
 }
 
 impl Holding {
-    pub(super) fn new(candidacy: Candidacy, since: Timestamp) -> Holding {
-        Holding { candidacy, next_candidacy: None, since, ending: None }
+    pub(super) fn new(candidacy: Candidacy, acquired_at: Timestamp) -> Holding {
+        Holding { candidacy, next_candidacy: None, acquired_at, ending: None }
     }
 
     /// Returns the candidacy to renew. Once a newer token has been requested, voters no longer grant the old token.
@@ -70,7 +70,7 @@
     /// Highest fencing token of the role that this gateway has received or used.
     pub(super) highest_token: u64,
     /// End of the time in which this gateway requests a role that was handed over to it without waiting for its turn.
-    pub(super) handed_over_until: Timestamp,
+    pub(super) request_immediately_until: Timestamp,
     pub(super) last_end: Option<LastEnd>,
 }
 
@@ -81,7 +81,7 @@
             listed_lease: None,
             vacant_since: None,
             highest_token: 0,
-            handed_over_until: Timestamp::default(),
+            request_immediately_until: Timestamp::default(),
             last_end: None,
         }
     }
@@ -90,7 +90,7 @@
     pub(super) fn start_campaign(&mut self, now: Timestamp) {
         self.phase = Phase::Campaigning(Campaign {
             candidacy: Candidacy::new(self.highest_token + 1),
-            since: now,
+            started_at: now,
             refusing_voters: BTreeSet::new(),
         });
     }
--- a/crates/leases/src/manager/rounds.rs
+++ b/crates/leases/src/manager/rounds.rs
@@ -68,7 +68,7 @@
         payload: impl Fn(Vec<T>) -> Payload,
         output: &mut Output,
     ) {
-        let empty = Datagram::new(&self.settings.cluster, &self.me, payload(Vec::new()));
+        let empty = Datagram::new(&self.settings.cluster, &self.own_id, payload(Vec::new()));
         // Pages use two thirds of a datagram, since the answer to an entry is a little larger than the entry.
         for page in paginate(entries, empty.remaining_bytes() * 2 / 3) {
             for voter in self.settings.voters.all() {
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -287,8 +287,8 @@
             }
             assignment.lease.take_if(|lease| now >= lease.expires_at);
         }
-        // After a failure, the next write waits for a new token or new limits, so that a failing disk isn't retried in a
-        // loop.
+        // After a failure, the next write waits for a new token or new limits, so that a failing disk isn't retried in
+        // a loop.
         self.write_failed = !succeeded && !has_later_pending;
         votes
     }
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,186 +1,239 @@
-//! Whole fleets with leased roles in one process, by seed: what is held, by whom, and how long nobody holds it.
+//! Simulations of whole clusters with leased roles in one process, with a random seed each: which gateway holds each
+//! role, and how long a role has no lease holder.
 
-use larchfall_fault_tests::simulation::leases::{DiskBehavior, LeaseSimulation, name, settings};
+use larchfall_fault_tests::simulation::leases::{DiskBehavior, LeaseSimulation, settings};
 use larchfall_fault_tests::simulation::{Simulation, ms};
 use larchfall_leases::manager::EndReason;
 use larchfall_policy::time::Duration;
 use nanorand::Rng;
 
-const BOUND: Duration = Duration::from_millis(12_000);
+/// Maximum time until all roles are held after a start or after the end of a fault.
+const ACQUISITION_LIMIT: Duration = Duration::from_millis(12_000);
 
-fn held(n: usize, voters: usize, roles: usize, seed: u64) -> LeaseSimulation {
-    let mut fleet = LeaseSimulation::start(n, settings(voters, roles, true), seed);
+/// Starts a cluster and waits until all roles are held.
+fn start_with_all_held(gateways: usize, voters: usize, roles: usize, seed: u64) -> LeaseSimulation {
+    let mut fleet = LeaseSimulation::start(gateways, settings(voters, roles, true), seed);
     assert!(
-        fleet.run_until(BOUND, LeaseSimulation::all_held).is_some(),
-        "seed {seed}: nobody held them at first"
+        fleet.run_until(ACQUISITION_LIMIT, LeaseSimulation::all_held).is_some(),
+        "seed {seed}: not all roles are held {ACQUISITION_LIMIT:?} after the start"
     );
     fleet
 }
 
-fn assert_nothing_wrong(fleet: &LeaseSimulation, seed: u64) {
+fn assert_no_violations(fleet: &LeaseSimulation, seed: u64) {
     assert_eq!(fleet.violations, [], "seed {seed}");
 }
 
-/// The holder dies, stalls, is cut off (both ways, or from the voters only), or leaves: another has it within a lease,
-/// the wait for its turn and some rounds, and goes on alone.
+/// The lease holder is killed, suspended, cut off in both directions or in one, or leaves. Exactly one other gateway
+/// must acquire the role within a lease, the delay until the gateway's turn and some rounds. The previous holder must
+/// not become a second holder after the fault.
 #[test]
-fn a_holder_that_fails_in_any_way_is_followed_by_one_other() {
+fn one_other_gateway_takes_over_after_any_fault_of_the_holder() {
     type Fault = (&'static str, fn(&mut LeaseSimulation, usize), Duration);
     let faults: [Fault; 6] = [
-        ("killed", |f, i| f.kill(i), ms(5_500)),
-        ("stopped", |f, i| f.suspend(i, ms(20_000)), ms(5_500)),
-        ("cut off", |f, i| f.link = Box::new(move |a, b| (a == i) == (b == i)), ms(5_500)),
-        ("hears nothing", |f, i| f.link = Box::new(move |_, b| b != i), ms(6_500)),
-        ("is not heard", |f, i| f.link = Box::new(move |a, _| a != i), ms(5_500)),
-        ("leaves", |f, i| f.leave(i), ms(200)),
+        ("killed", |fleet, holder| fleet.kill(holder), ms(5_500)),
+        ("suspended", |fleet, holder| fleet.suspend(holder, ms(20_000)), ms(5_500)),
+        (
+            "cut off",
+            |fleet, holder| fleet.link = Box::new(move |from, to| (from == holder) == (to == holder)),
+            ms(5_500),
+        ),
+        ("receives no messages", |fleet, holder| fleet.link = Box::new(move |_, to| to != holder), ms(6_500)),
+        (
+            "sent messages are lost",
+            |fleet, holder| fleet.link = Box::new(move |from, _| from != holder),
+            ms(5_500),
+        ),
+        ("leaves", |fleet, holder| fleet.leave(holder), ms(200)),
     ];
-    for (what, fault, within) in faults {
+    for (fault_name, inject_fault, limit) in faults {
         for seed in 0..12 {
-            let mut fleet = held(7, 5, 1, seed);
-            let first = fleet.holders("duty:000")[0];
+            let mut fleet = start_with_all_held(7, 5, 1, seed);
+            let first_holder = fleet.holders("duty:000")[0];
             fleet.run(ms(100 * seed));
-            fault(&mut fleet, first);
-            let other = |f: &LeaseSimulation| matches!(f.holders("duty:000")[..], [i] if i != first);
-            let took = fleet.run_until(within, other);
-            assert!(took.is_some(), "seed {seed}: {what}, no other within {within:?}");
-            // All is well again, and the first is no second holder when it is back.
+            inject_fault(&mut fleet, first_holder);
+            let has_other_holder = |fleet: &LeaseSimulation| {
+                let holders = fleet.holders("duty:000");
+                matches!(holders[..], [holder] if holder != first_holder)
+            };
+            let takeover = fleet.run_until(limit, has_other_holder);
+            assert!(takeover.is_some(), "seed {seed}: {fault_name}: no other holder within {limit:?}");
+            // After the network is repaired, the first holder must not become a second holder.
             fleet.link = Box::new(|_, _| true);
             fleet.run(ms(30_000));
-            assert_nothing_wrong(&fleet, seed);
-            assert!(fleet.all_held(), "seed {seed}: {what}");
+            assert_no_violations(&fleet, seed);
+            assert!(fleet.all_held(), "seed {seed}: {fault_name}: a role is not held after the fault");
         }
     }
 }
 
-/// (voters, of them out of reach, whether somebody may hold it)
+/// The network is split into the first voters and all other gateways. Roles are held on the side that has a majority of
+/// the voters, and on the other side none.
 #[test]
 fn a_majority_of_voters_is_needed_and_is_enough() {
-    for (voters, out, may) in [(3, 1, true), (3, 2, false), (5, 2, true), (5, 3, false), (7, 3, true)] {
-        let mut fleet = held(voters + 3, voters, 2, 3);
-        fleet.link = Box::new(move |a, b| (a < out) == (b < out));
+    // (voters, voters that are cut off, whether the other gateways hold the roles)
+    for (voters, cut_off, expected) in
+        [(3, 1, true), (3, 2, false), (5, 2, true), (5, 3, false), (7, 3, true)]
+    {
+        let mut fleet = start_with_all_held(voters + 3, voters, 2, 3);
+        fleet.link = Box::new(move |from, to| (from < cut_off) == (to < cut_off));
         fleet.run(ms(12_000));
-        let there =
-            |f: &LeaseSimulation| f.settings.roles.iter().all(|d| f.holders(d).iter().any(|i| *i >= out));
-        assert_eq!(there(&fleet), may, "{out} of {voters} away");
-        let minority = fleet.settings.roles.iter().any(|d| fleet.holders(d).iter().any(|i| *i < out));
-        assert_eq!(minority, out * 2 > voters, "{out} of {voters} away");
+        let others_hold_all = |fleet: &LeaseSimulation| {
+            fleet.settings.roles.iter().all(|role| fleet.holders(role).iter().any(|i| *i >= cut_off))
+        };
+        assert_eq!(others_hold_all(&fleet), expected, "{cut_off} of {voters} voters cut off");
+        let cut_off_holds_any =
+            fleet.settings.roles.iter().any(|role| fleet.holders(role).iter().any(|i| *i < cut_off));
+        assert_eq!(cut_off_holds_any, cut_off * 2 > voters, "{cut_off} of {voters} voters cut off");
         fleet.link = Box::new(|_, _| true);
-        assert!(fleet.run_until(BOUND, LeaseSimulation::all_held).is_some(), "{out} of {voters}: not healed");
-        assert_nothing_wrong(&fleet, 3);
+        assert!(
+            fleet.run_until(ACQUISITION_LIMIT, LeaseSimulation::all_held).is_some(),
+            "{cut_off} of {voters} voters cut off: not all roles are held after the network is repaired"
+        );
+        assert_no_violations(&fleet, 3);
     }
 }
 
-/// All voters killed at once and started in turn; one that restarts each second and is never heard; one whose clock runs
-/// five in a hundred fast, or slow.
+/// Faults of voters: all are killed at once and started one after the other, one restarts each second and is therefore
+/// always silent, or the clock of one runs five percent fast or slow.
 #[test]
-fn voters_that_restart_or_whose_clock_is_off_make_no_second_holder() {
+fn voters_that_restart_or_whose_clock_drifts_cause_no_second_holder() {
     for seed in 0..6 {
-        let mut fleet = held(6, 3, 3, seed);
+        let mut fleet = start_with_all_held(6, 3, 3, seed);
         (0..3).for_each(|i| fleet.kill(i));
         for i in 0..3 {
             fleet.run(ms(700));
             fleet.restart(i);
         }
-        assert!(fleet.run_until(ms(16_000), LeaseSimulation::all_held).is_some(), "seed {seed}");
+        assert!(
+            fleet.run_until(ms(16_000), LeaseSimulation::all_held).is_some(),
+            "seed {seed}: not all roles are held after the voters restarted"
+        );
         for _ in 0..20 {
             fleet.run(ms(1_000));
             fleet.restart(1);
         }
-        assert!(fleet.all_held(), "seed {seed}: the others are a majority");
-        assert!(fleet.settings.roles.iter().all(|d| fleet.holders(d) != [1]), "seed {seed}: it never waits");
-        assert_nothing_wrong(&fleet, seed);
+        assert!(fleet.all_held(), "seed {seed}: a role is not held although two voters are a majority");
+        assert!(
+            fleet.settings.roles.iter().all(|role| fleet.holders(role) != [1]),
+            "seed {seed}: a gateway that restarts each second holds a role"
+        );
+        assert_no_violations(&fleet, seed);
     }
-    for (rate, seed) in [(1.05, 1), (0.95, 2)] {
+    for (clock_rate, seed) in [(1.05, 1), (0.95, 2)] {
         let mut fleet = LeaseSimulation::start(5, settings(3, 2, false), seed);
-        fleet.gateways[0].clock_rate = rate;
+        fleet.gateways[0].clock_rate = clock_rate;
         fleet.restart(0);
-        for turn in 0..20 {
+        for step in 0..20 {
             fleet.run(ms(4_000));
-            fleet.suspend(turn % 5, ms(3_500));
+            fleet.suspend(step % 5, ms(3_500));
         }
-        assert_nothing_wrong(&fleet, seed);
+        assert_no_violations(&fleet, seed);
     }
 }
 
-/// A disk that fails grants nothing new and keeps what runs; one that lies, or that comes back with an older record, is
-/// made good by the clock; one that is slow delays what is new and nothing else.
+/// While its disk fails, a voter grants no new tokens but renews existing leases. If a disk loses writes or returns an
+/// older record, the wall clock keeps tokens increasing. A slow disk delays only new tokens.
 #[test]
-fn disks_that_fail_lie_or_are_slow() {
-    for (does, takes, held_again) in [
+fn disks_that_fail_lose_writes_or_are_slow_cause_no_violations() {
+    // (behavior of the disk, duration of a write, whether another gateway takes over within 7.5 s)
+    for (behavior, write_time, taken_over) in [
         (DiskBehavior::Fails, ms(2), false),
         (DiskBehavior::LosesWrites, ms(2), true),
         (DiskBehavior::Healthy, ms(300), true),
         (DiskBehavior::Healthy, ms(3_100), false),
     ] {
-        let mut fleet = held(6, 3, 2, 5);
-        for node in &mut fleet.gateways {
-            (node.disk, node.write_time) = (does, takes);
+        let mut fleet = start_with_all_held(6, 3, 2, 5);
+        for gateway in &mut fleet.gateways {
+            (gateway.disk, gateway.write_time) = (behavior, write_time);
         }
         fleet.run(ms(10_000));
-        assert!(fleet.all_held(), "{does:?}: renewals need no disk");
-        let first = fleet.holders("duty:000")[0];
-        fleet.suspend(first, ms(8_000));
-        let others = |f: &LeaseSimulation| f.holders("duty:000").iter().any(|i| *i != first);
-        assert_eq!(fleet.run_until(ms(7_500), others).is_some(), held_again, "{does:?}, {takes:?}");
-        // Tokens grow although nobody kept them.
+        assert!(fleet.all_held(), "{behavior:?}: a role is not held although renewals need no disk");
+        let first_holder = fleet.holders("duty:000")[0];
+        fleet.suspend(first_holder, ms(8_000));
+        let has_other_holder =
+            |fleet: &LeaseSimulation| fleet.holders("duty:000").iter().any(|i| *i != first_holder);
+        assert_eq!(
+            fleet.run_until(ms(7_500), has_other_holder).is_some(),
+            taken_over,
+            "{behavior:?}, writes take {write_time:?}"
+        );
+        // Tokens increase although the disks have not kept the voter records.
         for i in 0..3 {
             fleet.kill(i);
             fleet.restart(i);
             fleet.gateways[i].write_time = ms(2);
             fleet.gateways[i].disk = DiskBehavior::Healthy;
         }
-        assert!(fleet.run_until(ms(20_000), LeaseSimulation::all_held).is_some(), "{does:?}");
-        assert_nothing_wrong(&fleet, 5);
+        assert!(
+            fleet.run_until(ms(20_000), LeaseSimulation::all_held).is_some(),
+            "{behavior:?}: not all roles are held after the voters restarted"
+        );
+        assert_no_violations(&fleet, 5);
     }
 }
 
-/// A hundred roles over 24 gateways of which a third dies and comes back; few move beside those that had to.
+/// A hundred roles are held by 24 gateways, of which a third is killed and later restarted. Only the roles of killed
+/// gateways may move while these are down.
 #[test]
-fn a_hundred_roles_are_spread_and_few_move_when_gateways_come_and_go() {
+fn a_hundred_roles_are_spread_and_only_roles_of_killed_gateways_move() {
     let mut fleet = LeaseSimulation::start(24, settings(5, 100, true), 9);
     fleet.action_interval = ms(200);
     fleet.run(ms(40_000));
-    let by = |f: &LeaseSimulation| f.settings.roles.iter().map(|d| f.holders(d)[0]).collect::<Vec<_>>();
-    let before = by(&fleet);
-    let most = (0..24).map(|i| before.iter().filter(|h| **h == i).count()).max().unwrap_or_default();
-    assert!(most <= 14, "one gateway holds {most} of a hundred");
-    let settled: usize = fleet.ended.values().sum();
+    let all_holders = |fleet: &LeaseSimulation| {
+        fleet.settings.roles.iter().map(|role| fleet.holders(role)[0]).collect::<Vec<_>>()
+    };
+    let before = all_holders(&fleet);
+    let most_roles = (0..24).map(|i| before.iter().filter(|h| **h == i).count()).max().unwrap_or_default();
+    assert!(most_roles <= 14, "one gateway holds {most_roles} of a hundred roles");
+    let ended_leases: usize = fleet.ended.values().sum();
     fleet.run(ms(20_000));
-    assert_eq!(fleet.ended.values().sum::<usize>(), settled, "they swing");
-    let gone: Vec<usize> = (16..24).collect();
-    gone.iter().for_each(|i| fleet.kill(*i));
-    assert!(fleet.run_until(ms(9_000), LeaseSimulation::all_held).is_some(), "not all found again");
-    let after = by(&fleet);
-    let moved = before.iter().zip(&after).filter(|(b, a)| b != a && !gone.contains(b)).count();
-    assert_eq!(moved, 0, "moved without need");
-    gone.iter().for_each(|i| fleet.restart(*i));
+    assert_eq!(
+        fleet.ended.values().sum::<usize>(),
+        ended_leases,
+        "roles move although no gateway starts or stops"
+    );
+    let killed: Vec<usize> = (16..24).collect();
+    killed.iter().for_each(|i| fleet.kill(*i));
+    assert!(
+        fleet.run_until(ms(9_000), LeaseSimulation::all_held).is_some(),
+        "not all roles are held 9 s after a third of the gateways was killed"
+    );
+    let after = all_holders(&fleet);
+    let moved = before.iter().zip(&after).filter(|(old, new)| old != new && !killed.contains(old)).count();
+    assert_eq!(moved, 0, "roles moved although their holders were alive");
+    killed.iter().for_each(|i| fleet.restart(*i));
     fleet.run(ms(30_000));
-    assert_nothing_wrong(&fleet, 9);
-    assert!(fleet.all_held());
-    assert!(!fleet.ended.contains_key(&EndReason::Expired), "{:?}", fleet.ended);
+    assert_no_violations(&fleet, 9);
+    assert!(fleet.all_held(), "a role is not held 30 s after the killed gateways restarted");
+    assert!(!fleet.ended.contains_key(&EndReason::Expired), "leases expired: {:?}", fleet.ended);
 }
 
-/// Everything at once, drawn by seed.
+/// Random combinations of process, network, disk and clock faults.
 #[test]
-fn whatever_comes_no_two_hold_one_role_and_no_action_is_taken_out_of_order() {
+fn random_faults_cause_neither_two_holders_nor_actions_out_of_token_order() {
     for seed in 100..124 {
-        let n = 5 + seed as usize % 6;
-        let mut fleet =
-            LeaseSimulation::start(n, settings(if n > 7 { 5 } else { 3 }, 3, seed % 2 == 0), seed);
-        for i in 0..n {
+        let gateways = 5 + seed as usize % 6;
+        let voters = if gateways > 7 { 5 } else { 3 };
+        let mut fleet = LeaseSimulation::start(gateways, settings(voters, 3, seed % 2 == 0), seed);
+        for i in 0..gateways {
             fleet.gateways[i].clock_rate = 0.97 + 0.06 * fleet.random().generate::<f64>();
             fleet.restart(i);
         }
         for _ in 0..60 {
             let duration = ms(fleet.random().generate_range(50..2_500));
             fleet.run(duration);
-            let (i, j) = (fleet.random().generate_range(0..n), fleet.random().generate_range(0..n));
+            let (i, j) =
+                (fleet.random().generate_range(0..gateways), fleet.random().generate_range(0..gateways));
             match fleet.random().generate_range(0..10_u32) {
                 0 => fleet.kill(i),
                 1 | 2 => fleet.restart(i),
                 3 => fleet.suspend(i, duration * 3.0),
-                4 => fleet.link = Box::new(move |a, b| (a == i) == (b == i) || (a == j) == (b == j)),
-                5 => fleet.link = Box::new(move |a, b| a % 2 == b % 2 || (a, b) == (i, j)),
+                4 => {
+                    fleet.link =
+                        Box::new(move |from, to| (from == i) == (to == i) || (from == j) == (to == j));
+                }
+                5 => fleet.link = Box::new(move |from, to| from % 2 == to % 2 || (from, to) == (i, j)),
                 6 => (fleet.loss, fleet.max_delay) = (0.4, ms(2_000)),
                 7 => fleet.leave(i),
                 8 => {
@@ -193,18 +246,17 @@
                 }
             }
         }
-        assert_nothing_wrong(&fleet, seed);
+        assert_no_violations(&fleet, seed);
         fleet.link = Box::new(|_, _| true);
         (fleet.loss, fleet.max_delay) = (0.0, ms(5));
-        for i in 0..n {
+        for i in 0..gateways {
             fleet.gateways[i].disk = DiskBehavior::Healthy;
             fleet.restart(i);
         }
         assert!(
             fleet.run_until(ms(20_000), LeaseSimulation::all_held).is_some(),
-            "seed {seed}: not healed: {}",
-            name(0)
+            "seed {seed}: not all roles are held 20 s after the end of all faults"
         );
-        assert_nothing_wrong(&fleet, seed);
+        assert_no_violations(&fleet, seed);
     }
 }
--- a/crates/leases/tests/messages.rs
+++ b/crates/leases/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what is read back, what is told apart, and the bytes on the wire.
+//! Encoding and decoding of datagrams, and compatibility of datagrams and voter records with earlier versions.
 
 use larchfall_leases::fencing::Fenced;
 use larchfall_leases::load_sharing::SharedLoadReport;
@@ -10,41 +10,41 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn datagrams_are_read_whole_or_ignored_with_a_reason() {
-    let me = MemberId { name: "n0".into(), generation: 7 };
-    let datagram = Datagram::new("c", &me, Payload::HandOver { role: "x".into(), token: 3 });
+fn datagrams_are_decoded_completely_or_rejected_with_a_reason() {
+    let sender = MemberId { name: "n0".into(), generation: 7 };
+    let datagram = Datagram::new("c", &sender, Payload::HandOver { role: "x".into(), token: 3 });
     let bytes = datagram.encode();
     assert_eq!(Datagram::decode(&bytes, "c"), Ok(datagram));
     assert_eq!(Datagram::decode(&bytes, "d"), Err(DatagramError::OtherCluster));
     for i in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[i] ^= 1;
-        assert!(Datagram::decode(&flipped, "c").is_err(), "byte {i}");
-        assert!(Datagram::decode(&bytes[..i], "c").is_err(), "cut at {i}");
+        assert!(Datagram::decode(&flipped, "c").is_err(), "decoded with a flipped bit in byte {i}");
+        assert!(Datagram::decode(&bytes[..i], "c").is_err(), "decoded although truncated to {i} bytes");
     }
-    let malformed = Datagram::new("c", &me, Payload::HandOver { role: "x".repeat(49), token: 3 });
+    let malformed = Datagram::new("c", &sender, Payload::HandOver { role: "x".repeat(49), token: 3 });
     assert_eq!(Datagram::decode(&malformed.encode(), "c"), Err(DatagramError::Malformed));
     let entries: Vec<u64> = (0..1000).map(|n| n << 20).collect();
     let pages = paginate(entries.iter().copied(), 600);
     assert_eq!(pages.concat(), entries);
-    let request = |token: &u64| LeaseRequest { role: "d".into(), token: *token, length_us: 1 };
+    let to_request = |token: &u64| LeaseRequest { role: "d".into(), token: *token, length_us: 1 };
     for page in paginate(entries.iter().copied(), 300) {
-        let requests = page.iter().map(request).collect();
-        let datagram = Datagram::new("c", &me, Payload::RequestLeases { round: 1, requests });
-        assert!(datagram.encode().len() <= 1200);
+        let requests = page.iter().map(to_request).collect();
+        let datagram = Datagram::new("c", &sender, Payload::RequestLeases { round: 1, requests });
+        assert!(datagram.encode().len() <= 1200, "datagram has {} bytes", datagram.encode().len());
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn from_hex(hex: &str) -> Vec<u8> {
     (0..hex.len()).step_by(2).map(|i| u8::from_str_radix(&hex[i..i + 2], 16).unwrap()).collect()
 }
 
-/// Payloads about who holds what, and the bytes of their datagrams as gateways of earlier versions write them.
-fn payloads_about_leases() -> Vec<(Payload, &'static str)> {
+/// Payloads about leases and voters, each with the hexadecimal datagram that gateways of earlier versions send.
+fn lease_payloads() -> Vec<(Payload, &'static str)> {
     let other = MemberId { name: "n1".into(), generation: 3 };
     let vote = |role: &str, token, granted, highest_token| Vote {
         role: role.into(),
@@ -53,7 +53,7 @@
         highest_token,
         held_by_other: !granted,
     };
-    let released = |role: &str, token| RoleToken { role: role.into(), token };
+    let role_token = |role: &str, token| RoleToken { role: role.into(), token };
     vec![
         (
             Payload::RequestLeases {
@@ -71,7 +71,7 @@
             "0203746f79026e30bc0501ac0202017805010600017907000801465b1966",
         ),
         (
-            Payload::Release { tokens: vec![released("x", 5), released("y", 128)] },
+            Payload::Release { tokens: vec![role_token("x", 5), role_token("y", 128)] },
             "0203746f79026e30bc0502020178050179800150dc4321",
         ),
         (Payload::HandOver { role: "x".into(), token: 9 }, "0203746f79026e30bc050301780915ad6ccc"),
@@ -92,8 +92,8 @@
     ]
 }
 
-/// Payloads about work under roles, likewise.
-fn payloads_about_work() -> Vec<(Payload, &'static str)> {
+/// Payloads about load reports and quotas, each with the hexadecimal datagram that gateways of earlier versions send.
+fn load_report_and_quota_payloads() -> Vec<(Payload, &'static str)> {
     let load_report = |engine, age_us, in_flight, busy_fraction| SharedLoadReport {
         engine,
         age_us,
@@ -143,20 +143,20 @@
 }
 
 #[test]
-fn datagrams_of_each_kind_have_the_bytes_of_earlier_versions() {
-    let me = MemberId { name: "n0".into(), generation: 700 };
-    for (payload, expected) in payloads_about_leases().into_iter().chain(payloads_about_work()) {
-        let datagram = Datagram::new("toy", &me, payload);
-        assert_eq!(hex(&datagram.encode()), expected, "{datagram:?}");
-        assert_eq!(Datagram::decode(&bytes_of(expected), "toy"), Ok(datagram));
+fn datagrams_of_each_payload_have_the_encoding_of_earlier_versions() {
+    let sender = MemberId { name: "n0".into(), generation: 700 };
+    for (payload, expected) in lease_payloads().into_iter().chain(load_report_and_quota_payloads()) {
+        let datagram = Datagram::new("toy", &sender, payload);
+        assert_eq!(to_hex(&datagram.encode()), expected, "{datagram:?}");
+        assert_eq!(Datagram::decode(&from_hex(expected), "toy"), Ok(datagram));
     }
 }
 
 #[test]
-fn a_voter_record_has_the_bytes_of_earlier_versions() {
+fn a_voter_record_has_the_encoding_of_earlier_versions() {
     let highest_tokens = BTreeMap::from([("probing:0".into(), 1_700_000_000_000_001), ("x".into(), 40)]);
     let record = VoterRecord { version: 4, longest_lease_us: 6_000_000, highest_tokens };
     let expected = "011f00000004809bee02020970726f62696e673a308180f9c0c1c48203017828109be86d";
-    assert_eq!(hex(&record.encode()), expected);
-    assert_eq!(VoterRecord::decode(&bytes_of(expected)), Ok(record));
+    assert_eq!(to_hex(&record.encode()), expected);
+    assert_eq!(VoterRecord::decode(&from_hex(expected)), Ok(record));
 }
--- a/crates/leases/tests/voter.rs
+++ b/crates/leases/tests/voter.rs
@@ -1,4 +1,4 @@
-//! Candidacies, voter sets and voters, as tables.
+//! Table tests of candidacies, voter sets and voters.
 
 use larchfall_leases::candidacy::{Candidacy, LeaseTerms};
 use larchfall_leases::messages::{LeaseRequest, MemberId};
@@ -8,30 +8,37 @@
 use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
 }
 
-fn at(n: u64) -> Timestamp {
-    Timestamp::from_micros(n * 1000)
+/// The time `ms` milliseconds after the start of the clock.
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn member(name: &str, generation: u64) -> MemberId {
     MemberId { name: name.into(), generation }
 }
 
-fn list(names: &str) -> BTreeSet<String> {
-    names.chars().map(String::from).collect()
+/// Voter names of one letter each.
+fn voter_names(letters: &str) -> BTreeSet<String> {
+    letters.chars().map(String::from).collect()
 }
 
+/// A voter set; an empty string stands for no previous voters.
 fn voter_set(current: &str, previous: &str) -> VoterSet {
-    VoterSet { current: list(current), previous: Some(list(previous)).filter(|names| !names.is_empty()) }
+    VoterSet {
+        current: voter_names(current),
+        previous: Some(voter_names(previous)).filter(|names| !names.is_empty()),
+    }
 }
 
 #[test]
-fn a_lease_counts_from_the_request_that_a_majority_of_each_list_granted() {
+fn a_lease_counts_from_the_request_that_a_majority_of_each_voter_list_granted() {
     let terms = LeaseTerms { length: ms(1000), drift_margin_per_mille: 100 };
-    // (voters, those before, who granted and when it was requested, until when it is held)
+    // (current voters, previous voters, voters that granted each with the time of the request in milliseconds, time in
+    // milliseconds until which the lease is held)
     let cases = [
         ("abc", "", "a1", None),
         ("abc", "", "a1 b5", Some(901)),
@@ -42,22 +49,27 @@
         ("abc", "cde", "a1 b5", None),
         ("abc", "cde", "a1 c5 d7", Some(901)),
     ];
-    for (current, previous, granted, until) in cases {
+    for (current, previous, grants, held_until) in cases {
         let mut candidacy = Candidacy::new(1);
-        for word in granted.split(' ') {
-            candidacy.record_grant(&word[..1], at(word[1..].parse().unwrap()), terms);
+        for grant in grants.split(' ') {
+            candidacy.record_grant(&grant[..1], at(grant[1..].parse().unwrap()), terms);
         }
         let voters = voter_set(current, previous);
-        assert_eq!(candidacy.expires_at(&voters), until.map(at), "{current} {previous}: {granted}");
-        if let Some(until) = until {
-            assert!(candidacy.is_held(&voters, at(until - 1)) && !candidacy.is_held(&voters, at(until)));
+        assert_eq!(
+            candidacy.expires_at(&voters),
+            held_until.map(at),
+            "current voters {current}, previous voters {previous:?}, grants {grants}"
+        );
+        if let Some(end) = held_until {
+            assert!(candidacy.is_held(&voters, at(end - 1)) && !candidacy.is_held(&voters, at(end)));
         }
     }
 }
 
-/// Settings that are read again, or that differ: what was granted for less does not come to count for more.
+/// After a reload, or with settings that differ between gateways, a candidate must not count a grant for longer than
+/// the voter granted it.
 #[test]
-fn other_terms_make_no_lease_longer_than_it_was_granted() {
+fn changed_or_different_terms_make_no_lease_longer_than_granted() {
     let short = LeaseTerms { length: ms(1000), drift_margin_per_mille: 0 };
     let long = LeaseTerms { length: ms(9000), drift_margin_per_mille: 0 };
     let mut candidacy = Candidacy::new(1);
@@ -72,14 +84,15 @@
     assert_eq!(voter.on_request(&candidate, &request(1_000_001), 1, at(1000)), None);
     let granted = voter.on_request(&candidate, &request(1_000_000), 1, at(1000));
     assert!(granted.is_some_and(|vote| vote.granted));
-    // The longest of all that were in force is remembered.
+    // The voter record keeps the longest lease length of all limits that were in force.
     voter.update_limits(VoterLimits { longest_lease: ms(4000), ..limits });
     voter.update_limits(VoterLimits { longest_lease: ms(2000), ..limits });
     assert_eq!(voter.record().longest_lease_us, 4_000_000);
 }
 
 #[test]
-fn voters_may_change_only_where_all_majorities_intersect() {
+fn voters_may_change_only_if_all_majorities_intersect() {
+    // ((current and previous voters before the change), (current and previous voters after), whether it is allowed)
     let cases = [
         (("abc", ""), ("abc", ""), true),
         (("abc", ""), ("abd", ""), false),
@@ -88,22 +101,22 @@
         (("abd", "abc"), ("abd", ""), true),
         (("abd", "abc"), ("abe", ""), false),
     ];
-    for ((current, previous), (next, next_previous), may) in cases {
+    for ((current, previous), (next, next_previous), is_allowed) in cases {
         assert_eq!(
             voter_set(next, next_previous).majorities_intersect(&voter_set(current, previous)),
-            may,
-            "{current}/{previous} to {next}/{next_previous}"
+            is_allowed,
+            "change of current/previous voters from {current}/{previous} to {next}/{next_previous}"
         );
     }
 }
 
 #[test]
-fn a_voter_grants_one_gateway_at_a_time_and_no_token_twice() {
+fn a_voter_grants_a_role_to_one_gateway_at_a_time_and_no_token_twice() {
     let limits = VoterLimits { longest_lease: ms(1000), max_roles: 2, persistent: false };
     let mut voter = Voter::new(limits, None, 50, at(0));
     let (a, b, a_restarted) = (member("a", 1), member("b", 1), member("a", 2));
     let request = |role: &str, token| LeaseRequest { role: role.into(), token, length_us: 500_000 };
-    // (when, who, role, token, whether it is granted; none: it is ignored)
+    // (time in milliseconds, candidate, role, token, whether the request is granted or `None` if it is ignored)
     let cases = [
         (999, &a, "x", 60, None),
         (1000, &a, "x", 50, Some(false)),
@@ -121,9 +134,14 @@
     for (now, candidate, role, token, granted) in cases {
         let vote = voter.on_request(candidate, &request(role, token), 1, at(now));
         let name = &candidate.name;
-        assert_eq!(vote.map(|vote| vote.granted), granted, "at {now}: {name} asks for {role} {token}");
+        assert_eq!(
+            vote.map(|vote| vote.granted),
+            granted,
+            "{name} requests role {role} under token {token} at {now} ms"
+        );
     }
-    // An older token released late takes nothing away; the one that runs is free at once.
+    // Releases of an older token and of another gateway's token have no effect. A release of the current token frees
+    // the role immediately.
     voter.on_release(&b, "x", 52);
     voter.on_release(&a, "x", 53);
     assert_eq!(voter.leases_after(None, at(1970)).count(), 2);
@@ -133,7 +151,7 @@
 }
 
 #[test]
-fn a_token_is_granted_once_it_is_on_disk_and_a_failing_disk_takes_nothing_away() {
+fn a_token_is_granted_when_it_is_on_disk_and_a_failed_write_ends_no_lease() {
     let limits = VoterLimits { longest_lease: ms(1000), max_roles: 9, persistent: true };
     let mut voter = Voter::new(limits, None, 0, at(0));
     let (a, now) = (member("a", 1), at(1000));
@@ -141,22 +159,27 @@
     assert_eq!(voter.on_request(&a, &request(1), 7, now), None);
     let record = voter.take_record_to_write().unwrap();
     assert_eq!(record.highest_tokens, BTreeMap::from([("x".into(), 1)]));
-    assert_eq!(voter.take_record_to_write(), None, "one at a time");
+    assert_eq!(voter.take_record_to_write(), None, "a second write starts during the first write");
     let delayed = voter.on_record_written(true, at(1200));
     assert!(delayed[0].vote.granted && delayed[0].round == 7 && delayed[0].to == a);
-    assert_eq!(voter.leases_after(None, at(1699)).count(), 1, "counted from the answer");
-    // A newer token that can't be written: the one before still runs, and only that.
+    assert_eq!(
+        voter.leases_after(None, at(1699)).count(),
+        1,
+        "the lease doesn't count from the end of the disk write"
+    );
+    // The write of a newer token fails: the lease of the previous token stays in force, and the newer token is refused.
     assert_eq!(voter.on_request(&a, &request(2), 8, at(1300)), None);
     assert!(voter.take_record_to_write().is_some());
     assert_eq!(voter.on_record_written(false, at(1310)), []);
-    assert_eq!(voter.take_record_to_write(), None, "not again and again");
+    assert_eq!(voter.take_record_to_write(), None, "a failed write is repeated without a new token");
     assert!(!voter.on_request(&a, &request(2), 9, at(1320)).unwrap().granted);
     let other = member("b", 1);
     assert!(voter.on_request(&other, &request(3), 9, at(1690)).unwrap().held_by_other);
     assert!(voter.on_request(&a, &request(1), 9, at(1690)).unwrap().granted);
-    // After a restart it waits as long as any lease of the record, and goes on from its tokens or from the clock.
-    let old = VoterRecord { longest_lease_us: 5_000_000, ..record };
-    let mut restarted = Voter::new(limits, Some(&old), 40, at(2000));
+    // After a restart, the voter stays silent for the longest lease length of the record and continues above the
+    // highest token of the record and the wall clock.
+    let old_record = VoterRecord { longest_lease_us: 5_000_000, ..record };
+    let mut restarted = Voter::new(limits, Some(&old_record), 40, at(2000));
     assert!(restarted.is_silent(at(6999)) && !restarted.is_silent(at(7000)));
     assert_eq!(restarted.on_request(&a, &request(40), 1, at(7000)).unwrap().highest_token, 40);
 }
