--- a/crates/paged-rest/src/call.rs
+++ b/crates/paged-rest/src/call.rs
@@ -1,19 +1,20 @@
-//! Calls as clients write them over HTTP/1.1 (RFC 9112), read from whatever bytes have come: the same calls however
-//! they are split. One call at a time; what follows it in the same bytes is the next one.
+//! Decodes calls, which are HTTP/1.1 requests (RFC 9112) of clients, and encodes their responses. A call is decoded
+//! from the bytes received so far, one call at a time, and the result doesn't depend on how the bytes were split into
+//! reads. Bytes after the end of a call belong to the next call.
 
 use http::StatusCode;
 use httparse::{EMPTY_HEADER, Header, Request, Status};
 
-/// Bytes of the longest head.
+/// Maximum size of the request line and headers, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Lines of the longest head.
-pub const MAX_HEAD_LINES: usize = 64;
-/// Bytes of a chunk's size with its extensions, and of a trailer.
+/// Maximum number of headers of a call.
+pub const MAX_HEADERS: usize = 64;
+/// Maximum size of the line that starts a chunk (size and extensions), and of the trailer section, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// What a call does, as HTTP names it.
+/// The HTTP method of a call. Methods that the protocol doesn't use are `Other`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[expect(missing_docs, reason = "the methods are those of HTTP")]
+#[expect(missing_docs, reason = "the variants are the methods of HTTP")]
 pub enum Method {
     Get,
     Head,
@@ -36,84 +37,84 @@
     }
 }
 
-/// One call of a client.
+/// An HTTP request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// What it does.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path, without the part behind a question mark.
+    /// The path of the request target, without the query string.
     pub path: String,
-    /// Names in lower case, with their values.
+    /// Header names in lower case and trimmed values, in the order received.
     pub headers: Vec<(String, String)>,
-    /// Its body, out of its chunks where it came in such.
+    /// The body, without the framing of a chunked transfer.
     pub body: Vec<u8>,
-    /// Whether the connection ends after its response.
+    /// Whether the connection closes after the response: the client asked for this, or uses HTTP/1.0.
     pub closes_connection: bool,
 }
 
 impl Call {
-    /// The first value of the header of this name, which is given in lower case.
+    /// Returns the first value of a header, or `None` if the call has no such header. `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// All values of this name, as some headers may come in several lines.
+    /// Returns all values of a header, because some headers may be repeated. `name` is in lower case.
     pub fn header_values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.headers.iter().filter(move |(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers.iter().filter(move |(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// What some bytes hold so far.
+/// What was decoded from the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub enum Progress {
-    /// More is to come.
+    /// The call is incomplete.
     Incomplete,
-    /// The head is complete, and the client waits for an interim response before it sends the body.
+    /// The headers are complete, and the client waits for `100 Continue` before it sends the body.
     ExpectsContinue,
     /// A complete call.
     Complete {
-        /// The call.
+        /// The decoded call.
         call: Call,
-        /// How many of the bytes it takes.
+        /// Encoded size of the call, in bytes. The next call starts after these bytes.
         length: usize,
     },
 }
 
-/// Why bytes are no call. The client is told so, and the connection ends with it.
+/// Why the received bytes are not a valid call. The client receives this text, and the connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[expect(missing_docs, reason = "the text of each variant says what it means")]
+#[expect(missing_docs, reason = "the error text of each variant describes it")]
 pub enum CallError {
-    #[error("head too long")]
+    #[error("request line and headers exceed {} bytes or {} headers", MAX_HEAD_BYTES, MAX_HEADERS)]
     HeadTooLong,
-    #[error("not HTTP")]
-    NotHttp,
-    #[error("head is no text")]
-    HeadNotText,
-    #[error("length is no number")]
-    BadLength,
-    #[error("two lengths")]
-    TwoLengths,
+    #[error("request line or headers are not valid HTTP/1.x")]
+    InvalidHead,
+    #[error("a header value is not valid UTF-8")]
+    HeaderNotUtf8,
+    #[error("Content-Length is not a valid decimal number")]
+    InvalidContentLength,
+    #[error("more than one Content-Length or Transfer-Encoding header")]
+    DuplicateBodyLength,
     #[error("unknown transfer encoding")]
     UnknownTransferEncoding,
     #[error("unknown expectation")]
     UnknownExpectation,
     #[error("body too long")]
     BodyTooLong,
-    #[error("bad chunk")]
-    BadChunk,
-    #[error("trailer too long")]
+    #[error("a chunk of the body has an invalid size line or no line end")]
+    InvalidChunk,
+    #[error("trailer section is longer than {} bytes", MAX_LINE_BYTES)]
     TrailerTooLong,
 }
 
 impl CallError {
-    /// The status of the response.
+    /// The HTTP status of the error response.
     pub fn status(self) -> u16 {
         match self {
-            CallError::NotHttp
-            | CallError::HeadNotText
-            | CallError::BadLength
-            | CallError::TwoLengths
-            | CallError::BadChunk => 400,
+            CallError::InvalidHead
+            | CallError::HeaderNotUtf8
+            | CallError::InvalidContentLength
+            | CallError::DuplicateBodyLength
+            | CallError::InvalidChunk => 400,
             CallError::BodyTooLong => 413,
             CallError::UnknownExpectation => 417,
             CallError::HeadTooLong | CallError::TrailerTooLong => 431,
@@ -122,13 +123,13 @@
     }
 }
 
-/// How the end of a body is known.
+/// How the headers delimit the body.
 enum BodyLength {
     Known(usize),
     Chunked,
 }
 
-/// What the lines of a head say of the body behind it.
+/// What the headers say about the body.
 #[derive(Default)]
 struct Framing {
     body_length: Option<BodyLength>,
@@ -136,24 +137,25 @@
 }
 
 impl Framing {
-    /// Two lengths, or a length beside chunks, could mean another call to a program between the client and here.
+    /// Sets how the body is delimited. A second `Content-Length` or `Transfer-Encoding` is an error: an intermediary
+    /// between the client and this gateway could delimit the body differently and see other calls (request smuggling).
     fn set_body_length(&mut self, length: BodyLength) -> Result<(), CallError> {
         match self.body_length.replace(length) {
-            Some(_) => Err(CallError::TwoLengths),
+            Some(_) => Err(CallError::DuplicateBodyLength),
             None => Ok(()),
         }
     }
 }
 
-/// Reads the call at the start of these bytes, whose body may have so many bytes at most.
+/// Decodes the call at the start of `bytes`. Returns an error if the body is longer than `max_body_bytes`.
 pub fn decode(bytes: &[u8], max_body_bytes: usize) -> Result<Progress, CallError> {
-    let mut lines = [EMPTY_HEADER; MAX_HEAD_LINES];
-    let mut head = Request::new(&mut lines);
+    let mut header_slots = [EMPTY_HEADER; MAX_HEADERS];
+    let mut head = Request::new(&mut header_slots);
     let body_start = match head.parse(bytes) {
         Ok(Status::Complete(start)) if start <= MAX_HEAD_BYTES => start,
         Ok(Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Ok(Progress::Incomplete),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(CallError::HeadTooLong),
-        Err(_) => return Err(CallError::NotHttp),
+        Err(_) => return Err(CallError::InvalidHead),
     };
     let path = head.path.unwrap_or_default();
     let mut call = Call {
@@ -164,37 +166,37 @@
         closes_connection: head.version == Some(0),
     };
     let mut framing = Framing::default();
-    for line in head.headers.iter() {
-        read_header(line, &mut call, &mut framing)?;
+    for header in head.headers.iter() {
+        apply_header(header, &mut call, &mut framing)?;
     }
-    let rest = &bytes[body_start..];
+    let body_bytes = &bytes[body_start..];
     let body = match framing.body_length {
         Some(BodyLength::Known(length)) if length > max_body_bytes => return Err(CallError::BodyTooLong),
         Some(BodyLength::Known(length)) => {
-            rest.get(..length).map(|body| Body { bytes: body.to_vec(), length })
+            body_bytes.get(..length).map(|body| Body { bytes: body.to_vec(), encoded_length: length })
         }
-        Some(BodyLength::Chunked) => chunked_body(rest, max_body_bytes)?,
-        None => Some(Body { bytes: Vec::new(), length: 0 }),
+        Some(BodyLength::Chunked) => decode_chunked_body(body_bytes, max_body_bytes)?,
+        None => Some(Body { bytes: Vec::new(), encoded_length: 0 }),
     };
     match body {
-        Some(Body { bytes, length }) => {
+        Some(Body { bytes, encoded_length }) => {
             call.body = bytes;
-            Ok(Progress::Complete { call, length: body_start + length })
+            Ok(Progress::Complete { call, length: body_start + encoded_length })
         }
-        None if framing.expects_continue && rest.is_empty() => Ok(Progress::ExpectsContinue),
+        None if framing.expects_continue && body_bytes.is_empty() => Ok(Progress::ExpectsContinue),
         None => Ok(Progress::Incomplete),
     }
 }
 
-/// Reads one line of the head.
-fn read_header(line: &Header, call: &mut Call, framing: &mut Framing) -> Result<(), CallError> {
-    let value = std::str::from_utf8(line.value).map_err(|_| CallError::HeadNotText)?.trim();
-    let name = line.name.to_ascii_lowercase();
+/// Adds a header to the call, and records what the header says about the body and the connection.
+fn apply_header(header: &Header, call: &mut Call, framing: &mut Framing) -> Result<(), CallError> {
+    let value = std::str::from_utf8(header.value).map_err(|_| CallError::HeaderNotUtf8)?.trim();
+    let name = header.name.to_ascii_lowercase();
     match name.as_str() {
         "content-length" => {
-            // A number's own reader would take a sign as well.
+            // `parse` alone would also accept a leading plus sign.
             let only_digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-            let length = value.parse().ok().filter(|_| only_digits).ok_or(CallError::BadLength)?;
+            let length = value.parse().ok().filter(|_| only_digits).ok_or(CallError::InvalidContentLength)?;
             framing.set_body_length(BodyLength::Known(length))?;
         }
         "transfer-encoding" => {
@@ -215,45 +217,47 @@
     Ok(())
 }
 
-/// A body, and how many bytes it takes on the wire.
+/// A decoded body.
 struct Body {
     bytes: Vec<u8>,
-    length: usize,
+    /// Size of the body on the wire, in bytes. The size includes the framing of a chunked transfer.
+    encoded_length: usize,
 }
 
-/// A chunked body; `None` while it is not complete.
-fn chunked_body(bytes: &[u8], max_body_bytes: usize) -> Result<Option<Body>, CallError> {
+/// Decodes a chunked body. Returns `None` if the body is incomplete.
+fn decode_chunked_body(bytes: &[u8], max_body_bytes: usize) -> Result<Option<Body>, CallError> {
     let mut body = Vec::new();
-    let mut at = 0;
+    let mut offset = 0;
     loop {
-        let rest = &bytes[at..];
-        let (line_length, size) = match httparse::parse_chunk_size(rest) {
-            Ok(Status::Complete(line)) => line,
-            Ok(Status::Partial) if rest.len() < MAX_LINE_BYTES => return Ok(None),
-            _ => return Err(CallError::BadChunk),
+        let remaining = &bytes[offset..];
+        let (size_line_length, size) = match httparse::parse_chunk_size(remaining) {
+            Ok(Status::Complete(size_line)) => size_line,
+            Ok(Status::Partial) if remaining.len() < MAX_LINE_BYTES => return Ok(None),
+            _ => return Err(CallError::InvalidChunk),
         };
         if size > (max_body_bytes - body.len()) as u64 {
             return Err(CallError::BodyTooLong);
         }
         let size = size as usize;
-        let start = at + line_length;
+        let start = offset + size_line_length;
         if size == 0 {
-            let end = trailer_end(&bytes[start..])?;
-            return Ok(end.map(|end| Body { bytes: body, length: start + end }));
+            let trailer_length = trailer_length(&bytes[start..])?;
+            return Ok(trailer_length.map(|length| Body { bytes: body, encoded_length: start + length }));
         }
         let Some(chunk) = bytes.get(start..start + size) else { return Ok(None) };
         match bytes.get(start + size..start + size + 2) {
             Some(b"\r\n") => {}
-            Some(_) => return Err(CallError::BadChunk),
+            Some(_) => return Err(CallError::InvalidChunk),
             None => return Ok(None),
         }
         body.extend_from_slice(chunk);
-        at = start + size + 2;
+        offset = start + size + 2;
     }
 }
 
-/// Where the trailer ends; nothing in its lines is needed.
-fn trailer_end(bytes: &[u8]) -> Result<Option<usize>, CallError> {
+/// Returns the length of the trailer section in bytes, or `None` if the section is incomplete. Trailer fields are
+/// ignored.
+fn trailer_length(bytes: &[u8]) -> Result<Option<usize>, CallError> {
     if bytes.starts_with(b"\r\n") {
         return Ok(Some(2));
     }
@@ -264,19 +268,20 @@
     }
 }
 
-/// A response to a call.
+/// An HTTP response to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers beside those that every response has.
+    /// Headers in addition to `Connection`, `Content-Type` and `Content-Length`, which [`Response::encode`] adds.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body, which is JSON.
+    /// The body, in JSON. Empty with status 204.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// The response as bytes. The one to a HEAD call has no body; `closes_connection` says that the connection ends after it.
+    /// Encodes the response to a call with this method; the body is left out for HEAD. `closes_connection` adds
+    /// `Connection: close`.
     pub fn encode(&self, closes_connection: bool, method: Method) -> Vec<u8> {
         let status = self.status;
         let reason = StatusCode::from_u16(status).ok().and_then(|code| code.canonical_reason());
@@ -299,5 +304,5 @@
     }
 }
 
-/// The interim response to a client that waits before it sends a body.
+/// The interim response to a client that sent `Expect: 100-continue` and waits before it sends the body.
 pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
--- a/crates/paged-rest/src/cursor.rs
+++ b/crates/paged-rest/src/cursor.rs
@@ -1,148 +1,149 @@
-//! One result as its client pages through it. Every document that the client gets is a page with a token; a call for a
-//! token says that all before it have come. What is under a token never changes, so a page that is asked for again
-//! after a dropped connection, or on two connections at once, is the same page.
+//! The page buffer of one result. Each page has a token; tokens count up from 0. A call for a token acknowledges all
+//! earlier pages, which are then dropped. The page of a token never changes once a client has fetched the page, so that
+//! a client can repeat a call after a dropped connection, or make the call on two connections at once.
 
 use larchfall_policy::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Limits of one result.
+/// Limits of one result's buffer.
 #[derive(Clone, Copy, Debug)]
 pub struct ResultWindow {
-    /// Pages that wait for the client.
+    /// Number of buffered pages from which no further page is fetched.
     pub max_pages: usize,
-    /// Bytes that wait for the client.
+    /// Size of the buffered rows, in bytes, from which no further page is fetched.
     pub max_bytes: usize,
-    /// A result that nobody asked for in this long is abandoned.
+    /// Time since the client's last call for a page, after which the result expires.
     pub retention: Duration,
 }
 
-/// How a result ended, as far as the engine and the policy go.
+/// How the request for a result ended, whether or not the client has fetched the last page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultEnd {
-    /// All rows have come.
+    /// The engine returned all rows.
     Returned,
-    /// Trying again is harmless.
+    /// The request was rejected, and can safely be retried.
     Rejected,
-    /// Nothing is promised about what the request did.
+    /// The request failed, and may have run in part or in full.
     Errored,
 }
 
-/// The one final answer of a request, as its client saw it.
+/// What became of a result on the client's side. Each result has exactly one outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultOutcome {
-    /// The last page was handed out.
+    /// A call returned the last page.
     Delivered(ResultEnd),
-    /// The client cancelled it, or did not ask for a page in time.
+    /// The client cancelled the statement, or made no call for a page within the retention time.
     Abandoned,
 }
 
-/// What is under a token.
+/// A page of a result.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page<T> {
-    /// Its number, which the address of the page names.
+    /// Sequence number of the page within the result, from 0. The address of the page contains the token.
     pub token: u64,
-    /// What the page holds.
+    /// Rows of the page, or the error that replaces them.
     pub content: T,
-    /// The last page has an end, and no next one.
+    /// How the request ended. Set on the last page only.
     pub end: Option<ResultEnd>,
 }
 
-/// What a call for a token finds.
+/// The page for a token, or why there is none.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PageLookup<T> {
-    /// The page.
+    /// The page is buffered.
     Found {
-        /// What is under the token.
+        /// The page for the token.
         page: Page<T>,
-        /// The final answer, the first time that the last page is handed out.
+        /// Set only with the first call that returns the last page, so that the outcome is counted once.
         outcome: Option<ResultOutcome>,
     },
-    /// Not there yet.
+    /// The page doesn't exist yet.
     NotReady,
-    /// Before the last page that was asked for.
+    /// The page was dropped because the client has called for a later page.
     Gone,
-    /// Never given out as a next one.
+    /// No page has named this token as the next token, or the result was abandoned.
     Unknown,
 }
 
 #[derive(Debug)]
-struct StoredPage<T> {
+struct BufferedPage<T> {
     page: Page<T>,
-    /// Bytes of its rows.
+    /// Size of the page's rows, in bytes.
     size: usize,
 }
 
-/// The pages of one result that wait for their client, and what it has had.
+/// The buffered pages of one result, and the position of the client in the result.
 #[derive(Debug)]
 pub struct ResultCursor<T> {
     window: ResultWindow,
-    /// The token of the oldest page; those before it have come to the client.
+    /// Token of the oldest buffered page. The client has acknowledged all earlier pages.
     first_token: u64,
-    pages: VecDeque<StoredPage<T>>,
+    pages: VecDeque<BufferedPage<T>>,
     buffered_bytes: usize,
-    /// One past the last token that was given out as a next one.
-    known_tokens: u64,
-    /// Whether rows were handed out: then the result can't start again.
+    /// Tokens below this number have been named to the client.
+    announced_tokens: u64,
+    /// Whether a call returned rows. Such a result can't restart.
     rows_delivered: bool,
-    last_asked: Timestamp,
+    last_call: Timestamp,
     outcome: Option<ResultOutcome>,
 }
 
 impl<T: Clone> ResultCursor<T> {
-    /// A result without any page. The token of its first one is known.
+    /// Makes a result without pages. The client already knows token 0.
     pub fn new(window: ResultWindow, now: Timestamp) -> ResultCursor<T> {
         ResultCursor {
             window,
             first_token: 0,
             pages: VecDeque::new(),
             buffered_bytes: 0,
-            known_tokens: 1,
+            announced_tokens: 1,
             rows_delivered: false,
-            last_asked: now,
+            last_call: now,
             outcome: None,
         }
     }
 
-    /// The token of the next page to be added.
+    /// Token of the next page to be added.
     fn next_token(&self) -> u64 {
         self.first_token + self.pages.len() as u64
     }
 
     fn has_ended(&self) -> bool {
-        self.pages.back().is_some_and(|stored| stored.page.end.is_some())
+        self.pages.back().is_some_and(|buffered| buffered.page.end.is_some())
     }
 
-    /// Bytes that wait for the client.
+    /// Size of the buffered rows, in bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Whether the engine may be asked for another page.
+    /// Whether another page may be fetched from the engine. True for an empty buffer whatever the limits, so that
+    /// every result makes progress.
     pub fn has_capacity(&self) -> bool {
         let within_window =
             self.pages.len() < self.window.max_pages && self.buffered_bytes < self.window.max_bytes;
         self.pages.is_empty() || within_window
     }
 
-    /// Adds a page with so many bytes of rows, or the last one. Nothing is added after an end, or once nobody reads any
-    /// more; false then.
+    /// Adds a page. `size` is the size of its rows in bytes; `end` marks the last page. Returns false, without adding
+    /// the page, if the result already has its last page or an outcome.
     pub fn push(&mut self, content: T, size: usize, end: Option<ResultEnd>) -> bool {
         if self.has_ended() || self.outcome.is_some() {
             return false;
         }
-        self.pages.push_back(StoredPage { page: Page { token: self.next_token(), content, end }, size });
+        self.pages.push_back(BufferedPage { page: Page { token: self.next_token(), content, end }, size });
         self.buffered_bytes += size;
         true
     }
 
-    /// The engine lost the rest: whether the result may start again. Once rows were handed out it may not, for they
-    /// would come again in another form. Otherwise what waits is dropped, except pages whose tokens are known, which have
-    /// no rows.
+    /// Prepares the result for another attempt after the engine lost it. Returns false if the result can't restart: a
+    /// client that has received rows could receive them again in another order or in other pages. Otherwise drops
+    /// the buffered pages, except pages whose successor's token the client knows; these have no rows.
     pub fn restart(&mut self) -> bool {
         if self.rows_delivered || self.has_ended() || self.outcome.is_some() {
             return false;
         }
-        while self.pages.back().is_some_and(|stored| stored.page.token + 1 >= self.known_tokens) {
+        while self.pages.back().is_some_and(|buffered| buffered.page.token + 1 >= self.announced_tokens) {
             if let Some(dropped) = self.pages.pop_back() {
                 self.buffered_bytes -= dropped.size;
             }
@@ -150,24 +151,24 @@
         true
     }
 
-    /// A client asks for a token.
+    /// Returns the page for a token, drops the earlier pages, and restarts the retention time.
     pub fn get(&mut self, token: u64, now: Timestamp) -> PageLookup<T> {
-        if self.outcome == Some(ResultOutcome::Abandoned) || token >= self.known_tokens {
+        if self.outcome == Some(ResultOutcome::Abandoned) || token >= self.announced_tokens {
             return PageLookup::Unknown;
         }
         if token < self.first_token {
             return PageLookup::Gone;
         }
-        // A client that has the last page has had it for as long as it is kept.
+        // Calls that repeat the last page don't extend the retention time: the result is complete.
         if self.outcome.is_none() {
-            self.last_asked = now;
+            self.last_call = now;
         }
         while self.first_token < token {
             let Some(delivered) = self.pages.pop_front() else { break };
             self.buffered_bytes -= delivered.size;
             self.first_token += 1;
         }
-        let Some(StoredPage { page, size }) = self.pages.front() else { return PageLookup::NotReady };
+        let Some(BufferedPage { page, size }) = self.pages.front() else { return PageLookup::NotReady };
         self.rows_delivered |= *size > 0;
         let mut outcome = None;
         match page.end {
@@ -176,19 +177,20 @@
                 self.outcome = outcome;
             }
             Some(_) => {}
-            None => self.known_tokens = self.known_tokens.max(token + 2),
+            None => self.announced_tokens = self.announced_tokens.max(token + 2),
         }
         PageLookup::Found { page: page.clone(), outcome }
     }
 
-    /// A call for this token has waited long enough: a page without rows is added for it, unless another is there.
+    /// Adds a page without rows if the client knows `token` and its page doesn't exist yet. Used when a call has
+    /// waited for the page as long as calls may wait.
     pub fn push_empty_page(&mut self, token: u64, empty: T) {
-        if token == self.next_token() && token < self.known_tokens {
+        if token == self.next_token() && token < self.announced_tokens {
             self.push(empty, 0, None);
         }
     }
 
-    /// The client cancels it; true where that is its final answer.
+    /// Abandons the result and drops its pages. Returns false if the result already has an outcome.
     pub fn abandon(&mut self) -> bool {
         if self.outcome.is_some() {
             return false;
@@ -199,12 +201,12 @@
         true
     }
 
-    /// When it is abandoned unless somebody asks for a page.
+    /// When the result expires if the client makes no further call.
     pub fn expires_at(&self) -> Timestamp {
-        self.last_asked + self.window.retention
+        self.last_call + self.window.retention
     }
 
-    /// The final answer, once the client has had it.
+    /// The outcome, or `None` if the client can still fetch further pages.
     pub fn outcome(&self) -> Option<ResultOutcome> {
         self.outcome
     }
--- a/crates/paged-rest/src/document.rs
+++ b/crates/paged-rest/src/document.rs
@@ -1,19 +1,19 @@
-//! The JSON documents of the protocol: one per page.
+//! The JSON documents of the protocol. The response to a call for a page is one document.
 
 use crate::cursor::ResultEnd;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// A statement's state in `stats`, as clients show it.
+/// A statement's state in the `stats` of a document. Clients display the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum StatementState {
-    /// No rows yet.
+    /// The page has no rows, and further pages follow.
     Queued,
-    /// Rows, and more may come.
+    /// The page has rows, and further pages follow.
     Running,
-    /// All rows have come.
+    /// Last page of a complete result.
     Finished,
-    /// There is an error in place of the result, or of the rest of it.
+    /// Last page of a failed statement: an error replaces the result or the rest of the result.
     Failed,
 }
 
@@ -21,38 +21,38 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Column {
-    /// Its name.
+    /// Column name. Gateways number the columns: `c1`, `c2`, and so on.
     pub name: String,
-    /// Its type by name.
+    /// Type name with arguments, e.g. `varchar(10)`.
     #[serde(rename = "type")]
     pub type_name: String,
-    /// Its type in parts.
+    /// The same type in structured form.
     pub type_signature: TypeSignature,
 }
 
-/// The type of a column in parts.
+/// The type of a column in structured form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct TypeSignature {
-    /// The type without arguments.
+    /// Type name without arguments.
     pub raw_type: String,
-    /// Its arguments.
+    /// Type arguments. Empty for all columns that [`encode`] writes.
     pub arguments: Vec<serde_json::Value>,
 }
 
 impl Column {
-    /// A text column.
-    pub fn text(name: String) -> Column {
+    /// Makes a column of type `varchar`.
+    pub fn varchar(name: String) -> Column {
         let type_name = "varchar".to_owned();
         let type_signature = TypeSignature { raw_type: type_name.clone(), arguments: Vec::new() };
         Column { name, type_name, type_signature }
     }
 }
 
-/// How far a statement is. Clients want all of these fields; what a gateway does not know is zero.
+/// Progress of a statement. Clients require all of these fields; values that a gateway doesn't know are zero.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-#[expect(missing_docs, reason = "the fields are those of the protocol")]
+#[expect(missing_docs, reason = "the fields are defined by the protocol")]
 pub struct Stats {
     pub state: StatementState,
     pub queued: bool,
@@ -94,25 +94,25 @@
     }
 }
 
-/// Why a statement has no result, as clients show it.
+/// Why a statement has no result or only part of a result. Clients display the error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct QueryError {
-    /// What went wrong.
+    /// Description of the error for the user.
     pub message: String,
-    /// The protocol's number for the name.
+    /// Number of `error_name` in the protocol.
     pub error_code: u32,
-    /// The protocol's name for such errors.
+    /// Error name in the protocol, e.g. `QUERY_QUEUE_FULL`.
     pub error_name: String,
-    /// The protocol's name for the kind of error.
+    /// Error category in the protocol, e.g. `USER_ERROR`.
     pub error_type: String,
-    /// When trying again is best, where it is harmless.
+    /// Suggested delay before a retry, in milliseconds. Only for rejected statements.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_millis: Option<u64>,
 }
 
 impl QueryError {
-    /// Trying again is harmless, best after so long.
+    /// The statement was rejected, and can safely be retried, preferably after this delay in milliseconds.
     pub fn rejected(retry_after_millis: Option<u64>) -> QueryError {
         let message = match retry_after_millis {
             Some(ms) => format!("pushed back: trying again is harmless, best after {ms} ms"),
@@ -127,10 +127,10 @@
         }
     }
 
-    /// Nothing is promised about what the statement did.
-    pub fn internal(why: &str) -> QueryError {
+    /// The statement failed, and may have run in part or in full.
+    pub fn internal(reason: &str) -> QueryError {
         QueryError {
-            message: format!("errored: {why}; it may have run"),
+            message: format!("errored: {reason}; it may have run"),
             error_code: 65_536,
             error_name: "GENERIC_INTERNAL_ERROR".to_owned(),
             error_type: "INTERNAL_ERROR".to_owned(),
@@ -138,10 +138,10 @@
         }
     }
 
-    /// The call can't be used, and nothing was admitted.
-    pub fn unusable(why: &str) -> QueryError {
+    /// The call is invalid, and no request was admitted. `reason` becomes the message.
+    pub fn unusable(reason: &str) -> QueryError {
         QueryError {
-            message: why.to_owned(),
+            message: reason.to_owned(),
             error_code: 0,
             error_name: "GENERIC_USER_ERROR".to_owned(),
             error_type: "USER_ERROR".to_owned(),
@@ -150,75 +150,78 @@
     }
 }
 
-/// What a page holds, apart from its address and the next one's.
+/// The content of a page, without the addresses in its document.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PageContent {
-    /// Rows as text: a tab between columns, a line feed after each row.
+    /// Rows as text, with a tab between columns and a line feed after each row.
     pub rows: Vec<u8>,
-    /// Why there are no more rows, where that is not their end.
+    /// Why the rows end before the result is complete. `None` if there is no error.
     pub error: Option<QueryError>,
-    /// Time since the statement came. It is part of the page, which is the same each time.
+    /// Time since the statement was received, in milliseconds. Stored with the page, because a page must be identical
+    /// each time it is returned.
     pub elapsed_ms: u64,
 }
 
-/// Rows of a page, written from their text without a copy: a page is most of what this protocol costs.
+/// Rows of a page, serialized directly from their text. Avoiding a copy matters because encoding pages is most of the
+/// CPU cost of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rows<'a>(&'a str);
 
 impl Serialize for Rows<'_> {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_seq(self.0.lines().map(Row))
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_seq(self.0.lines().map(Row))
     }
 }
 
 struct Row<'a>(&'a str);
 
 impl Serialize for Row<'_> {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_seq(self.0.split('\t'))
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_seq(self.0.split('\t'))
     }
 }
 
-/// A page as JSON. Readers get the rows as lists of values.
+/// The JSON document of a page. `D` is the type of the rows; deserialized rows are lists of values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Document<D = Vec<Vec<String>>> {
-    /// The statement's id.
+    /// Id of the statement.
     pub id: String,
-    /// Where people can read about the statement.
+    /// URL of information about the statement, for users.
     pub info_uri: String,
-    /// The address of the next page; `None` on the last one.
+    /// URL of the next page. `None` on the last page.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub next_uri: Option<String>,
-    /// The columns of the rows.
+    /// Columns of the rows. `None` if the page has no rows, except on the last page of an empty result.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub columns: Option<Vec<Column>>,
-    /// The rows, where there are any.
+    /// Rows of the page. `None` if there are no rows.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub data: Option<D>,
-    /// How far the statement is.
+    /// Progress of the statement.
     pub stats: Stats,
-    /// Why there is no result.
+    /// Why the statement failed. `None` if the statement has not failed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub error: Option<QueryError>,
     /// Always empty.
     pub warnings: Vec<serde_json::Value>,
 }
 
-/// The addresses that a page's document names.
+/// The id and URLs in the document of a page.
 pub struct PageLinks {
-    /// The statement's id.
+    /// Id of the statement.
     pub id: String,
-    /// Where people can read about the statement.
+    /// URL of information about the statement, for users.
     pub info: String,
-    /// The next page; `None` on the last one.
+    /// URL of the next page. `None` on the last page.
     pub next: Option<String>,
 }
 
-/// The document of a page. Columns are named with every page that has rows, by the number of values in these.
+/// Encodes the document of a page. `end` is set for the last page. Every page with rows contains the columns, whose
+/// number is the number of values in the first row.
 pub fn encode(content: &PageContent, end: Option<ResultEnd>, links: PageLinks) -> Vec<u8> {
-    let text = String::from_utf8_lossy(&content.rows);
-    let first_row = text.lines().next();
+    let rows = String::from_utf8_lossy(&content.rows);
+    let first_row = rows.lines().next();
     let state = match end {
         None if first_row.is_none() => StatementState::Queued,
         None => StatementState::Running,
@@ -227,24 +230,24 @@
     };
     let column_count = match first_row {
         Some(row) => Some(row.split('\t').count()),
-        // A result without rows has a column all the same: clients take its absence for a statement without a result.
+        // An empty result also has a column: without columns, clients assume a statement that returns no result.
         None if end == Some(ResultEnd::Returned) => Some(1),
         None => None,
     };
-    let columns = column_count.map(|count| (1..=count).map(|n| Column::text(format!("c{n}"))).collect());
+    let columns = column_count.map(|count| (1..=count).map(|n| Column::varchar(format!("c{n}"))).collect());
     let document = Document {
         id: links.id,
         info_uri: links.info,
         next_uri: links.next,
         columns,
-        data: first_row.map(|_| Rows(&text)),
+        data: first_row.map(|_| Rows(&rows)),
         stats: Stats::new(state, content.elapsed_ms),
         error: content.error.clone(),
         warnings: Vec::new(),
     };
-    let mut out = Vec::with_capacity(1024 + 2 * content.rows.len());
-    if let Err(e) = serde_json::to_writer(&mut out, &document) {
-        unreachable!("text and numbers are JSON: {e}");
+    let mut json = Vec::with_capacity(1024 + 2 * content.rows.len());
+    if let Err(error) = serde_json::to_writer(&mut json, &document) {
+        unreachable!("strings and numbers can be serialized as JSON: {error}");
     }
-    out
+    json
 }
--- a/crates/paged-rest/src/lib.rs
+++ b/crates/paged-rest/src/lib.rs
@@ -1,7 +1,12 @@
-//! The paged REST protocol that distributed SQL engines publish for their clients, without input or output: [`call`]
-//! reads calls and writes responses, [`request_fields`] finds the fields of a request in a call, [`cursor`] and
-//! [`results`] decide who may ask for which page and until when, [`page_address`] makes addresses that can't be
-//! guessed, [`document`] is the JSON.
+//! The server side of the paged REST protocol of distributed SQL engines (Trino and Presto), without input and output.
+//! A client submits a statement and fetches its result page by page; each page has the address of the next page.
+//!
+//! - A *call* is an HTTP request of a client; [`call`] decodes calls and encodes their responses. A *request* is the
+//!   statement that the gateway routes to an engine; [`request_fields`] finds the fields of a request in a call.
+//! - [`cursor`] buffers the pages of one result, and decides which pages a client may fetch and until when.
+//!   [`results`] holds all open results and limits their number and memory.
+//! - [`page_address`] makes page addresses that can't be guessed.
+//! - [`document`] encodes pages as JSON.
 
 #![deny(missing_docs)]
 
--- a/crates/paged-rest/src/page_address.rs
+++ b/crates/paged-rest/src/page_address.rs
@@ -1,4 +1,5 @@
-//! Addresses of pages that can't be guessed: a keyed hash (HMAC-SHA-256, cut to 128 bits) over what they name.
+//! Addresses of result pages. An address contains a keyed hash (HMAC-SHA-256, truncated to 128 bits) of the result and
+//! the page token, so that a client can't guess the addresses of other results.
 
 use crate::results::ResultId;
 use hmac::{Hmac, Mac};
@@ -6,76 +7,81 @@
 use std::fmt::Write;
 
 const PATH_PREFIX: &str = "/v1/statement/executing/";
+/// Size of the truncated hash in an address, in bytes.
 const HASH_BYTES: usize = 16;
 
-/// The key of one gateway's run: its addresses mean nothing to the next.
+/// The secret key for page addresses. A gateway makes a new key at each start; addresses from before a restart are
+/// invalid.
 #[derive(Clone)]
 pub struct AddressKey(Hmac<Sha256>);
 
-/// What the address of a page names.
+/// The result and page that an address identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PageAddress {
     /// The result that the page is part of.
     pub result: ResultId,
-    /// The page.
+    /// The token of the page within the result.
     pub token: u64,
 }
 
 impl AddressKey {
-    /// A key from random bytes that nobody else knows.
+    /// Makes a key from secret random bytes.
     pub fn new(secret: &[u8; 32]) -> AddressKey {
-        let hash = Hmac::new_from_slice(secret);
-        AddressKey(hash.unwrap_or_else(|_| unreachable!("HMAC takes keys of any length")))
+        let hmac = Hmac::new_from_slice(secret);
+        AddressKey(hmac.unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length")))
     }
 
-    fn hash(&self, address: PageAddress) -> Hmac<Sha256> {
+    fn hmac(&self, address: PageAddress) -> Hmac<Sha256> {
         let PageAddress { result, token } = address;
-        let mut hash = self.0.clone();
-        for part in [result.index as u64, result.generation, token] {
-            hash.update(&part.to_be_bytes());
+        let mut hmac = self.0.clone();
+        for field in [result.index as u64, result.generation, token] {
+            hmac.update(&field.to_be_bytes());
         }
-        hash
+        hmac
     }
 
-    /// The address of a page, without scheme and host.
+    /// Returns the URL path of a page.
     pub fn path(&self, address: PageAddress) -> String {
         let mut path = format!("{PATH_PREFIX}{}/", address.result);
-        for byte in &self.hash(address).finalize().into_bytes()[..HASH_BYTES] {
+        for byte in &self.hmac(address).finalize().into_bytes()[..HASH_BYTES] {
             let _ = write!(path, "{byte:02x}");
         }
         let _ = write!(path, "/{}", address.token);
         path
     }
 
-    /// What a path names; `None` for all paths that this key has not made.
+    /// Returns the page that a path identifies, or `None` if the path was not made with this key.
     pub fn parse(&self, path: &str) -> Option<PageAddress> {
-        let mut parts = path.strip_prefix(PATH_PREFIX)?.split('/');
+        let mut segments = path.strip_prefix(PATH_PREFIX)?.split('/');
         let (Some(id), Some(hash), Some(token), None) =
-            (parts.next(), parts.next(), parts.next(), parts.next())
+            (segments.next(), segments.next(), segments.next(), segments.next())
         else {
             return None;
         };
         let (generation, index) = id.split_once('_')?;
-        let result =
-            ResultId { index: canonical_number(index)? as usize, generation: canonical_number(generation)? };
-        let address = PageAddress { result, token: canonical_number(token)? };
-        self.hash(address).verify_truncated_left(&hash_bytes(hash)?).ok().map(|()| address)
+        let result = ResultId {
+            index: parse_canonical_number(index)? as usize,
+            generation: parse_canonical_number(generation)?,
+        };
+        let address = PageAddress { result, token: parse_canonical_number(token)? };
+        self.hmac(address).verify_truncated_left(&decode_hash(hash)?).ok().map(|()| address)
     }
 }
 
-fn hash_bytes(digits: &str) -> Option<[u8; HASH_BYTES]> {
-    if digits.len() != 2 * HASH_BYTES || !digits.is_ascii() {
+/// Decodes the hexadecimal hash of an address.
+fn decode_hash(hex: &str) -> Option<[u8; HASH_BYTES]> {
+    if hex.len() != 2 * HASH_BYTES || !hex.is_ascii() {
         return None;
     }
     let mut bytes = [0; HASH_BYTES];
-    for (byte, pair) in bytes.iter_mut().zip(digits.as_bytes().chunks_exact(2)) {
+    for (byte, pair) in bytes.iter_mut().zip(hex.as_bytes().chunks_exact(2)) {
         *byte = u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok()?;
     }
     Some(bytes)
 }
 
-/// A number of digits alone, as it would be written: one page has one address.
-fn canonical_number(text: &str) -> Option<u64> {
+/// Parses a decimal number without sign and leading zeros, so that each page has exactly one address.
+fn parse_canonical_number(text: &str) -> Option<u64> {
     let number: u64 = text.parse().ok()?;
     (number.to_string() == text).then_some(number)
 }
--- a/crates/paged-rest/src/request_fields.rs
+++ b/crates/paged-rest/src/request_fields.rs
@@ -1,70 +1,73 @@
-//! The fields of a request: each from a header, a property of the session, or a value that always holds, as the
-//! operator's file says. The first source that a call has counts; what it says is not repaired.
+//! Finds the fields of a request in a call. The operator's configuration lists the sources of each field: headers,
+//! session properties and constant values. The first source that is present in the call supplies the field. The value
+//! is not checked here, and an invalid value doesn't fall back to the next source.
 
 use crate::call::Call;
 use percent_encoding::percent_decode_str;
 use serde::Deserialize;
 
-/// The two families of header names; a source's name is written without the family's prefix.
+/// The header prefixes that a gateway accepts. The protocol has two variants with different prefixes. Sources name a
+/// header without its prefix.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "enum Family")]
 pub enum HeaderFamily {
-    /// `X-Trino-…`
+    /// Headers that start with `X-Trino-`.
     #[default]
     Trino,
-    /// `X-Presto-…`
+    /// Headers that start with `X-Presto-`.
     Presto,
-    /// Whichever the client writes; a call with both is refused.
+    /// Either prefix. A call with both prefixes is an error.
     Both,
 }
 
-/// Where a field of a request is found.
+/// A source of a request field.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, expecting = "enum Source")]
 pub enum FieldSource {
-    /// A header of the family: `user` is `X-Trino-User`.
+    /// A header of the accepted family, without the prefix: `user` stands for `X-Trino-User` or `X-Presto-User`.
     #[serde(rename = "header")]
     FamilyHeader(String),
-    /// A header by its full name.
+    /// A header with this full name.
     #[serde(rename = "field")]
     Header(String),
-    /// A property in the family's `Session` header.
+    /// A property in the `Session` header of the accepted family.
     #[serde(rename = "session")]
     SessionProperty(String),
-    /// This, always.
+    /// A constant value.
     Value(String),
 }
 
-/// The sources of each field, in the order in which they are tried.
+/// The sources of each request field, in order of precedence.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default, expecting = "struct Sources")]
 pub struct FieldSources {
-    /// The request class.
+    /// Name of the request class.
     #[serde(rename = "group")]
     pub class: Vec<FieldSource>,
-    /// The tenant.
+    /// Name of the tenant.
     #[serde(rename = "customer")]
     pub tenant: Vec<FieldSource>,
-    /// The idempotency key.
+    /// Idempotency key: identifies a request that a client may submit more than once.
     #[serde(rename = "reference")]
     pub idempotency_key: Vec<FieldSource>,
-    /// Requests of one key run in their order.
+    /// Ordering key: requests with the same key run in the order in which they were received.
     #[serde(rename = "key")]
     pub ordering_key: Vec<FieldSource>,
-    /// Milliseconds on one core.
+    /// CPU time that the client expects the request to take, in milliseconds on one core.
     #[serde(rename = "work")]
     pub work_hint: Vec<FieldSource>,
-    /// Megabytes.
+    /// Memory that the client expects the request to take, in megabytes.
     #[serde(rename = "memory")]
     pub memory_hint_mb: Vec<FieldSource>,
-    /// Milliseconds that the client waits in all.
+    /// Total time that the client waits for the result, in milliseconds.
     #[serde(rename = "time-limit")]
     pub timeout: Vec<FieldSource>,
 }
 
-/// The fields of a request as its client wrote them; units as in [`FieldSources`].
+/// The fields of a request in the client's notation, unchecked. Units are those of [`FieldSources`]. A field is `None`
+/// if the call has none of its sources.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-#[expect(missing_docs, reason = "each is a field of `FieldSources`")]
+#[expect(missing_docs, reason = "the fields are described at `FieldSources`")]
 pub struct RequestFields {
     pub class: Option<String>,
     pub tenant: Option<String>,
@@ -75,38 +78,38 @@
     pub timeout: Option<String>,
 }
 
-/// Why the fields of a call can't be read.
+/// Why the request fields of a call are invalid. Clients receive this text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[expect(missing_docs, reason = "the text of each variant says what it means")]
+#[expect(missing_docs, reason = "the error text of each variant describes it")]
 pub enum FieldError {
-    #[error("headers of both families, X-Trino and X-Presto")]
-    BothFamilies,
-    #[error("{header} is there twice")]
+    #[error("call has both X-Trino and X-Presto headers; use one prefix")]
+    MixedFamilies,
+    #[error("header {header} occurs more than once")]
     DuplicateHeader { header: String },
-    #[error("{header}: '{part}' has no value")]
+    #[error("header {header}: '{part}' is not of the form name=value")]
     PropertyWithoutValue { header: String, part: String },
-    #[error("{header}: {property} is no text")]
-    PropertyNotText { header: String, property: String },
-    #[error("{header}: {property} is there twice")]
+    #[error("header {header}: value of property {property} is not valid UTF-8")]
+    PropertyNotUtf8 { header: String, property: String },
+    #[error("header {header}: property {property} occurs more than once")]
     DuplicateProperty { header: String, property: String },
 }
 
 const TRINO_PREFIX: &str = "x-trino-";
 const PRESTO_PREFIX: &str = "x-presto-";
 
-/// The prefix of the headers that a call uses.
+/// Returns the header prefix to use for a call. With [`HeaderFamily::Both`], the call's own headers decide.
 fn header_prefix(call: &Call, family: HeaderFamily) -> Result<&'static str, FieldError> {
-    let uses = |prefix: &str| call.headers.iter().any(|(name, _)| name.starts_with(prefix));
+    let has_prefix = |prefix: &str| call.headers.iter().any(|(name, _)| name.starts_with(prefix));
     match family {
         HeaderFamily::Trino => Ok(TRINO_PREFIX),
         HeaderFamily::Presto => Ok(PRESTO_PREFIX),
-        HeaderFamily::Both if !uses(PRESTO_PREFIX) => Ok(TRINO_PREFIX),
-        HeaderFamily::Both if !uses(TRINO_PREFIX) => Ok(PRESTO_PREFIX),
-        HeaderFamily::Both => Err(FieldError::BothFamilies),
+        HeaderFamily::Both if !has_prefix(PRESTO_PREFIX) => Ok(TRINO_PREFIX),
+        HeaderFamily::Both if !has_prefix(TRINO_PREFIX) => Ok(PRESTO_PREFIX),
+        HeaderFamily::Both => Err(FieldError::MixedFamilies),
     }
 }
 
-/// The fields of a call; an error names the header of one that is there twice or can't be read.
+/// Returns the request fields of a call. Returns an error that names the header if a source is repeated or malformed.
 pub fn read(call: &Call, family: HeaderFamily, sources: &FieldSources) -> Result<RequestFields, FieldError> {
     let prefix = header_prefix(call, family)?;
     let find = |sources: &[FieldSource]| -> Result<Option<String>, FieldError> {
@@ -138,7 +141,7 @@
     })
 }
 
-/// The one value of a header; an empty one counts as left out.
+/// Returns the value of a header, or `None` if the header is absent or empty. A repeated header is an error.
 fn single_header(call: &Call, name: &str) -> Result<Option<String>, FieldError> {
     let mut values = call.header_values(name);
     let first = values.next().filter(|value| !value.is_empty()).map(str::to_owned);
@@ -148,8 +151,9 @@
     Ok(first)
 }
 
-/// A property of the session: `name=value` parts with commas between, in one line or several, values percent-encoded.
-fn session_property(call: &Call, header: &str, wanted: &str) -> Result<Option<String>, FieldError> {
+/// Returns a session property, or `None` if absent. Session headers contain comma-separated `name=value` parts with
+/// percent-encoded values, and may be repeated.
+fn session_property(call: &Call, header: &str, property: &str) -> Result<Option<String>, FieldError> {
     let mut found = None;
     let parts = call.header_values(header).flat_map(|line| line.split(',')).map(str::trim);
     for part in parts.filter(|part| !part.is_empty()) {
@@ -157,14 +161,14 @@
             header: header.to_owned(),
             part: part.to_owned(),
         })?;
-        if name.trim() != wanted {
+        if name.trim() != property {
             continue;
         }
-        let not_text =
-            |_| FieldError::PropertyNotText { header: header.to_owned(), property: wanted.to_owned() };
-        let value = percent_decode_str(value.trim()).decode_utf8().map_err(not_text)?.into_owned();
+        let not_utf8 =
+            |_| FieldError::PropertyNotUtf8 { header: header.to_owned(), property: property.to_owned() };
+        let value = percent_decode_str(value.trim()).decode_utf8().map_err(not_utf8)?.into_owned();
         if found.replace(value).is_some() {
-            let property = wanted.to_owned();
+            let property = property.to_owned();
             return Err(FieldError::DuplicateProperty { header: header.to_owned(), property });
         }
     }
--- a/crates/paged-rest/src/results.rs
+++ b/crates/paged-rest/src/results.rs
@@ -1,5 +1,6 @@
-//! All open results, with limits over all of them: a result has its window while the sum allows, and one page at a time
-//! beyond, so that none is held up by what others keep.
+//! All open results, with limits on their number and on the memory they use together. Once the buffered rows of all
+//! results reach the memory limit, each result may buffer only one page at a time. Every result thus makes progress,
+//! however much the other results buffer.
 
 use crate::cursor::{PageLookup, ResultCursor, ResultEnd, ResultOutcome, ResultWindow};
 use larchfall_policy::time::Timestamp;
@@ -7,30 +8,31 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 
-/// Limits over all results, and of each.
+/// Limits of all results together, and of each result.
 #[derive(Clone, Copy, Debug)]
 pub struct ResultLimits {
-    /// Results open at a time.
+    /// Maximum number of open results.
     pub max_results: usize,
-    /// Of them, those whose request is in flight: each may hold a connection to an engine for as long as it is read.
+    /// Maximum number of open results whose request is in flight. Each may occupy a connection to an engine until the
+    /// client has read the result.
     pub max_in_flight: usize,
-    /// Bytes that wait in all of them.
+    /// Size of the buffered rows of all results, in bytes, from which each result may buffer only one page.
     pub max_bytes: usize,
-    /// Limits of each.
+    /// Limits of each result.
     pub window: ResultWindow,
 }
 
-/// A result's index and its generation. An index is used again only under another generation, which is part of a
-/// result's address.
+/// Identifies a result. An index is reused for later results; the generation tells apart the results with the same
+/// index. The addresses of a result's pages contain both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResultId {
-    /// Its place in memory.
+    /// Slot of the result in the store.
     pub index: usize,
-    /// Counts the results that were ever open.
+    /// Sequence number of the result since the gateway started, from 1.
     pub generation: u64,
 }
 
-/// The id as addresses and documents write it.
+/// The form used in page addresses and documents: `generation_index`.
 impl fmt::Display for ResultId {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}_{}", self.generation, self.index)
@@ -42,17 +44,17 @@
     generation: u64,
     cursor: ResultCursor<T>,
     expires_at: Timestamp,
-    /// The request that makes it, until that is over.
+    /// Index of the request that produces the result. `None` if not set yet, or if the request has ended.
     request: Option<usize>,
     in_flight: bool,
 }
 
-/// A result that its client abandoned.
+/// A result that the client cancelled, or that expired before the client had fetched the last page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AbandonedResult {
-    /// Which one.
+    /// The abandoned result, which is no longer open.
     pub id: ResultId,
-    /// The request that makes it, if that is still in flight: nobody waits for it any more.
+    /// Index of the request that produces the result, if that request is still in flight. The request can be cancelled.
     pub request: Option<usize>,
 }
 
@@ -61,17 +63,18 @@
 pub struct ResultStore<T> {
     limits: ResultLimits,
     open: Slab<OpenResult<T>>,
-    /// Time of expiry and index of each.
+    /// Expiry time and index of each open result.
     expiries: BTreeSet<(Timestamp, usize)>,
     buffered_bytes: usize,
     in_flight: usize,
-    /// Those whose last page was handed out, the oldest first: kept only for a connection that dropped.
+    /// Results whose last page was delivered, the oldest first. They are kept only for clients that repeat a call after
+    /// a dropped connection, and are removed if a new result needs their place.
     delivered: VecDeque<ResultId>,
-    generations: u64,
+    last_generation: u64,
 }
 
 impl<T: Clone> ResultStore<T> {
-    /// A store without any result.
+    /// Makes a store without results.
     pub fn new(limits: ResultLimits) -> ResultStore<T> {
         ResultStore {
             limits,
@@ -80,11 +83,11 @@
             buffered_bytes: 0,
             in_flight: 0,
             delivered: VecDeque::new(),
-            generations: 0,
+            last_generation: 0,
         }
     }
 
-    /// How many results are open.
+    /// Number of open results, including delivered results that are still kept.
     pub fn len(&self) -> usize {
         self.open.len()
     }
@@ -94,17 +97,18 @@
         self.open.is_empty()
     }
 
-    /// How many results have a client that has not had its final answer.
+    /// Number of open results whose last page has not been delivered.
     pub fn undelivered_count(&self) -> usize {
         self.open.iter().filter(|(_, open)| open.cursor.outcome().is_none()).count()
     }
 
-    /// Bytes that wait for clients.
+    /// Size of the buffered rows of all results, in bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Opens a result; `None` where as many are open as may be. One that was delivered to its end makes room.
+    /// Opens a result. If the store is full, removes the oldest results whose last page was delivered. Returns `None`
+    /// if there is no such result, or if as many results are in flight as the limits allow.
     pub fn open(&mut self, now: Timestamp) -> Option<ResultId> {
         if self.in_flight >= self.limits.max_in_flight {
             return None;
@@ -115,9 +119,9 @@
                 self.remove(oldest.index);
             }
         }
-        self.generations += 1;
+        self.last_generation += 1;
         self.in_flight += 1;
-        let generation = self.generations;
+        let generation = self.last_generation;
         let cursor = ResultCursor::new(self.limits.window, now);
         let expires_at = cursor.expires_at();
         let open = OpenResult { generation, cursor, expires_at, request: None, in_flight: true };
@@ -130,12 +134,13 @@
         self.open.get_mut(id.index).filter(|open| open.generation == id.generation)
     }
 
-    /// Changes one result, and keeps the sums over all.
-    fn change<R>(&mut self, id: ResultId, change: impl FnOnce(&mut ResultCursor<T>) -> R) -> Option<R> {
+    /// Updates a result's cursor, and keeps the total size and the expiry order consistent with the cursor. Returns
+    /// `None` if the result is not open.
+    fn update<R>(&mut self, id: ResultId, update: impl FnOnce(&mut ResultCursor<T>) -> R) -> Option<R> {
         let open = self.get_mut(id)?;
         let bytes_before = open.cursor.buffered_bytes();
         let expiry_before = open.expires_at;
-        let result = change(&mut open.cursor);
+        let returned = update(&mut open.cursor);
         open.expires_at = open.cursor.expires_at();
         let bytes_after = open.cursor.buffered_bytes();
         let expiry_after = open.expires_at;
@@ -144,62 +149,63 @@
             self.expiries.remove(&(expiry_before, id.index));
             self.expiries.insert((expiry_after, id.index));
         }
-        Some(result)
+        Some(returned)
     }
 
-    /// Notes which request makes this result.
+    /// Sets the request that produces the result.
     pub fn set_request(&mut self, id: ResultId, request: usize) {
         if let Some(open) = self.get_mut(id) {
             open.request = Some(request);
         }
     }
 
-    /// Whether another page may be fetched for it; `None` when nobody reads it any more.
+    /// Whether another page may be fetched for the result. `None` if the result is not open or has an outcome.
     pub fn has_capacity(&mut self, id: ResultId) -> Option<bool> {
         let within_limit = self.buffered_bytes < self.limits.max_bytes;
         let cursor = &self.get_mut(id)?.cursor;
-        let is_read = cursor.outcome().is_none();
-        is_read.then(|| cursor.has_capacity() && (within_limit || cursor.buffered_bytes() == 0))
+        let has_reader = cursor.outcome().is_none();
+        has_reader.then(|| cursor.has_capacity() && (within_limit || cursor.buffered_bytes() == 0))
     }
 
-    /// Whether it is still open, be it only for its last page again.
+    /// Whether the result is open. A result with a delivered last page stays open for repeated calls until removed.
     pub fn is_open(&self, id: ResultId) -> bool {
         self.open.get(id.index).is_some_and(|open| open.generation == id.generation)
     }
 
-    /// Adds a page, see [`ResultCursor::push`].
+    /// Adds a page; see [`ResultCursor::push`]. Returns false if the result is not open.
     pub fn push(&mut self, id: ResultId, content: T, size: usize, end: Option<ResultEnd>) -> bool {
-        self.change(id, |cursor| cursor.push(content, size, end)).unwrap_or(false)
+        self.update(id, |cursor| cursor.push(content, size, end)).unwrap_or(false)
     }
 
-    /// Whether it may start again, see [`ResultCursor::restart`].
+    /// Prepares the result for another attempt; see [`ResultCursor::restart`]. Returns false if the result is not open.
     pub fn restart(&mut self, id: ResultId) -> bool {
-        self.change(id, ResultCursor::restart).unwrap_or(false)
+        self.update(id, ResultCursor::restart).unwrap_or(false)
     }
 
-    /// A client asks for a token. Of a result that is not open every page is unknown.
+    /// Returns the page for a token; see [`ResultCursor::get`]. Every token of a result that is not open is unknown.
     pub fn get(&mut self, id: ResultId, token: u64, now: Timestamp) -> PageLookup<T> {
-        let lookup = self.change(id, |cursor| cursor.get(token, now)).unwrap_or(PageLookup::Unknown);
+        let lookup = self.update(id, |cursor| cursor.get(token, now)).unwrap_or(PageLookup::Unknown);
         if matches!(lookup, PageLookup::Found { outcome: Some(_), .. }) {
             self.delivered.push_back(id);
         }
         lookup
     }
 
-    /// A call for a token has waited long enough, see [`ResultCursor::push_empty_page`].
+    /// Adds a page without rows for a call that has waited long enough; see [`ResultCursor::push_empty_page`].
     pub fn push_empty_page(&mut self, id: ResultId, token: u64, empty: T) {
-        self.change(id, |cursor| cursor.push_empty_page(token, empty));
+        self.update(id, |cursor| cursor.push_empty_page(token, empty));
     }
 
-    /// The client cancels it. `None` where it had its final answer before.
+    /// Abandons and removes a result. Returns `None` if the result is not open or its last page was already delivered.
     pub fn abandon(&mut self, id: ResultId) -> Option<AbandonedResult> {
-        let abandoned = self.change(id, ResultCursor::abandon)?;
+        let abandoned = self.update(id, ResultCursor::abandon)?;
         let request = self.get_mut(id).and_then(|open| open.request.take());
         self.remove(id.index);
         abandoned.then_some(AbandonedResult { id, request })
     }
 
-    /// Its request is over: nothing is to be cancelled for it any more.
+    /// Records that the request of a result has ended, and no longer counts the result as in flight. The result stays
+    /// open for its client. Further calls have no effect.
     pub fn request_ended(&mut self, id: ResultId) {
         if let Some(open) = self.get_mut(id) {
             open.request = None;
@@ -208,7 +214,7 @@
         }
     }
 
-    /// Ends the results that nobody asked for in time, and drops those whose last page was delivered that long ago.
+    /// Removes the expired results, and returns those of them whose last page was not delivered.
     pub fn expire(&mut self, now: Timestamp) -> Vec<AbandonedResult> {
         let mut abandoned = Vec::new();
         while let Some((_, index)) = self.expiries.first().copied().filter(|(at, _)| *at <= now) {
@@ -228,7 +234,7 @@
             self.buffered_bytes -= open.cursor.buffered_bytes();
             self.in_flight -= usize::from(open.in_flight);
             self.expiries.remove(&(open.expires_at, index));
-            // What is no longer open leaves this queue as well.
+            // Removes closed results from the front of the queue, to bound its length.
             while self.delivered.front().is_some_and(|id| !self.is_open(*id)) {
                 self.delivered.pop_front();
             }
@@ -237,7 +243,7 @@
 }
 
 impl AbandonedResult {
-    /// Its final answer.
+    /// Always [`ResultOutcome::Abandoned`].
     pub fn outcome(&self) -> ResultOutcome {
         ResultOutcome::Abandoned
     }
