--- a/crates/simulator-adapter/src/engines.rs
+++ b/crates/simulator-adapter/src/engines.rs
@@ -1,24 +1,25 @@
-//! Engines by their addresses, as the small indices that decisions use.
+//! Maps engine addresses to the dense indices by which the policy refers to engines.
 
 use crate::wire::EngineAddress;
 use crate::wire::event::ListedEngine;
 use std::collections::HashMap;
 
+/// Every engine that an endpoint list has named. Engines that leave the list stay, so an index remains valid.
 #[derive(Default)]
 pub(crate) struct EngineTable {
     engines: Vec<ListedEngine>,
-    by_address: HashMap<EngineAddress, usize>,
+    index_by_address: HashMap<EngineAddress, usize>,
 }
 
 impl EngineTable {
-    /// The index of an engine, which is added where it is not known yet.
-    pub(crate) fn update(&mut self, listed: ListedEngine) -> usize {
-        let next = self.engines.len();
-        let index = *self.by_address.entry(listed.address).or_insert(next);
-        if index == next {
-            self.engines.push(listed);
+    /// Adds an engine, or replaces the entry with the same address, and returns the engine's index.
+    pub(crate) fn upsert(&mut self, listed_engine: ListedEngine) -> usize {
+        let new_index = self.engines.len();
+        let index = *self.index_by_address.entry(listed_engine.address).or_insert(new_index);
+        if index == new_index {
+            self.engines.push(listed_engine);
         } else {
-            self.engines[index] = listed;
+            self.engines[index] = listed_engine;
         }
         index
     }
@@ -32,7 +33,7 @@
     }
 
     pub(crate) fn index_of(&self, address: EngineAddress) -> Option<usize> {
-        self.by_address.get(&address).copied()
+        self.index_by_address.get(&address).copied()
     }
 
     pub(crate) fn address(&self, index: usize) -> EngineAddress {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,72 +1,74 @@
-//! Why input off the wire ends the program. Each text is one line on standard error.
+//! Errors that end the program. Each error message is one line, which `main` prints on standard error.
 
 use larchfall_config::SettingsError;
 use std::io;
 
-/// What ends the program.
+/// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    #[error("header: input ended after {read} of {length} bytes")]
-    HeaderIncomplete { read: usize, length: usize },
-    #[error("header: {error}")]
-    HeaderUnreadable { error: io::Error },
+    #[error("header: input ended after {bytes_read} of {expected} bytes")]
+    TruncatedHeader { bytes_read: usize, expected: usize },
+    #[error("header: read failed: {error}")]
+    ReadHeader { error: io::Error },
     #[error("batch {number}: {error}")]
     Batch { number: u32, error: BatchError },
     #[error("{0}")]
-    Fields(#[from] FieldError),
+    Field(#[from] FieldError),
 }
 
-/// What is wrong with a batch of events, or with its reply.
+/// Why a batch of events could not be read or handled, or its reply not written.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
-    #[error("length {length} is under the header's 12")]
-    TooShort { length: u64 },
-    #[error("input ended after {read} of {length} bytes")]
-    Incomplete { read: u64, length: u64 },
-    #[error("{0}")]
-    Unreadable(io::Error),
+    #[error("length {length} is less than the 12 bytes of the batch header")]
+    LengthTooSmall { length: u64 },
+    #[error("input ended after {bytes_read} of {expected} bytes")]
+    Truncated { bytes_read: u64, expected: u64 },
+    #[error("read failed: {0}")]
+    Read(io::Error),
     #[error("record {index}: {error}")]
     Record { index: u32, error: EventError },
-    #[error("{bytes} bytes left over after {count} records")]
-    LeftOver { bytes: usize, count: u32 },
+    #[error("{bytes} unexpected bytes after the last of {count} records")]
+    TrailingBytes { bytes: usize, count: u32 },
     #[error("{0}")]
-    Fields(#[from] FieldError),
-    #[error("reply: {0}")]
-    Reply(io::Error),
+    Field(#[from] FieldError),
+    #[error("reply: write failed: {0}")]
+    WriteReply(io::Error),
 }
 
-/// What is wrong with one event.
+/// Why an event was rejected. The messages use the simulator's names for events (`EventKind::name`) and call a gateway
+/// instance a front.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EventError {
     #[error("{0}")]
-    Fields(#[from] FieldError),
+    Field(#[from] FieldError),
     #[error("{0}")]
     Settings(#[from] SettingsError),
     #[error("unknown event code {code}")]
     UnknownEvent { code: u8 },
     #[error("{event}: no front {instance} is running")]
-    NotRunning { event: &'static str, instance: u32 },
-    #[error("view: unknown kind {kind}")]
+    GatewayNotRunning { event: &'static str, instance: u32 },
+    #[error("view: unknown kind {kind}, expected 0 to 3")]
     UnknownViewKind { kind: u8 },
-    #[error("view: no list numbered {list} came")]
+    #[error("view: no endpoint list has the number {list}")]
     UnknownList { list: u8 },
-    #[error("snapshot_rows: unknown health {health}")]
+    #[error("snapshot_rows: unknown health {health}, expected 0 to 2")]
     UnknownHealth { health: u8 },
-    #[error("unknown outcome {code}")]
+    #[error("verdict: unknown outcome code {code}")]
     UnknownOutcome { code: u8 },
-    #[error("notice: unknown what {what}")]
-    UnknownNotice { what: u8 },
-    #[error("front {instance}, id {id}: no service group {class}")]
+    #[error("notice: unknown what {code}, expected 1 to 3")]
+    UnknownProgressCode { code: u8 },
+    #[error("work_item: front {instance}, id {id}: no request class has the index {class}")]
     UnknownClass { instance: u32, id: u32, class: usize },
-    #[error("front {instance}: id {id} came twice")]
-    DuplicateId { instance: u32, id: u32 },
+    #[error("work_item: front {instance}: id {id} is already in use")]
+    DuplicateRequestId { instance: u32, id: u32 },
 }
 
-/// What is wrong with a field, with the name of what it is part of.
+/// Why a field could not be read. `section` names the header, record or event that contains the field, and `offset`
+/// counts bytes from the start of that section.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FieldError {
-    #[error("{part}: {wanted} bytes wanted at byte {at}, {left} left")]
-    TooShort { part: &'static str, wanted: usize, at: usize, left: usize },
-    #[error("{part}: no number at byte {at}")]
-    NotANumber { part: &'static str, at: usize },
+    #[error("{section}: field at byte {offset} needs {needed} bytes, but only {remaining} remain")]
+    Truncated { section: &'static str, needed: usize, offset: usize, remaining: usize },
+    #[error("{section}: field at byte {offset} must be a finite number")]
+    NotFinite { section: &'static str, offset: usize },
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,8 @@
-//! Drives larchfall's decisions over the simulator's wire, on standard input and output, and decides nothing itself.
-//! Input that is malformed ends the program with one line on standard error, before any part of that reply is written.
+//! Connects larchfall's policy to a simulator: events arrive on standard input, and the policy's actions leave on
+//! standard output. All decisions are the policy's.
+//!
+//! Malformed input ends the program with one line on standard error and exit code 1. No part of the reply to the
+//! malformed batch is written.
 
 mod engines;
 mod error;
@@ -13,7 +16,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match frames::run(io::stdin().lock(), io::stdout().lock()) {
+    match frames::serve_batches(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("larchfall-adapter: {error}");
--- a/crates/simulator-adapter/src/simulation.rs
+++ b/crates/simulator-adapter/src/simulation.rs
@@ -1,4 +1,5 @@
-//! All gateways of this process: events in, actions out.
+//! Runs all simulated gateways in this process: dispatches each event to its gateway and collects the gateways'
+//! actions.
 
 use crate::error::{BatchError, EventError};
 use crate::gateway::Gateway;
@@ -8,39 +9,46 @@
 use larchfall_policy::time::Timestamp;
 use std::collections::BTreeMap;
 
+/// The gateways by instance number, and the endpoint lists that their events refer to.
 #[derive(Default)]
 pub(crate) struct Simulation {
     gateways: BTreeMap<u32, Gateway>,
-    /// Endpoint lists by number, shared by all gateways. A number is used again, so lists are read in event order.
-    lists: BTreeMap<u8, Vec<ListedEngine>>,
+    /// Endpoint lists by list number, shared by all gateways. The simulator reuses list numbers: an event refers to the
+    /// list that was last received under its number, so events must be handled in order.
+    endpoint_lists: BTreeMap<u8, Vec<ListedEngine>>,
 }
 
 impl Simulation {
-    /// Handles so many records, all at one time of the clock, and returns the actions of all gateways.
+    /// Handles a batch of `record_count` records, all at the simulated time `now`, and returns the actions of all
+    /// gateways.
+    ///
+    /// # Errors
+    ///
+    /// At the first malformed record, and when bytes follow the last record. Events before the error have been handled.
     pub(crate) fn handle_batch(
         &mut self,
         now: Timestamp,
-        count: u32,
+        record_count: u32,
         records: &[u8],
     ) -> Result<Reply, BatchError> {
         let mut reply = Reply::default();
         let mut records = Reader::new(records, "record");
-        let mut acted: Vec<u32> = Vec::new();
-        for index in 0..count {
-            let handled = self.handle_record(now, &mut records, &mut reply);
-            let instance = handled.map_err(|error| BatchError::Record { index, error })?;
+        let mut active_instances: Vec<u32> = Vec::new();
+        for index in 0..record_count {
+            let handling = self.handle_record(now, &mut records, &mut reply);
+            let instance = handling.map_err(|error| BatchError::Record { index, error })?;
             if let Some(instance) = instance
-                && acted.last() != Some(&instance)
+                && active_instances.last() != Some(&instance)
             {
-                acted.push(instance);
+                active_instances.push(instance);
             }
         }
-        if records.left() > 0 {
-            return Err(BatchError::LeftOver { bytes: records.left(), count });
+        if records.remaining() > 0 {
+            return Err(BatchError::TrailingBytes { bytes: records.remaining(), count: record_count });
         }
-        acted.sort_unstable();
-        acted.dedup();
-        for instance in acted {
+        active_instances.sort_unstable();
+        active_instances.dedup();
+        for instance in active_instances {
             if let Some(gateway) = self.gateways.get_mut(&instance) {
                 gateway.end_batch(&mut reply);
             }
@@ -48,7 +56,7 @@
         Ok(reply)
     }
 
-    /// Handles one event, and returns the gateway that may act on it.
+    /// Handles one event, and returns the instance number of the gateway that may have acted on it.
     fn handle_record(
         &mut self,
         now: Timestamp,
@@ -60,17 +68,17 @@
         let kind = EventKind::from_code(code);
         let mut fields = Reader::new(records.bytes(length)?, kind.name());
         if kind == EventKind::EndpointList {
-            let number = fields.u8()?;
+            let list_number = fields.u8()?;
             let list = event::read_endpoint_list(&mut fields)?;
-            self.lists.insert(number, list);
+            self.endpoint_lists.insert(list_number, list);
             return Ok(None);
         }
         let instance = fields.u32()?;
         match kind {
             EventKind::Start => {
                 let seed = fields.u64()?;
-                let length = fields.u32()? as usize;
-                let gateway = Gateway::start(instance, seed, fields.bytes(length)?, now, reply)?;
+                let settings_length = fields.u32()? as usize;
+                let gateway = Gateway::start(instance, seed, fields.bytes(settings_length)?, now, reply)?;
                 self.gateways.insert(instance, gateway);
             }
             EventKind::Stop => {
@@ -80,39 +88,41 @@
             EventKind::Unknown => return Err(EventError::UnknownEvent { code }),
             _ => {
                 let gateway = self.gateways.get_mut(&instance);
-                let gateway = gateway.ok_or(EventError::NotRunning { event: kind.name(), instance })?;
-                handle_event(gateway, &self.lists, now, kind, &mut fields, reply)?;
+                let gateway =
+                    gateway.ok_or(EventError::GatewayNotRunning { event: kind.name(), instance })?;
+                handle_event(gateway, &self.endpoint_lists, now, kind, &mut fields, reply)?;
             }
         }
         Ok(Some(instance))
     }
 }
 
-/// Handles an event of a gateway that runs.
+/// Handles an event of a running gateway.
 fn handle_event(
     gateway: &mut Gateway,
-    lists: &BTreeMap<u8, Vec<ListedEngine>>,
+    endpoint_lists: &BTreeMap<u8, Vec<ListedEngine>>,
     now: Timestamp,
     kind: EventKind,
     fields: &mut Reader,
     reply: &mut Reply,
 ) -> Result<(), EventError> {
-    let list = |number: u8| lists.get(&number).ok_or(EventError::UnknownList { list: number });
+    let list_by_number = |list: u8| endpoint_lists.get(&list).ok_or(EventError::UnknownList { list });
     match kind {
         EventKind::ListChange => match event::read_list_change(fields)? {
-            ListChange::Delta { list: number } => gateway.update_engines(now, list(number)?),
-            ListChange::Full { list: number } => gateway.replace_engines(now, list(number)?),
+            ListChange::Delta { list } => gateway.update_engines(now, list_by_number(list)?),
+            ListChange::Full { list } => gateway.replace_engines(now, list_by_number(list)?),
             ListChange::Failed => {}
         },
         EventKind::Request => gateway.admit(now, event::read_request(fields)?, reply)?,
         EventKind::AttemptFinished => {
-            gateway.attempt_finished(now, &event::read_finished_attempt(fields)?, reply);
+            gateway.on_attempt_finished(now, &event::read_finished_attempt(fields)?, reply);
         }
-        EventKind::ClientDisconnected => gateway.client_disconnected(fields.u32()?, reply),
-        EventKind::Timer => gateway.timer_fired(now, fields.u64()?, reply),
-        EventKind::LoadReport => gateway.engine_load(now, &event::read_engine_load(fields)?),
-        EventKind::Progress => gateway.progress(now, &event::read_progress(fields)?),
-        // No request class streams, and gateways of the simulator share nothing. The others are handled before.
+        EventKind::ClientDisconnected => gateway.on_client_disconnected(fields.u32()?, reply),
+        EventKind::Timer => gateway.on_timer(now, fields.u64()?, reply),
+        EventKind::LoadReport => gateway.on_load_report(now, &event::read_load_report(fields)?),
+        EventKind::Progress => gateway.on_progress(now, &event::read_progress(fields)?),
+        // `StreamStarted` and `PeerMessage` have no effect: no request class streams results, and simulated gateways
+        // exchange no messages. The other kinds are handled by `Simulation::handle_record`.
         EventKind::StreamStarted
         | EventKind::PeerMessage
         | EventKind::Start
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! Events, as the simulator sends them.
+//! Decodes the simulator's events.
 
 use super::EngineAddress;
 use super::reader::Reader;
@@ -6,21 +6,30 @@
 use larchfall_policy::time::{Duration, Timestamp};
 use larchfall_policy::types::{Engine, EngineState, Outcome, ProgressUpdate, Request};
 
-/// What an event is about, by its code.
+/// The kind of an event, from its numeric code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
+    /// A gateway starts, with its seed and its settings.
     Start,
+    /// The endpoint list of one gateway changes.
     ListChange,
     Request,
+    /// An attempt has started to stream its result.
     StreamStarted,
     AttemptFinished,
     ClientDisconnected,
     Timer,
+    /// The answer to a health check.
     LoadReport,
+    /// A message of another gateway.
     PeerMessage,
+    /// A gateway ends.
     Stop,
+    /// A progress update about a running attempt.
     Progress,
+    /// An endpoint list that later `ListChange` events refer to by its number.
     EndpointList,
+    /// A code that this version doesn't know.
     Unknown,
 }
 
@@ -43,7 +52,7 @@
         }
     }
 
-    /// The wire's name, for errors.
+    /// The simulator's name of the event, for error messages.
     pub(crate) fn name(self) -> &'static str {
         match self {
             EventKind::Start => "init",
@@ -63,7 +72,7 @@
     }
 }
 
-/// An engine of an endpoint list.
+/// An entry of an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ListedEngine {
     pub(crate) address: EngineAddress,
@@ -72,10 +81,11 @@
 
 pub(crate) fn read_endpoint_list(fields: &mut Reader) -> Result<Vec<ListedEngine>, EventError> {
     let count = fields.u32()? as usize;
-    // The count may be anything; what is there bounds the list.
-    let mut list = Vec::with_capacity(count.min(65536));
+    // The count is not validated yet, so it must not decide how much memory is allocated. Reading an entry fails when
+    // the event is too short for the count.
+    let mut engines = Vec::with_capacity(count.min(65536));
     for _ in 0..count {
-        let address = fields.engine()?;
+        let address = fields.engine_address()?;
         let zone = usize::from(fields.u8()?);
         let kind = usize::from(fields.u8()?);
         let cell = usize::from(fields.u16()?);
@@ -87,20 +97,20 @@
         };
         let _size = fields.f32()?;
         let started_micros = fields.u64()?;
-        let started = (started_micros > 0).then(|| Timestamp::from_micros(started_micros));
-        list.push(ListedEngine { address, engine: Engine { zone, kind, cell, state, start_time: started } });
+        let start_time = (started_micros > 0).then(|| Timestamp::from_micros(started_micros));
+        engines.push(ListedEngine { address, engine: Engine { zone, kind, cell, state, start_time } });
     }
-    Ok(list)
+    Ok(engines)
 }
 
-/// How an instance's endpoint list changes.
+/// How the endpoint list of one gateway changes. `list` is the number of an earlier endpoint list event.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ListChange {
-    /// These entries have changed.
+    /// The listed entries have changed; all other entries stay.
     Delta { list: u8 },
-    /// These are all entries.
+    /// The listed entries replace the whole endpoint list.
     Full { list: u8 },
-    /// Discovery failed: the list stays as it is.
+    /// Discovery failed, so the endpoint list stays unchanged.
     Failed,
 }
 
@@ -116,9 +126,10 @@
     }
 }
 
+/// A request that has arrived at a gateway.
 pub(crate) struct NewRequest {
     pub(crate) id: u32,
-    /// With the tenant as the wire has it, which may be none of the settings'.
+    /// The tenant index is the simulator's and may be missing from the gateway's settings.
     pub(crate) request: Request,
 }
 
@@ -131,45 +142,47 @@
     let work_micros = u64::from(fields.u32()?);
     let memory_mb = fields.f32()?;
     let data_set = fields.f32()? as u32;
-    let has_work_estimate = fields.u16()? & 1 != 0;
+    let has_work_hint = fields.u16()? & 1 != 0;
     let request = Request {
         class,
         tenant: Some(tenant),
         key: (key != 0).then_some(key),
         deadline,
-        work_hint: (has_work_estimate && work_micros > 0).then(|| Duration::from_micros(work_micros)),
+        work_hint: (has_work_hint && work_micros > 0).then(|| Duration::from_micros(work_micros)),
         memory_hint_mb: (memory_mb > 0.0).then_some(memory_mb),
         data_set,
     };
     Ok(NewRequest { id, request })
 }
 
+/// The result of an attempt.
 pub(crate) struct FinishedAttempt {
     pub(crate) id: u32,
     pub(crate) attempt: u8,
     pub(crate) outcome: Outcome,
-    pub(crate) took: Duration,
+    pub(crate) duration: Duration,
     pub(crate) request_finished: bool,
-    /// What the request needed on one core, where the answer says so.
-    pub(crate) work: Option<Duration>,
-    pub(crate) load: Vec<f64>,
+    /// The time that the request needed on one core, when the engine reports it.
+    pub(crate) reported_work: Option<Duration>,
+    /// The values of the load report, in the order of the settings; empty when there is no report.
+    pub(crate) load_values: Vec<f64>,
 }
 
 pub(crate) fn read_finished_attempt(fields: &mut Reader) -> Result<FinishedAttempt, EventError> {
     let id = fields.u32()?;
     let request_finished = fields.u8()? != 0;
-    let _engine = fields.engine()?;
+    let _engine = fields.engine_address()?;
     let attempt = fields.u8()?;
-    let took = Duration::from_micros(u64::from(fields.u32()?));
-    let outcome = outcome(fields.u8()?)?;
-    let used = if fields.left() >= 4 { fields.u32()? } else { 0 };
-    // The upper bits are milliseconds.
-    let work = (used > 0).then(|| Duration::from_millis(u64::from(used >> 12)));
-    let load = read_load_values(fields)?;
-    Ok(FinishedAttempt { id, attempt, outcome, took, request_finished, work, load })
+    let duration = Duration::from_micros(u64::from(fields.u32()?));
+    let outcome = outcome_from_code(fields.u8()?)?;
+    let packed_work = if fields.remaining() >= 4 { fields.u32()? } else { 0 };
+    // The upper 20 bits are the work in milliseconds; the adapter ignores the lower 12 bits.
+    let reported_work = (packed_work > 0).then(|| Duration::from_millis(u64::from(packed_work >> 12)));
+    let load_values = read_load_values(fields)?;
+    Ok(FinishedAttempt { id, attempt, outcome, duration, request_finished, reported_work, load_values })
 }
 
-fn outcome(code: u8) -> Result<Outcome, EventError> {
+fn outcome_from_code(code: u8) -> Result<Outcome, EventError> {
     match code {
         0 => Ok(Outcome::Returned),
         5 => Ok(Outcome::Errored),
@@ -183,27 +196,30 @@
     }
 }
 
-/// The values of a load report, in the order of the settings; none where there is no report.
+/// Reads the values of a load report, in the order of the settings; empty when there is no report.
 fn read_load_values(fields: &mut Reader) -> Result<Vec<f64>, FieldError> {
-    if fields.left() == 0 {
+    if fields.remaining() == 0 {
         return Ok(Vec::new());
     }
     let count = fields.u8()?;
     (0..count).map(|_| fields.f32()).collect()
 }
 
-pub(crate) struct EngineLoad {
+/// An engine's answer to a health check.
+pub(crate) struct EngineLoadReport {
     pub(crate) address: EngineAddress,
-    pub(crate) load: Vec<f64>,
+    /// The values of the load report, in the order of the settings; empty when there is no report.
+    pub(crate) load_values: Vec<f64>,
 }
 
-pub(crate) fn read_engine_load(fields: &mut Reader) -> Result<EngineLoad, FieldError> {
-    let address = fields.engine()?;
+pub(crate) fn read_load_report(fields: &mut Reader) -> Result<EngineLoadReport, FieldError> {
+    let address = fields.engine_address()?;
     let _outcome = fields.u8()?;
-    let _took = fields.u32()?;
-    Ok(EngineLoad { address, load: read_load_values(fields)? })
+    let _duration_micros = fields.u32()?;
+    Ok(EngineLoadReport { address, load_values: read_load_values(fields)? })
 }
 
+/// A progress update about a running attempt.
 pub(crate) struct Progress {
     pub(crate) id: u32,
     pub(crate) attempt: u8,
@@ -213,15 +229,16 @@
 pub(crate) fn read_progress(fields: &mut Reader) -> Result<Progress, EventError> {
     let id = fields.u32()?;
     let attempt = fields.u8()?;
-    let _engine = fields.engine()?;
-    let what = fields.u8()?;
-    let level = fields.f32()?;
-    let update = match what {
-        1 => ProgressUpdate::FractionDone(level),
-        2 => ProgressUpdate::SpillsMb(level),
-        3 if level < 1.5 => ProgressUpdate::WaitsForMemory,
+    let _engine = fields.engine_address()?;
+    let code = fields.u8()?;
+    let value = fields.f32()?;
+    let update = match code {
+        1 => ProgressUpdate::FractionDone(value),
+        2 => ProgressUpdate::SpillsMb(value),
+        // Code 3 reports that the attempt waits: for memory when the value is below 1.5, otherwise for a data lock.
+        3 if value < 1.5 => ProgressUpdate::WaitsForMemory,
         3 => ProgressUpdate::WaitsForDataLock,
-        what => return Err(EventError::UnknownNotice { what }),
+        code => return Err(EventError::UnknownProgressCode { code }),
     };
     Ok(Progress { id, attempt, update })
 }
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -1,32 +1,38 @@
-//! Reads little-endian fields, and names the place where something is wrong.
+//! Decodes little-endian fields. Errors name the section and the byte offset of the field that can't be decoded.
 
 use super::EngineAddress;
 use crate::error::FieldError;
 
 pub(crate) struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
-    /// What the bytes are, for errors.
-    part: &'static str,
+    offset: usize,
+    /// The name of the header, record or event that `bytes` holds, for error messages.
+    section: &'static str,
 }
 
 impl<'a> Reader<'a> {
-    pub(crate) fn new(bytes: &'a [u8], part: &'static str) -> Reader<'a> {
-        Reader { bytes, at: 0, part }
+    pub(crate) fn new(bytes: &'a [u8], section: &'static str) -> Reader<'a> {
+        Reader { bytes, offset: 0, section }
     }
 
-    /// Bytes that are not read yet.
-    pub(crate) fn left(&self) -> usize {
-        self.bytes.len() - self.at
+    /// The number of bytes that are not read yet.
+    pub(crate) fn remaining(&self) -> usize {
+        self.bytes.len() - self.offset
     }
 
-    pub(crate) fn bytes(&mut self, wanted: usize) -> Result<&'a [u8], FieldError> {
-        let left = self.left();
-        if left < wanted {
-            return Err(FieldError::TooShort { part: self.part, wanted, at: self.at, left });
+    /// Reads the next `count` bytes.
+    pub(crate) fn bytes(&mut self, count: usize) -> Result<&'a [u8], FieldError> {
+        let remaining = self.remaining();
+        if remaining < count {
+            return Err(FieldError::Truncated {
+                section: self.section,
+                needed: count,
+                offset: self.offset,
+                remaining,
+            });
         }
-        self.at += wanted;
-        Ok(&self.bytes[self.at - wanted..self.at])
+        self.offset += count;
+        Ok(&self.bytes[self.offset - count..self.offset])
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], FieldError> {
@@ -51,16 +57,17 @@
         self.array().map(u64::from_le_bytes)
     }
 
+    /// Reads a 32-bit float, which must be finite.
     pub(crate) fn f32(&mut self) -> Result<f64, FieldError> {
         let value = f64::from(f32::from_le_bytes(self.array()?));
         if value.is_finite() {
             Ok(value)
         } else {
-            Err(FieldError::NotANumber { part: self.part, at: self.at - 4 })
+            Err(FieldError::NotFinite { section: self.section, offset: self.offset - 4 })
         }
     }
 
-    pub(crate) fn engine(&mut self) -> Result<EngineAddress, FieldError> {
+    pub(crate) fn engine_address(&mut self) -> Result<EngineAddress, FieldError> {
         self.array().map(EngineAddress)
     }
 }
