--- a/crates/config/src/raw.rs
+++ b/crates/config/src/raw.rs
@@ -1,5 +1,5 @@
-//! The deserialized JSON settings. Times are in microseconds. An error of a wrong
-//! type shows the name of the struct; a renamed struct keeps the name of earlier releases in `expecting`.
+//! The deserialized JSON settings. Times are in microseconds. An error of a wrong type shows the name of the struct; a
+//! renamed struct keeps the name of earlier releases in `expecting`.
 
 use serde::Deserialize;
 
--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -137,7 +137,7 @@
                 self.files.operator_config = Some(parser.value()?.string()?);
             }
             Long("fronts") if self.subcommand == Some(Subcommand::Subsets) => {
-                self.gateways = parser.value()?.parse()?
+                self.gateways = parser.value()?.parse()?;
             }
             Long("chart") if self.subcommand == Some(Subcommand::Subsets) => {
                 self.chart = Some(parser.value()?.string()?);
