--- a/crates/gateway/tests/gateway/cluster.rs
+++ b/crates/gateway/tests/gateway/cluster.rs
@@ -304,7 +304,7 @@
                 let unanswered = run_status_command(gateway, verb, true);
                 assert_eq!(unanswered.status.code(), Some(1), "{verb}: {unanswered:?}");
                 let error = String::from_utf8_lossy(&unanswered.stderr).into_owned();
-                assert!(error.starts_with("larchfall: no gateway output at "), "{verb}: {error}");
+                assert!(error.starts_with("larchfall: no gateway answered at "), "{verb}: {error}");
             });
         }
     });
--- a/crates/gateway/tests/gateway/paged_rest.rs
+++ b/crates/gateway/tests/gateway/paged_rest.rs
@@ -1,5 +1,5 @@
-//! The paged REST protocol on loopback sockets: a gateway with an operator's file, stub engines and clients of both
-//! protocols.
+//! Tests of the paged REST protocol on loopback sockets, with a gateway that has an operator's file, stub engines and
+//! clients of both protocols.
 
 use crate::common::{Gateway, config, operator_config, wait_for, wait_until_seen};
 use larchfall_paged_rest::document::{Document, StatementState};
@@ -11,8 +11,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+/// A query duration that outlasts every test.
 const FOREVER: Duration = Duration::from_secs(600);
-const REST: &str = "connections = 16
+/// The settings of the `[rest]` table in the operator's file.
+const REST_SETTINGS: &str = "connections = 16
 results = 8
 in-hand = 6
 result-pages = 2
@@ -24,23 +26,23 @@
 fn gateway(engine: Option<SocketAddr>) -> Gateway {
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let text = config("127.0.0.1:0", discovery.address, engine, 256);
-    Gateway::start_with_operator_config(discovery, &text, Some(&operator_config(REST)))
+    Gateway::start_with_operator_config(discovery, &text, Some(&operator_config(REST_SETTINGS)))
 }
 
-fn engine(act: EngineBehavior) -> Engine {
-    Engine::start("127.0.0.1:0", move |_| act.clone()).unwrap()
+fn engine(behavior: EngineBehavior) -> Engine {
+    Engine::start("127.0.0.1:0", move |_| behavior.clone()).unwrap()
 }
 
 fn pages(texts: &[&str]) -> Vec<Vec<u8>> {
     texts.iter().map(|t| t.as_bytes().to_vec()).collect()
 }
 
-fn head(class: &str) -> Vec<(&str, &str)> {
+fn request_headers(class: &str) -> Vec<(&str, &str)> {
     vec![("X-Trino-User", "acme"), ("X-Trino-Source", class)]
 }
 
 fn post(client: &mut RestClient, class: &str, statement: &str) -> Answer {
-    client.call("POST", "/v1/statement", &head(class), statement.as_bytes()).unwrap()
+    client.call("POST", "/v1/statement", &request_headers(class), statement.as_bytes()).unwrap()
 }
 
 fn document(answer: &Answer) -> Document {
@@ -48,8 +50,8 @@
     serde_json::from_slice(&answer.body).unwrap()
 }
 
-/// All documents of a result from the first one on.
-fn follow(client: &mut RestClient, first: &Answer) -> Vec<Document> {
+/// Reads a result to its end and returns all its documents, beginning with the one in `first`.
+fn read_result(client: &mut RestClient, first: &Answer) -> Vec<Document> {
     let mut all = vec![document(first)];
     while let Some(next) = all.last().unwrap().next_uri.clone() {
         all.push(document(&client.call("GET", path(&next), &[], b"").unwrap()));
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn a_result_comes_in_pages_that_stay_the_same() {
+fn a_page_that_is_requested_again_has_the_same_rows() {
     let texts = ["a\tb\n", "c\td\n", "e\tf\ng\th\n", "i\tj\n"];
     let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&texts)));
     let gateway = gateway(Some(engine.address));
@@ -72,8 +74,12 @@
     let mut paths = Vec::new();
     while let Some(next) = seen.last().unwrap().next_uri.clone() {
         let page = client.call("GET", path(&next), &[], b"").unwrap();
-        let again = gateway.rest_client().call("GET", path(&next), &[], b"").unwrap();
-        assert_eq!(document(&page).data, document(&again).data, "asked for again, on another connection");
+        let repeated = gateway.rest_client().call("GET", path(&next), &[], b"").unwrap();
+        assert_eq!(
+            document(&page).data,
+            document(&repeated).data,
+            "the page differs when requested again on another connection"
+        );
         seen.push(document(&page));
         paths.push(path(&next).to_owned());
     }
@@ -81,10 +87,14 @@
     assert_eq!(seen.last().unwrap().stats.state, StatementState::Finished);
     assert_eq!(seen[0].columns.as_ref().unwrap().len(), 2);
     let mut status = |path: &str| client.call("GET", path, &[], b"").unwrap().status;
-    assert_eq!(status(&paths[0]), 410, "an older page");
-    assert_eq!(status(paths.last().unwrap()), 200, "the last one, for a while");
-    assert_eq!(status(&paths[0].replace("executing/", "executing/9")), 404, "none of ours");
-    assert_eq!(status("/v1/statement/executing/1_0/0123456789abcdef0123456789abcdef/1"), 404, "guessed");
+    assert_eq!(status(&paths[0]), 410, "a page before the last one requested");
+    assert_eq!(status(paths.last().unwrap()), 200, "the last page, while the result is kept");
+    assert_eq!(status(&paths[0].replace("executing/", "executing/9")), 404, "an unknown result");
+    assert_eq!(
+        status("/v1/statement/executing/1_0/0123456789abcdef0123456789abcdef/1"),
+        404,
+        "a result with a guessed token"
+    );
     assert_eq!((status("/v1/info"), status("/"), status("/v1/statement")), (200, 404, 405));
     wait_for("the result to leave memory", || (status(paths.last().unwrap()) == 410).then_some(()));
     assert_eq!(engine.seen().started.len(), 1);
@@ -93,8 +103,9 @@
 }
 
 #[test]
-fn each_end_of_a_request_has_its_one_answer() {
-    // What the engine does, the class, the response's status and error, how often the statement came.
+fn each_outcome_of_a_request_has_its_response() {
+    // The engine's behavior, the request class, the response's status and error name, and how often the engine received
+    // the statement (0: not checked).
     let cases = [
         (EngineBehavior::Serve(Duration::from_millis(500), pages(&["late\n"])), "look", 200, None, 1),
         (EngineBehavior::Serve(Duration::ZERO, pages(&[""])), "once", 200, None, 1),
@@ -103,36 +114,48 @@
         (EngineBehavior::Cut, "once", 200, Some("GENERIC_INTERNAL_ERROR"), 1),
         (EngineBehavior::Fail, "look", 429, Some("QUERY_QUEUE_FULL"), 0),
     ];
-    for (act, class, status, error, times) in cases {
-        let engine = engine(act.clone());
+    for (behavior, class, status, error, expected_starts) in cases {
+        let engine = engine(behavior.clone());
         let gateway = gateway(Some(engine.address));
         let mut client = gateway.rest_client();
         let first = post(&mut client, class, "select 1");
-        assert_eq!(first.status, status, "{act:?} for {class}: {}", String::from_utf8_lossy(&first.body));
+        assert_eq!(
+            first.status,
+            status,
+            "{behavior:?} for {class}: {}",
+            String::from_utf8_lossy(&first.body)
+        );
         if status == 429 {
             assert_eq!(first.field("retry-after"), Some("1"));
-            assert!(String::from_utf8_lossy(&first.body).contains(error.unwrap()), "{act:?}");
+            assert!(String::from_utf8_lossy(&first.body).contains(error.unwrap()), "{behavior:?}");
         } else {
-            let last = follow(&mut client, &first).pop().unwrap();
-            assert_eq!(last.error.map(|e| e.error_name), error.map(str::to_owned), "{act:?} for {class}");
+            let last = read_result(&mut client, &first).pop().unwrap();
+            assert_eq!(
+                last.error.map(|e| e.error_name),
+                error.map(str::to_owned),
+                "{behavior:?} for {class}"
+            );
         }
         let started = engine.seen().started.len();
-        assert!(times == 0 || started == times, "{act:?} for {class}: started {started}");
+        assert!(
+            expected_starts == 0 || started == expected_starts,
+            "{behavior:?} for {class}: started {started}"
+        );
     }
 }
 
-/// Headers, the statement, and what the response says.
-type UnusableCase<'a> = (&'a [(&'a str, &'a str)], &'a str, &'a str);
+/// Request headers, the statement, and a substring of the expected response.
+type InvalidStatementCase<'a> = (&'a [(&'a str, &'a str)], &'a str, &'a str);
 
 #[test]
-fn an_unusable_statement_is_named_and_sent_to_no_engine() {
+fn an_invalid_statement_is_rejected_with_the_reason_and_sent_to_no_engine() {
     let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let user = ("X-Trino-User", "acme");
     let load = ("X-Trino-Source", "load");
     let session = ("X-Trino-Session", "time_limit_ms=soon");
-    let cases: [UnusableCase; 8] = [
+    let cases: [InvalidStatementCase; 8] = [
         (&[user], "select 1", "group is missing"),
         (&[("X-Trino-Source", "look")], "select 1", "unknown customer"),
         (&[user, ("X-Trino-Source", "dance")], "select 1", "unknown service group"),
@@ -142,21 +165,21 @@
         (&[user, load, ("Idempotency-Key", "ab")], "select 1", "key is missing"),
         (&[user, ("X-Trino-Source", "look")], "", "no statement"),
     ];
-    for (head, statement, why) in cases {
-        let answer = client.call("POST", "/v1/statement", head, statement.as_bytes()).unwrap();
+    for (headers, statement, reason) in cases {
+        let answer = client.call("POST", "/v1/statement", headers, statement.as_bytes()).unwrap();
         let text = String::from_utf8_lossy(&answer.body).into_owned();
-        assert!(answer.status == 400 && text.contains(why), "{why}: {} {text}", answer.status);
+        assert!(answer.status == 400 && text.contains(reason), "{reason}: {} {text}", answer.status);
     }
     assert!(engine.seen().started.is_empty());
     let long = "x".repeat(1000);
-    assert_eq!(post(&mut client, "look", &long).status, 200, "at the limit");
+    assert_eq!(post(&mut client, "look", &long).status, 200, "a statement of the maximum size");
     assert_eq!(post(&mut client, "look", &(long + "x")).status, 413);
-    assert!(client.answer().is_err(), "the connection ends");
+    assert!(client.answer().is_err(), "the connection stayed open");
     gateway.log.wait_for("detail: body too long");
 }
 
 #[test]
-fn calls_come_chunked_pipelined_and_with_an_expectation() {
+fn calls_may_be_chunked_pipelined_or_expect_100_continue() {
     let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
@@ -167,9 +190,9 @@
         .unwrap();
     assert_eq!(rows(&[document(&client.answer().unwrap())]), ["ok"]);
     assert!(client.answer().unwrap().body.starts_with(b"{\"nodeVersion\""));
-    let expects =
+    let with_expectation =
         format!("POST /v1/statement HTTP/1.1\r\n{fields}Expect: 100-continue\r\nContent-Length: 8\r\n\r\n");
-    client.raw(expects.as_bytes()).unwrap();
+    client.raw(with_expectation.as_bytes()).unwrap();
     assert_eq!(client.answer().unwrap().status, 100);
     client.raw(b"select 1").unwrap();
     assert_eq!(rows(&[document(&client.answer().unwrap())]), ["ok"]);
@@ -177,30 +200,34 @@
         engine.seen().started.iter().map(|c| c.statement.clone()).collect::<Vec<_>>(),
         [b"select 1", b"select 1"]
     );
-    // Both families of headers are told apart by the file; a connection ends when its client asks for that.
-    let closes = client.call("GET", "/v1/info", &[("Connection", "close")], b"").unwrap();
-    assert_eq!(closes.field("connection"), Some("close"));
+    // The gateway closes a connection when its client sends `Connection: close`.
+    let closing = client.call("GET", "/v1/info", &[("Connection", "close")], b"").unwrap();
+    assert_eq!(closing.field("connection"), Some("close"));
     gateway.log.wait_for("reason: asked-to-close");
 }
 
 #[test]
 fn an_abandoned_result_cancels_its_request() {
     let slow = engine(EngineBehavior::Serve(FOREVER, pages(&["never\n"])));
-    let many =
+    let many_pages =
         engine(EngineBehavior::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n", "4\n", "5\n", "6\n"])));
-    // The engine, how many pages the client reads after the first, and whether it says that it goes.
-    for (engine, reads, says) in
-        [(&slow, 0, false), (&slow, 1, true), (&many, 0, false), (&many, 2, false), (&many, 1, true)]
-    {
+    // The engine, the number of pages read after the first, and whether the client cancels with DELETE or disconnects.
+    for (engine, pages_read, deletes) in [
+        (&slow, 0, false),
+        (&slow, 1, true),
+        (&many_pages, 0, false),
+        (&many_pages, 2, false),
+        (&many_pages, 1, true),
+    ] {
         let gateway = gateway(Some(engine.address));
         let cancelled_before = engine.seen().cancelled.len();
         let mut client = gateway.rest_client();
         let mut last = document(&post(&mut client, "once", "select 1"));
-        for _ in 0..reads {
+        for _ in 0..pages_read {
             last = document(&client.call("GET", path(&last.next_uri.unwrap()), &[], b"").unwrap());
         }
         let next = last.next_uri.unwrap();
-        if says {
+        if deletes {
             for _ in 0..2 {
                 assert_eq!(client.call("DELETE", path(&next), &[], b"").unwrap().status, 204);
             }
@@ -209,8 +236,8 @@
         }
         wait_until_seen(engine, "the query to be cancelled", |s| s.cancelled.len() > cancelled_before);
         let answer = gateway.rest_client().call("GET", path(&next), &[], b"").unwrap();
-        assert_eq!(answer.status, 410, "its pages are gone");
-        wait_for("the end to be counted", || {
+        assert_eq!(answer.status, 410, "pages of a cancelled result are still served");
+        wait_for("the abandoned result to be counted", || {
             gateway.signal("-USR1");
             (gateway.log.count("results_read: 0, results_abandoned: 1") > 0).then_some(())
         });
@@ -219,14 +246,15 @@
 
 #[test]
 fn a_lost_page_restarts_a_result_only_while_none_of_its_rows_were_delivered() {
-    for (class, act) in [("once", EngineBehavior::LosePage), ("look", EngineBehavior::LosePage)] {
-        let engine = engine(act);
+    for (class, behavior) in [("once", EngineBehavior::LosePage), ("look", EngineBehavior::LosePage)] {
+        let engine = engine(behavior);
         let gateway = gateway(Some(engine.address));
         let mut client = gateway.rest_client();
         let first = post(&mut client, class, "select 1");
-        // None of its rows was delivered: what runs only once ends in an error, what may run again was tried again.
+        // No rows were delivered: a request that may run only once ends with an error, and one that may run again is
+        // retried.
         if class == "once" {
-            let all = follow(&mut client, &first);
+            let all = read_result(&mut client, &first);
             assert!(rows(&all).is_empty() && all.last().unwrap().error.is_some());
             assert_eq!(engine.seen().started.len(), 1);
         } else {
@@ -237,7 +265,7 @@
 }
 
 #[test]
-fn a_slow_reader_holds_its_engine_back_and_loses_nothing() {
+fn a_slow_reader_slows_its_engine_down_and_loses_no_rows() {
     let texts: Vec<String> = (0..12).map(|n| format!("{n}\n")).collect();
     let engine =
         engine(EngineBehavior::Serve(Duration::ZERO, texts.iter().map(|t| t.clone().into_bytes()).collect()));
@@ -253,31 +281,31 @@
 }
 
 #[test]
-fn requests_of_one_key_run_one_at_a_time_over_both_protocols() {
+fn requests_of_one_ordering_key_run_one_at_a_time_across_both_protocols() {
     let engine = engine(EngineBehavior::Serve(Duration::from_millis(150), pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let key = "00000000000000ab";
     let mut message_pack_client = gateway.client();
-    let mut paged: Vec<RestClient> = (0..2).map(|_| gateway.rest_client()).collect();
+    let mut paged_clients: Vec<RestClient> = (0..2).map(|_| gateway.rest_client()).collect();
     let session = format!("order_key={key}");
     for n in 0..6 {
-        let reference = format!("{n:016x}");
+        let idempotency_key = format!("{n:016x}");
         let statement = format!("load {n}");
         if n % 2 == 0 {
             let fields = [
-                ("req", &reference[..]),
+                ("req", &idempotency_key[..]),
                 ("timeout", "20000"),
                 ("owner", "acme"),
-                ("opkey", &reference),
+                ("opkey", &idempotency_key),
                 ("subject", key),
             ];
             message_pack_client.send("load", &fields, &statement).unwrap();
-        } else if let Some(client) = paged.get_mut(n / 2) {
-            let mut head = head("load");
-            head.extend([("Idempotency-Key", &reference[..]), ("X-Trino-Session", &session[..])]);
-            client.send("POST", "/v1/statement", &head, statement.as_bytes()).unwrap();
+        } else if let Some(client) = paged_clients.get_mut(n / 2) {
+            let mut headers = request_headers("load");
+            headers.extend([("Idempotency-Key", &idempotency_key[..]), ("X-Trino-Session", &session[..])]);
+            client.send("POST", "/v1/statement", &headers, statement.as_bytes()).unwrap();
         }
-        wait_for("it to be admitted", || {
+        wait_for("the request to be admitted", || {
             gateway.signal("-USR1");
             let admitted = format!("class: load, admitted: {},", if n == 5 { 5 } else { n + 1 });
             (gateway.log.count(&admitted) > 0).then_some(())
@@ -286,9 +314,9 @@
     for _ in 0..3 {
         assert!(matches!(message_pack_client.answer().unwrap().1, MessagePackAnswer::Rows(_)));
     }
-    for client in &mut paged {
+    for client in &mut paged_clients {
         let first = client.answer().unwrap();
-        assert_eq!(rows(&follow(client, &first)), ["ok"]);
+        assert_eq!(rows(&read_result(client, &first)), ["ok"]);
     }
     let seen = engine.seen().started;
     let order: Vec<_> = seen.iter().map(|c| String::from_utf8_lossy(&c.statement).into_owned()).collect();
@@ -296,7 +324,7 @@
 }
 
 #[test]
-fn silent_connections_and_open_results_are_bounded_and_others_are_served() {
+fn silent_connections_and_open_results_are_bounded_and_other_clients_served() {
     let engine = Engine::start("127.0.0.1:0", |call| {
         EngineBehavior::Serve(
             if call.statement == b"long" { FOREVER } else { Duration::ZERO },
@@ -308,48 +336,50 @@
     let mut client = gateway.rest_client();
     let silent: Vec<TcpStream> =
         (0..300).map(|_| TcpStream::connect(gateway.rest.unwrap()).unwrap()).collect();
-    let mut trickle = TcpStream::connect(gateway.rest.unwrap()).unwrap();
-    trickle.write_all(b"POST /v1/sta").unwrap();
-    let began = Instant::now();
+    let mut incomplete = TcpStream::connect(gateway.rest.unwrap()).unwrap();
+    incomplete.write_all(b"POST /v1/sta").unwrap();
+    let start = Instant::now();
     let first = post(&mut client, "look", "select 1");
-    assert_eq!(rows(&follow(&mut client, &first)), ["ok"]);
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
-    // The other protocol has its own connections.
+    assert_eq!(rows(&read_result(&mut client, &first)), ["ok"]);
+    assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
+    // MessagePack-RPC connections have a limit of their own.
     let mut message_pack_client = gateway.client();
     let ping = message_pack_client.ping().unwrap();
     assert_eq!(message_pack_client.answer().unwrap(), (ping, MessagePackAnswer::Pong));
-    // As many results as may be in flight; the next is rejected.
-    drop((silent, trickle));
-    let mut others: Vec<RestClient> = (0..6).map(|_| gateway.rest_client()).collect();
-    for other in &mut others {
-        other.send("POST", "/v1/statement", &head("look"), b"long").unwrap();
+    // Six open results are the maximum (`in-hand`); the next request is rejected.
+    drop((silent, incomplete));
+    let mut other_clients: Vec<RestClient> = (0..6).map(|_| gateway.rest_client()).collect();
+    for other in &mut other_clients {
+        other.send("POST", "/v1/statement", &request_headers("look"), b"long").unwrap();
     }
-    let open: Vec<Document> = others.iter_mut().map(|o| document(&o.answer().unwrap())).collect();
-    let over = post(&mut client, "look", "select 1");
-    assert_eq!((over.status, over.field("retry-after")), (429, Some("1")));
+    let open: Vec<Document> = other_clients.iter_mut().map(|o| document(&o.answer().unwrap())).collect();
+    let rejected = post(&mut client, "look", "select 1");
+    assert_eq!((rejected.status, rejected.field("retry-after")), (429, Some("1")));
     let next = open[0].next_uri.clone().unwrap();
     client.call("DELETE", path(&next), &[], b"").unwrap();
     assert_eq!(post(&mut client, "look", "select 1").status, 200);
 }
 
 #[test]
-fn the_operators_file_is_applied_completely_or_not_at_all() {
+fn a_reload_of_the_operators_file_applies_all_of_it_or_nothing() {
     let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["ok\n"])));
     let gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
     let presto = [("X-Presto-User", "acme"), ("X-Presto-Source", "look")];
     let mut status = || client.call("POST", "/v1/statement", &presto, b"select 1").unwrap().status;
     assert_eq!(status(), 400);
-    gateway.reload_operator_config(&operator_config(&REST.replace("poll-ms = 200", "poll-ms = 200000")));
+    gateway.reload_operator_config(&operator_config(
+        &REST_SETTINGS.replace("poll-ms = 200", "poll-ms = 200000"),
+    ));
     gateway.log.wait_for("line 8: rest.poll-ms: 200000 ms is not within 1 to 60000");
-    assert_eq!(status(), 400, "as before");
-    gateway.reload_operator_config(&operator_config(&format!("headers = \"presto\"\n{REST}")));
+    assert_eq!(status(), 400, "a rejected file changed the headers");
+    gateway.reload_operator_config(&operator_config(&format!("headers = \"presto\"\n{REST_SETTINGS}")));
     gateway.log.wait_for("configuration reloaded");
-    wait_for("the other headers", || (status() == 200).then_some(()));
+    wait_for("the Presto headers to be accepted", || (status() == 200).then_some(()));
 }
 
 #[test]
-fn a_stopping_gateway_lets_results_be_read_and_admits_nothing_new() {
+fn during_shutdown_open_results_can_be_read_and_new_statements_are_rejected() {
     let engine = engine(EngineBehavior::Serve(Duration::ZERO, pages(&["1\n", "2\n", "3\n"])));
     let mut gateway = gateway(Some(engine.address));
     let mut client = gateway.rest_client();
@@ -358,8 +388,8 @@
     gateway.log.wait_for("shutdown requested");
     let refused = post(&mut gateway.rest_client(), "once", "select 2");
     assert_eq!((refused.status, refused.field("retry-after")), (503, Some("1")));
-    assert_eq!(rows(&follow(&mut client, &first)), ["1", "2", "3"]);
-    // A delivered result is kept for a while, and keeps no gateway from ending.
+    assert_eq!(rows(&read_result(&mut client, &first)), ["1", "2", "3"]);
+    // A delivered result that is still kept does not delay the shutdown.
     assert!(gateway.wait_for_exit().success());
     gateway.log.wait_for("reason: stopped");
 }
--- a/crates/gateway/tests/gateway/races.rs
+++ b/crates/gateway/tests/gateway/races.rs
@@ -1,5 +1,5 @@
-//! Races, each forced: engines and clients here are scripts that hold, split or release bytes at a marked point. The list
-//! of races is docs/races.md.
+//! Tests that force race conditions: their engines and clients hold back, split or release bytes at a chosen point. The
+//! races are listed in docs/races.md.
 
 use crate::common::{FullListener, Gateway, PROGRAM, config, config_of, settings, wait_for};
 use crate::scripted_engine::{ScriptedEngine, read_call, reply, result_reply};
@@ -13,16 +13,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Two request ids.
 const ID: &str = "9b1f03aa5c7e2d41";
-const NEXT: &str = "9b1f03aa5c7e2d42";
+const SECOND_ID: &str = "9b1f03aa5c7e2d42";
 
-fn fields<'a>(id: &'a str, wait: &'a str) -> Vec<(&'a str, &'a str)> {
-    vec![("req", id), ("timeout", wait), ("owner", "acme"), ("ms", "10"), ("est_mb", "5")]
+fn fields<'a>(id: &'a str, timeout: &'a str) -> Vec<(&'a str, &'a str)> {
+    vec![("req", id), ("timeout", timeout), ("owner", "acme"), ("ms", "10"), ("est_mb", "5")]
 }
 
-fn keyed<'a>(id: &'a str, wait: &'a str) -> Vec<(&'a str, &'a str)> {
+/// Request fields with an idempotency key and an ordering key.
+fn fields_with_keys<'a>(id: &'a str, timeout: &'a str) -> Vec<(&'a str, &'a str)> {
     let key = [("opkey", id), ("subject", "00000000000000ab")];
-    fields(id, wait).into_iter().chain(key).collect()
+    fields(id, timeout).into_iter().chain(key).collect()
 }
 
 fn rows(text: &str) -> Answer {
@@ -33,31 +35,32 @@
     Answer::Error("Rejected".into(), Some("500".into()))
 }
 
-/// What came on it until it ended.
-fn all_of(mut stream: TcpStream) -> String {
+/// Reads a connection to its end, for up to 60 s between bytes.
+fn read_to_end(mut stream: TcpStream) -> String {
     stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Settings under which a connection to an engine may take long to come up.
+/// Settings with a connect timeout of 20 s for connections to engines.
 fn slow_connect_settings() -> String {
     settings().replace(r#""connect_timeout":250000"#, r#""connect_timeout":20000000"#)
 }
 
-fn bytes_of(id: u32, fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
+/// Encodes a request of class `look` with this message id.
+fn encoded_request(id: u32, fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, &request(id, "look", fields, statement)).unwrap();
     bytes
 }
 
-/// Guards against a call that goes out on a connection on which a duplicate of the answer before it is still to come: it
-/// took that for its own, and its client had another's rows.
+/// Guards against sending a call on a connection on which a duplicate of the previous reply may still arrive: the duplicate
+/// was taken for the reply to the new call, and the client got the rows of another request.
 #[test]
-fn a_duplicate_answer_is_not_taken_for_the_next_one() {
+fn a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_call() {
     let engine = ScriptedEngine::start(|call, stream| {
-        // The second answer takes longer than the duplicate of the first.
+        // The second reply takes longer than the duplicate of the first.
         if call.body == "second" {
             thread::sleep(Duration::from_millis(60));
         }
@@ -68,16 +71,16 @@
     });
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
-    for (id, statement) in [(ID, "first"), (NEXT, "second")] {
+    for (id, statement) in [(ID, "first"), (SECOND_ID, "second")] {
         client.send("look", &fields(id, "20000"), statement).unwrap();
         assert_eq!(client.answer().unwrap().1, rows(&format!("{statement}\n")));
     }
 }
 
-/// Guards against statuses that no engine gives to this call: a corrupt answer does not say that the query has ended, or
-/// never ran.
+/// Guards against trusting a status that no engine sends in reply to this call: a corrupt reply does not prove that the
+/// query has ended or never ran.
 #[test]
-fn an_answer_that_no_engine_gives_to_a_call_proves_nothing_and_the_query_is_polled() {
+fn after_a_reply_with_an_impossible_status_the_query_is_polled() {
     let corrupt = [
         reply("204 No Content", "", ""),
         reply("404 Not Found", "", ""),
@@ -99,9 +102,9 @@
     }
 }
 
-/// Guards against a request that is sent although its client disconnected while the connection to the engine came up.
+/// Guards against sending a request whose client disconnected while the connection to the engine was being established.
 #[test]
-fn what_its_client_abandoned_during_a_slow_connect_is_not_sent() {
+fn a_request_abandoned_during_a_slow_connect_is_not_sent() {
     let engine = FullListener::start();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let text =
@@ -114,47 +117,51 @@
     gateway.log.wait_for("reason: client-closed");
     let stream = engine.accept_next();
     let mut next = gateway.client();
-    // Whatever went out has come by then, and this one goes out on the connection that is up.
-    next.send("look", &fields(NEXT, "25000"), "").unwrap();
+    // The gateway sends the next request on the established connection, so an abandoned request would be read before it.
+    next.send("look", &fields(SECOND_ID, "25000"), "").unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let call = read_call(&mut BufReader::new(stream)).unwrap();
-    assert!(call.head.contains(NEXT), "{call:?}");
+    assert!(call.head.contains(SECOND_ID), "{call:?}");
 }
 
-/// Guards against a retry that was routed within its deduplication window and begins after it, since its connection came up
-/// late.
+/// Guards against a retry that is routed within the deduplication window and sent after it because its connection was
+/// established late.
 #[test]
-fn a_retry_whose_window_ends_during_a_slow_connect_is_not_sent() {
+fn a_retry_whose_deduplication_window_ends_during_a_slow_connect_is_not_sent() {
     let first = TcpListener::bind("127.0.0.1:0").unwrap();
     let first_address = first.local_addr().unwrap();
     let second = FullListener::start();
-    let short = slow_connect_settings().replace(r#""dedup_window":12000000"#, r#""dedup_window":1500000"#);
+    let short_window_settings =
+        slow_connect_settings().replace(r#""dedup_window":12000000"#, r#""dedup_window":1500000"#);
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let text = config_of("127.0.0.1:0", discovery.address, &[first_address], 256, &short);
+    let text = config_of("127.0.0.1:0", discovery.address, &[first_address], 256, &short_window_settings);
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
-    let sent = client.send("load", &keyed(ID, "25000"), "").unwrap();
+    let sent = client.send("load", &fields_with_keys(ID, "25000"), "").unwrap();
     let (held, _) = first.accept().unwrap();
-    let began = Instant::now();
+    let start = Instant::now();
     assert!(read_call(&mut BufReader::new(held.try_clone().unwrap())).is_some());
-    // The other one joins before the first one dies with the call in its hands.
+    // The second engine is listed before the first one dies without replying to the call.
     gateway.list(2, &[Endpoint::ready(1, first_address), Endpoint::ready(2, second.address())]);
-    wait_for("the gateway to apply it", || {
+    wait_for("the gateway to apply the discovery event", || {
         gateway.signal("-USR1");
         gateway.log.last("discovery_events: ")?.contains("discovery_events: 2,").then_some(())
     });
     drop((first, held));
     second.wait_for_connect();
-    wait_for("the window to end", || (began.elapsed() > Duration::from_millis(1600)).then_some(()));
+    wait_for("the deduplication window to end", || {
+        (start.elapsed() > Duration::from_millis(1600)).then_some(())
+    });
     let stream = second.accept_next();
     assert!(matches!(client.answer().unwrap(), (id, Answer::Error(..)) if id == sent));
     drop(gateway);
-    assert_eq!(all_of(stream), "", "a retry after its window");
+    assert_eq!(read_to_end(stream), "", "a retry was sent after its deduplication window");
 }
 
-/// Guards against a client that sends much and disconnects: all of it lies there when the gateway reads, its end behind it.
+/// Guards against sending on the requests of a client that sends many and disconnects: all of them, and then the end of the
+/// connection, are in the socket buffer when the gateway reads.
 #[test]
-fn what_a_disconnected_client_sent_is_not_sent_on() {
+fn requests_of_a_disconnected_client_are_not_sent_on() {
     let engine =
         Engine::start("127.0.0.1:0", |_| EngineBehavior::Serve(Duration::ZERO, vec![b"ok\n".to_vec()]))
             .unwrap();
@@ -162,46 +169,48 @@
     let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
-    // The connection to the engine is at hand by then: nothing holds a call back.
+    // The idle connection to the engine is past its reuse delay by then, so no call has to wait for a connection.
     thread::sleep(Duration::from_millis(100));
     gateway.suspend();
-    let stopped = Instant::now();
-    let mut much = gateway.client();
+    let stall_start = Instant::now();
+    let mut disconnecting = gateway.client();
     for n in 0..200 {
-        much.send("look", &fields(&format!("{n:016x}"), "20000"), "gone").unwrap();
+        disconnecting.send("look", &fields(&format!("{n:016x}"), "20000"), "gone").unwrap();
     }
-    drop(much);
-    // As after a stall: between two reads of one connection others have their turn.
-    wait_for("it to have stood still", || (stopped.elapsed() > Duration::from_millis(400)).then_some(()));
+    drop(disconnecting);
+    // After a stall, other connections are served between two reads of one connection.
+    wait_for("the stall to last 400 ms", || {
+        (stall_start.elapsed() > Duration::from_millis(400)).then_some(())
+    });
     gateway.resume();
     gateway.log.wait_for("client connection ended");
-    client.send("look", &fields(NEXT, "20000"), "").unwrap();
+    client.send("look", &fields(SECOND_ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
-    let gone = engine.seen().started.iter().filter(|c| c.statement == b"gone").count();
-    assert_eq!(gone, 0, "sent on for a client that was gone");
+    let sent_on = engine.seen().started.iter().filter(|c| c.statement == b"gone").count();
+    assert_eq!(sent_on, 0, "requests were sent on for a disconnected client");
 }
 
-/// Guards against a connection that ends for what is wrong on it, while answers on it are still owed; with bytes unread its
-/// end was a reset, which took along what was on its way.
+/// Guards against closing a connection for a protocol violation while responses on it are still due. Closing it with unread
+/// bytes sent a reset, which discarded responses under way.
 #[test]
-fn who_breaks_the_protocol_has_the_answers_to_what_it_asked_before() {
-    let incomplete = bytes_of(2, &fields(NEXT, "20000"), "")[..9].to_vec();
-    let twice = bytes_of(1, &fields(NEXT, "20000"), "");
+fn requests_before_a_protocol_violation_are_answered() {
+    let incomplete = encoded_request(2, &fields(SECOND_ID, "20000"), "")[..9].to_vec();
+    let reused_id = encoded_request(1, &fields(SECOND_ID, "20000"), "");
     let garbage = vec![0xc1; 300_000];
     let cases = [
         (0, garbage.clone(), "malformed"),
         (2_600, garbage, "malformed"),
-        (2_600, twice, "id-used-twice"),
+        (2_600, reused_id, "id-used-twice"),
         (2_600, incomplete, "no-whole-message"),
     ];
-    for (takes, more, reason) in cases {
-        let takes = Duration::from_millis(takes);
+    for (duration, violation, reason) in cases {
+        let duration = Duration::from_millis(duration);
         let engine =
-            Engine::start("127.0.0.1:0", move |_| EngineBehavior::Serve(takes, vec![b"ok\n".to_vec()]))
+            Engine::start("127.0.0.1:0", move |_| EngineBehavior::Serve(duration, vec![b"ok\n".to_vec()]))
                 .unwrap();
         let gateway = Gateway::start(Some(engine.address));
         let mut client = gateway.client();
-        let bytes = [bytes_of(1, &fields(ID, "20000"), ""), more].concat();
+        let bytes = [encoded_request(1, &fields(ID, "20000"), ""), violation].concat();
         client.raw(&bytes).unwrap();
         assert_eq!(client.answer().unwrap(), (1, rows("ok\n")), "{reason}");
         assert!(client.is_ended(), "{reason}");
@@ -209,11 +218,11 @@
     }
 }
 
-/// Guards against a deadline passed on that is longer than what the client has left: its time runs while it writes, while it
-/// waits to be accepted, and while a connection to the engine comes up.
+/// Guards against passing on a deadline longer than the client's remaining time, which also passes while the client writes,
+/// while its connection waits to be accepted, and while the connection to the engine is established.
 #[test]
-fn time_to_read_to_be_accepted_and_to_connect_is_off_the_deadline_passed_on() {
-    const SLACK: u64 = 150;
+fn the_deadline_passed_on_excludes_time_to_read_to_accept_and_to_connect() {
+    const SLACK_MS: u64 = 150;
     let time_passed_on = |head: &str| -> u64 {
         head.lines().find_map(|l| l.strip_prefix("x-patience: ")?.parse().ok()).unwrap()
     };
@@ -221,52 +230,64 @@
         let long = call.body == "long" || call.line.starts_with("get");
         stream.write_all(&if long { reply("202 Accepted", "", "") } else { result_reply("ok\n") }).is_ok()
     });
-    let left = |began: Instant| 5_000 - began.elapsed().as_millis() as u64 + SLACK;
-    // Of 64 descriptors 16 are for clients.
+    let max_time_left = |start: Instant| 5_000 - start.elapsed().as_millis() as u64 + SLACK_MS;
+    // The gateway reserves 16 of its 64 descriptors for clients.
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let gateway = Gateway::start_on("127.0.0.1:0", discovery, Some(engine.address), 64);
     let mut slow = gateway.client();
-    let bytes = bytes_of(1, &fields(ID, "5000"), "slow");
-    let began = Instant::now();
+    let bytes = encoded_request(1, &fields(ID, "5000"), "slow");
+    let start = Instant::now();
     slow.raw(&bytes[..bytes.len() / 2]).unwrap();
     thread::sleep(Duration::from_millis(500));
     slow.raw(&bytes[bytes.len() / 2..]).unwrap();
     assert_eq!(slow.answer().unwrap().1, rows("ok\n"));
     let posts = engine.posts();
-    assert!(time_passed_on(&posts[0].head) <= left(began), "written slowly: {}", posts[0].head);
+    assert!(
+        time_passed_on(&posts[0].head) <= max_time_left(start),
+        "request written slowly: {}",
+        posts[0].head
+    );
     drop(slow);
-    // One that waits in the listener's queue while all client descriptors are taken and in use.
+    // A client that waits in the listener's queue while all client descriptors are in use.
     let mut busy: Vec<Client> = (0..16).map(|_| gateway.client()).collect();
     for (n, client) in busy.iter_mut().enumerate() {
         client.send("look", &fields(&format!("{n:016x}"), "25000"), "long").unwrap();
     }
     wait_for("all client descriptors to be in use", || (engine.posts().len() >= 17).then_some(()));
     let mut queued = gateway.client();
-    let began = Instant::now();
-    queued.send("look", &fields(NEXT, "5000"), "queued").unwrap();
+    let start = Instant::now();
+    queued.send("look", &fields(SECOND_ID, "5000"), "queued").unwrap();
     thread::sleep(Duration::from_millis(500));
     busy.truncate(8);
     assert_eq!(queued.answer().unwrap().1, rows("ok\n"));
     let posts = engine.posts();
     let call = posts.iter().find(|c| c.body == "queued").unwrap();
-    assert!(time_passed_on(&call.head) <= left(began), "waited in the queue: {}", call.head);
-    // One whose connection comes up late.
+    assert!(
+        time_passed_on(&call.head) <= max_time_left(start),
+        "client waited in the accept queue: {}",
+        call.head
+    );
+    // A request whose connection to the engine is established late.
     let full = FullListener::start();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let text = config_of("127.0.0.1:0", discovery.address, &[full.address()], 256, &slow_connect_settings());
     let gateway = Gateway::start_with(discovery, &text);
-    let began = Instant::now();
+    let start = Instant::now();
     let mut client = gateway.client();
     client.send("look", &fields(ID, "5000"), "").unwrap();
     full.wait_for_connect();
     thread::sleep(Duration::from_millis(500));
     let call = read_call(&mut BufReader::new(full.accept_next())).unwrap();
-    assert!(time_passed_on(&call.head) <= left(began), "connected late: {}", call.head);
+    assert!(
+        time_passed_on(&call.head) <= max_time_left(start),
+        "engine connection established late: {}",
+        call.head
+    );
 }
 
-/// Guards against a signal that ends a gateway which is not ready yet: its handlers came last.
+/// Guards against a signal that terminates a gateway during its startup, when the signal handlers were installed last.
 #[test]
-fn a_signal_before_a_gateway_is_ready_waits_until_it_is() {
+fn a_signal_during_startup_is_handled_once_the_gateway_is_ready() {
     for (signal, line) in [("-HUP", "configuration reloaded"), ("-TERM", "shutdown requested")] {
         let path = std::env::temp_dir().join(format!("larchfall-{}{signal}", std::process::id()));
         let _ = std::fs::remove_file(&path);
@@ -275,8 +296,9 @@
         command.args(["serve", "--config"]).arg(&path).stdout(Stdio::piped());
         let mut child = command.spawn().unwrap();
         let id = child.id();
-        // It waits for its configuration, and has its handlers for both signals by then: bits 0 and 14.
-        wait_for("the handlers", || {
+        // While the gateway waits to read its configuration, the handlers for both signals must be installed: bits 0
+        // (SIGHUP) and 14 (SIGTERM) of SigCgt.
+        wait_for("the signal handlers to be installed", || {
             let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
             let caught = status.lines().find_map(|l| l.strip_prefix("SigCgt:"))?.trim().to_owned();
             (u64::from_str_radix(&caught, 16).unwrap() & 0x4001 == 0x4001).then_some(())
@@ -292,7 +314,7 @@
         let mut seen = Vec::new();
         let mut again = None;
         for printed in lines {
-            // What reads the file again has to find it once more.
+            // The reload reads the FIFO again, so the configuration has to be written again.
             if printed.contains("listening") && signal == "-HUP" {
                 let (path, text) = (path.clone(), text.clone());
                 again = Some(thread::spawn(move || std::fs::write(path, text)));
@@ -311,15 +333,15 @@
     }
 }
 
-/// Guards against an answer that waits for the end of a cancelled attempt: a request in key order that may run again is
-/// cancelled for its slow progress, and its engine, told to stop, says nothing.
+/// Guards against a response that waits for the end of a cancelled attempt: a retryable request with an ordering key is
+/// cancelled for its slow progress, and its engine does not reply to the cancellation.
 #[test]
-fn a_cancelled_request_has_its_answer_in_time_whatever_its_key_waits_for() {
+fn a_cancelled_request_is_answered_in_time_even_if_its_key_is_held() {
     let engine = ScriptedEngine::start(|call, stream| {
         if call.line.starts_with("delete") {
             thread::sleep(Duration::from_secs(30));
         }
-        // A hundredth done, and it says so at once: far slower than what it was said to take.
+        // The engine always reports 1 % done, which is far slower than the request's work hint.
         stream.write_all(&reply("202 Accepted", "X-Result: advance\r\nFigure: 0.01\r\n", "")).is_ok()
     });
     let again = settings().replace(
@@ -330,24 +352,29 @@
     let text = config_of("127.0.0.1:0", discovery.address, &[engine.address], 256, &again);
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
-    let began = Instant::now();
-    client.send("load", &keyed(ID, "1500"), "").unwrap();
+    let start = Instant::now();
+    client.send("load", &fields_with_keys(ID, "1500"), "").unwrap();
     assert_eq!(client.answer().unwrap(), (1, rejected()));
-    assert!(began.elapsed() < Duration::from_millis(2_000), "{:?}", began.elapsed());
-    assert!(engine.calls.lock().unwrap().iter().any(|c| c.line.starts_with("delete")), "not cancelled");
+    assert!(start.elapsed() < Duration::from_millis(2_000), "{:?}", start.elapsed());
+    assert!(
+        engine.calls.lock().unwrap().iter().any(|c| c.line.starts_with("delete")),
+        "the attempt was not cancelled"
+    );
 }
 
-/// Guards against an end that comes by a second signal, or while the files are read again, or between two pieces of a request.
+/// Guards against a shutdown that is cut short by a second signal, by a reload under way, or between two parts of a
+/// request.
 #[test]
-fn stopped_twice_and_while_it_reads_its_files_a_gateway_answers_what_comes_in_pieces() {
-    let takes = Duration::from_millis(300);
+fn a_second_sigterm_and_a_reload_in_the_shutdown_do_not_lose_a_partial_request() {
+    let duration = Duration::from_millis(300);
     let engine =
-        Engine::start("127.0.0.1:0", move |_| EngineBehavior::Serve(takes, vec![b"ok\n".to_vec()])).unwrap();
+        Engine::start("127.0.0.1:0", move |_| EngineBehavior::Serve(duration, vec![b"ok\n".to_vec()]))
+            .unwrap();
     let mut gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
-    let bytes = bytes_of(1, &fields(ID, "20000"), "");
+    let bytes = encoded_request(1, &fields(ID, "20000"), "");
     client.raw(&bytes[..9]).unwrap();
-    // A file that nobody writes: whoever reads it waits.
+    // A FIFO without a writer: the reload blocks on reading the configuration.
     std::fs::remove_file(&gateway.config_file).unwrap();
     assert!(Command::new("mkfifo").arg(&gateway.config_file).status().unwrap().success());
     gateway.signal("-HUP");
@@ -360,25 +387,25 @@
     assert!(gateway.wait_for_exit().success());
 }
 
-/// Guards against idle clients that take the descriptors that connections to discovery and engines need.
+/// Guards against idle clients that take the descriptors needed for connections to discovery and engines.
 #[test]
 fn discovery_and_engines_reconnect_while_idle_clients_hold_all_client_descriptors() {
-    let serves = || {
+    let start_engine = || {
         Engine::start("127.0.0.1:0", |_| EngineBehavior::Serve(Duration::ZERO, vec![b"ok\n".to_vec()]))
             .unwrap()
     };
-    let (old, new) = (serves(), serves());
+    let (old, new) = (start_engine(), start_engine());
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let way = Proxies::start(1, &[discovery.address]).unwrap();
-    // Of 64 descriptors 16 are for clients.
-    let text = config_of("127.0.0.1:0", way.address(0, 0), &[old.address], 64, &settings());
+    let proxies = Proxies::start(1, &[discovery.address]).unwrap();
+    // The gateway reserves 16 of its 64 descriptors for clients.
+    let text = config_of("127.0.0.1:0", proxies.address(0, 0), &[old.address], 64, &settings());
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("look", &fields(ID, "20000"), "").unwrap();
     assert_eq!(client.answer().unwrap().1, rows("ok\n"));
-    way.set_mode(|_, _| true, ProxyMode::Cut);
+    proxies.set_mode(|_, _| true, ProxyMode::Cut);
     gateway.log.wait_for("discovery connection ended");
-    // More than it has descriptors for, and as many as it takes say something.
+    // More clients connect than there are client descriptors, and 16 of them send a ping.
     let mut idle: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
     idle.iter_mut().take(16).for_each(|client| _ = client.ping());
     wait_for("all client descriptors to be taken", || {
@@ -386,10 +413,10 @@
         gateway.log.last("most_clients: ")?.contains("most_clients: 16,").then_some(())
     });
     gateway.list(2, &[Endpoint::ready(2, new.address)]);
-    way.set_mode(|_, _| true, ProxyMode::Forward);
+    proxies.set_mode(|_, _| true, ProxyMode::Forward);
     wait_for("the discovery event to be applied", || {
         let mut client = gateway.client();
-        client.send("look", &fields(NEXT, "20000"), "").ok()?;
+        client.send("look", &fields(SECOND_ID, "20000"), "").ok()?;
         let _ = client.answer();
         (!new.seen().started.is_empty()).then_some(())
     });
--- a/crates/gateway/tests/gateway/sockets/attempts.rs
+++ b/crates/gateway/tests/gateway/sockets/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests and the ends of their attempts.
+//! Responses to requests by the outcome of their attempts, cancellation, and deadlines passed on to engines.
 
 use super::{FOREVER, ID, NOW, engine, fields, fields_of, pages, rows};
 use crate::common::{Gateway, refusing_address, wait_until_seen};
@@ -9,10 +9,11 @@
 use std::time::Duration;
 
 #[test]
-fn each_end_of_an_attempt_has_its_response() {
+fn each_outcome_of_an_attempt_has_its_response() {
     let errored = Answer::Error("Errored".into(), None);
     let rejected = Answer::Error("Rejected".into(), Some("500".into()));
-    // What the engine does, the class, the response, and how often the statement came to the engine.
+    // The engine's behavior, the request class, the response, and how often the engine received the statement (0: not
+    // checked).
     let cases = [
         (EngineBehavior::Serve(NOW, pages(&["a\tb\n"])), "look", rows("a\tb\n"), 1),
         (EngineBehavior::Serve(NOW, pages(&["1\n", "2\n", "3\n"])), "look", rows("1\n2\n3\n"), 1),
@@ -33,14 +34,18 @@
             1,
         ),
     ];
-    for (act, class, expected, times) in cases {
-        let engine = engine(act.clone());
+    for (behavior, class, expected, expected_starts) in cases {
+        let engine = engine(behavior.clone());
         let gateway = Gateway::start(Some(engine.address));
         let mut client = gateway.client();
         let sent = client.send(class, &fields_of(class, ID, "20000"), "select 1").unwrap();
-        assert_eq!(client.answer().unwrap(), (sent, expected), "{act:?} for {class}");
+        assert_eq!(client.answer().unwrap(), (sent, expected), "{behavior:?} for {class}");
         let started = engine.seen().started;
-        assert!(times == 0 || started.len() == times, "{act:?} for {class}: started {}", started.len());
+        assert!(
+            expected_starts == 0 || started.len() == expected_starts,
+            "{behavior:?} for {class}: started {}",
+            started.len()
+        );
         let call = &started[0];
         assert_eq!((call.id.as_str(), &call.statement[..]), (ID, &b"select 1"[..]));
         assert_eq!(call.head["x-profile"], class);
@@ -48,7 +53,7 @@
 }
 
 #[test]
-fn what_cannot_have_run_is_rejected() {
+fn a_request_that_cannot_have_run_is_rejected() {
     let refusing = refusing_address();
     let gateway = Gateway::start(Some(refusing.address));
     let mut client = gateway.client();
@@ -60,18 +65,18 @@
 }
 
 #[test]
-fn what_a_dead_engine_may_have_run_is_not_rejected() {
-    for (class, name) in [("once", "Errored"), ("load", "Rejected")] {
+fn a_non_idempotent_request_that_a_dead_engine_may_have_run_is_not_rejected() {
+    for (class, error_name) in [("once", "Errored"), ("load", "Rejected")] {
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
         let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
         let mut client = gateway.client();
         client.send(class, &fields_of(class, ID, "20000"), "").unwrap();
-        // It dies with the call unanswered, and nobody listens there any more.
+        // The engine dies without replying to the call, and its address refuses connections from then on.
         let (mut stream, _) = engine.accept().unwrap();
         assert!(stream.read(&mut [0; 1024]).unwrap() > 0);
         drop(engine);
         drop(stream);
-        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == name), "{class}");
+        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == error_name), "{class}");
     }
 }
 
@@ -81,10 +86,10 @@
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
     let cases = [("look", "aaaa", "Rejected"), ("once", "bbbb", "Errored"), ("load", "cccc", "Rejected")];
-    for (class, id, name) in cases {
+    for (class, id, error_name) in cases {
         let id = &id.repeat(4);
         client.send(class, &fields_of(class, id, "700"), "").unwrap();
-        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == name), "{class}");
+        assert!(matches!(client.answer().unwrap().1, Answer::Error(n, _) if n == error_name), "{class}");
         wait_until_seen(&engine, "the query to be cancelled", |s| s.cancelled.contains(&id.to_owned()));
     }
 }
@@ -116,21 +121,21 @@
 }
 
 #[test]
-fn network_and_client_delays_are_taken_off_the_deadline() {
+fn the_deadline_passed_on_is_reduced_by_network_and_client_delays() {
     let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
-    // Clients hold requests of one key apart by up to 250 ms, and count that time.
-    for (class, most) in [("load", 20_000 - 310), ("look", 20_000 - 60)] {
+    // A client may delay a request with an ordering key by up to 250 ms, and its timeout includes that delay.
+    for (class, max_ms) in [("load", 20_000 - 310), ("look", 20_000 - 60)] {
         client.send(class, &fields_of(class, ID, "20000"), "").unwrap();
         assert_eq!(client.answer().unwrap().1, rows("ok\n"));
         let patience: u64 = engine.seen().started.last().unwrap().head["x-patience"].parse().unwrap();
-        assert!(patience <= most, "{class}: {patience} ms");
+        assert!(patience <= max_ms, "{class}: {patience} ms");
     }
 }
 
 #[test]
-fn counters_are_printed_when_asked_for() {
+fn counters_are_logged_on_sigusr1() {
     let engine = engine(EngineBehavior::Serve(NOW, pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
--- a/crates/gateway/tests/gateway/sockets/key_order.rs
+++ b/crates/gateway/tests/gateway/sockets/key_order.rs
@@ -1,4 +1,4 @@
-//! Requests of one order key run one at a time, and the key cools down while an attempt may still run.
+//! Requests of one ordering key run one at a time, and the key cools down while an attempt may still run.
 
 use super::{FOREVER, MIN_KEY_COOLDOWN, NOW, engine, fields_of, pages, rows};
 use crate::common::{Gateway, config_of, settings, wait_for};
@@ -20,20 +20,21 @@
     for id in &ids {
         client.send("load", &fields_of("load", id, "20000"), "").unwrap();
     }
-    for wanted in 1..=6 {
-        assert_eq!(client.answer().unwrap(), (wanted, rows("ok\n")));
+    for expected in 1..=6 {
+        assert_eq!(client.answer().unwrap(), (expected, rows("ok\n")));
     }
     let order: Vec<String> = engine.seen().started.into_iter().map(|c| c.id).collect();
     assert_eq!(order, ids);
 }
 
-/// Guards against the next request of a key beside one that was not cancelled at its engine, or whose call was cut off and
-/// may still arrive there: neither is over before the engine drops it because nobody polls it.
+/// Guards against starting the next request of a key while an earlier one may still run: one that was not cancelled at its
+/// engine, or whose call was cut off and may still arrive there. Either may run until the engine drops the query because
+/// nobody polls it.
 #[test]
-fn a_key_cools_down_while_what_was_sent_may_still_run() {
+fn a_key_cools_down_while_a_sent_attempt_may_still_run() {
     let id = |n: usize| format!("{n:016x}");
-    // Whether later calls have a reply, and the first request's timeout. The first call is cut off.
-    for (replies, time) in [(false, "900"), (true, "20000")] {
+    // Whether the engine replies to later calls, and the timeout of the first request. The first call is always cut off.
+    for (replies, timeout) in [(false, "900"), (true, "20000")] {
         let engine = TcpListener::bind("127.0.0.1:0").unwrap();
         let gateway = Gateway::start(Some(engine.local_addr().unwrap()));
         let (posts, received) = mpsc::channel();
@@ -58,23 +59,31 @@
             }
         });
         let mut client = gateway.client();
-        client.send("load", &fields_of("load", &id(1), time), "").unwrap();
+        client.send("load", &fields_of("load", &id(1), timeout), "").unwrap();
         let first = received.recv().unwrap();
         client.send("load", &fields_of("load", &id(2), "25000"), "").unwrap();
-        // The first one's own retries have their turn; the second one's has not.
+        // With replies, the first request is retried before the second starts.
         let next = wait_for("the next attempt", || received.recv().ok());
-        assert!(replies || next - first > MIN_KEY_COOLDOWN, "{:?} after", next - first);
+        assert!(
+            replies || next - first > MIN_KEY_COOLDOWN,
+            "started only {:?} after the first attempt",
+            next - first
+        );
         if replies {
             assert_eq!(client.answer().unwrap().0, 1);
-            let after = received.try_iter().last().unwrap_or(next);
+            let last_attempt = received.try_iter().last().unwrap_or(next);
             let second = received.recv().unwrap();
-            assert!(second - after > MIN_KEY_COOLDOWN, "{:?} after", second - after);
+            assert!(
+                second - last_attempt > MIN_KEY_COOLDOWN,
+                "started only {:?} after the last attempt",
+                second - last_attempt
+            );
         }
     }
 }
 
-/// Guards against taking a refused connection for the end of what runs there: a draining engine accepts no connections,
-/// and its query may still run.
+/// Guards against taking a refused connection as proof that the query has ended: a draining engine accepts no connections
+/// while its queries may still run.
 #[test]
 fn a_key_cools_down_after_an_engine_that_refuses_connections() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -88,17 +97,17 @@
     drop((engine, stream));
     let answers = [client.answer().unwrap().0, client.answer().unwrap().0];
     assert_eq!(answers, [1, 2]);
-    assert!(cut.elapsed() > MIN_KEY_COOLDOWN, "{:?} after", cut.elapsed());
+    assert!(cut.elapsed() > MIN_KEY_COOLDOWN, "answered only {:?} after the cut", cut.elapsed());
 }
 
-/// Guards against losing the one connection on which a query can be cancelled at a draining engine: the engine accepts no
-/// new ones and runs its queries on, polled or not, while the next request of the key goes elsewhere.
+/// Guards against losing the only connection on which a query can be cancelled at a draining engine: the engine accepts no
+/// new connections and continues its queries, polled or not, while the next request of the key goes to another engine.
 #[test]
-fn what_times_out_at_a_draining_engine_is_cancelled_on_the_open_connection() {
-    let runs = |_: &str, statement: &str| {
+fn a_timed_out_request_at_a_draining_engine_is_cancelled_on_its_open_connection() {
+    let outcome_of = |_: &str, statement: &str| {
         StatementOutcome::Succeeds(if statement == "long" { FOREVER } else { NOW })
     };
-    let mut stub_engines = StubEngines::start(&["127.0.0.1:0", "127.0.0.1:0"], runs).unwrap();
+    let mut stub_engines = StubEngines::start(&["127.0.0.1:0", "127.0.0.1:0"], outcome_of).unwrap();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
     let text = config_of(
         "127.0.0.1:0",
@@ -110,21 +119,30 @@
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("load", &fields_of("load", "00000000000000a1", "1400"), "long").unwrap();
-    let process =
-        wait_for("the first to run", || stub_engines.audit_log().executions.first().map(|r| r.process));
+    let process = wait_for("the first request to run", || {
+        stub_engines.audit_log().executions.first().map(|r| r.process)
+    });
     stub_engines.close(process);
     client.send("load", &fields_of("load", "00000000000000a2", "25000"), "short").unwrap();
     let rejected = Answer::Error("Rejected".into(), Some("500".into()));
     assert_eq!(client.answer().unwrap(), (1, rejected));
     assert_eq!(client.answer().unwrap(), (2, rows("ok\n")));
-    let ran = stub_engines.audit_log().executions;
-    let until = ran[0].ended.expect("shutdown requested");
-    assert!(until <= ran[1].started, "the next began {:?} too early", until - ran[1].started);
-    assert!(until - ran[0].started < SHUTDOWN_TIME, "not told before it ended: {:?}", until - ran[0].started);
+    let executions = stub_engines.audit_log().executions;
+    let first_end = executions[0].ended.expect("the first execution has ended");
+    assert!(
+        first_end <= executions[1].started,
+        "the second request started {:?} too early",
+        first_end - executions[1].started
+    );
+    assert!(
+        first_end - executions[0].started < SHUTDOWN_TIME,
+        "the query was not cancelled before the engine's shutdown: it ran {:?}",
+        first_end - executions[0].started
+    );
     stub_engines.open(process);
 }
 
-/// Guards against a key that cools down after a complete result only because its last page came on another connection.
+/// Guards against a cooldown after a complete result only because its last page came on another connection than the first.
 #[test]
 fn a_key_does_not_cool_down_after_a_complete_result() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -134,7 +152,7 @@
             std::thread::spawn(move || {
                 let (mut stream, mut bytes) = (stream, [0; 2048]);
                 while let Ok(n @ 1..) = stream.read(&mut bytes) {
-                    // Each reply is the last of its connection.
+                    // The engine closes each connection after one reply.
                     let first = !bytes[..n].starts_with(b"GET");
                     let page = if first { "Page-Count: 2" } else { "Page-No: 1" };
                     let reply = format!(
@@ -148,10 +166,10 @@
         }
     });
     let mut client = gateway.client();
-    let began = Instant::now();
+    let start = Instant::now();
     for id in ["00000000000000a1", "00000000000000a2"] {
         client.send("load", &fields_of("load", id, "20000"), "").unwrap();
         assert_eq!(client.answer().unwrap().1, rows("1\n1\n"));
     }
-    assert!(began.elapsed() < Duration::from_millis(2000), "{:?}", began.elapsed());
+    assert!(start.elapsed() < Duration::from_millis(2000), "{:?}", start.elapsed());
 }
--- a/crates/gateway/tests/gateway/sockets/restarts.rs
+++ b/crates/gateway/tests/gateway/sockets/restarts.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_gateway_that_was_paused_goes_on() {
+fn a_suspended_gateway_continues_when_resumed() {
     let engine = engine(EngineBehavior::Serve(Duration::from_millis(300), pages(&["ok\n"])));
     let gateway = Gateway::start(Some(engine.address));
     let mut client = gateway.client();
@@ -23,24 +23,27 @@
     assert_eq!(answers, [(1, rows("ok\n")), (2, rows("ok\n"))]);
 }
 
-/// Guards against an attempt that was routed before a stall and is sent after it: its engine drains by then, and the
-/// grace has run out.
+/// Guards against an attempt that is routed before a stall and sent after it, when its engine is draining and the drain
+/// grace has passed.
 #[test]
-fn what_was_routed_before_a_stall_is_not_sent_to_an_engine_that_drains_by_then() {
+fn an_attempt_routed_before_a_stall_is_not_sent_to_an_engine_draining_after_it() {
     let engine = FullListener::start();
     let address = engine.address();
     let discovery = Discovery::start("127.0.0.1:0").unwrap();
-    let patient = settings().replace(r#""connect_timeout":250000"#, r#""connect_timeout":20000000"#);
-    let text = config_of("127.0.0.1:0", discovery.address, &[address], 256, &patient);
+    let slow_connect_settings =
+        settings().replace(r#""connect_timeout":250000"#, r#""connect_timeout":20000000"#);
+    let text = config_of("127.0.0.1:0", discovery.address, &[address], 256, &slow_connect_settings);
     let gateway = Gateway::start_with(discovery, &text);
     let mut client = gateway.client();
     client.send("look", &fields(ID, "25000"), "").unwrap();
     engine.wait_for_connect();
-    let stopped = Instant::now();
+    let stall_start = Instant::now();
     gateway.suspend();
     gateway.list(2, &[Endpoint::draining(1, address)]);
     let mut stream = engine.accept_next();
-    wait_for("the grace to run out", || (stopped.elapsed() > Duration::from_millis(2500)).then_some(()));
+    wait_for("the drain grace to pass", || {
+        (stall_start.elapsed() > Duration::from_millis(2500)).then_some(())
+    });
     gateway.resume();
     assert_eq!(client.answer().unwrap(), (1, Answer::Error("Rejected".into(), Some("500".into()))));
     stream.set_nonblocking(true).unwrap();
@@ -50,34 +53,38 @@
 }
 
 #[test]
-fn a_stopping_gateway_serves_on_answers_all_and_ends() {
+fn during_shutdown_the_gateway_answers_all_requests_and_then_exits() {
     let slow = Engine::start("127.0.0.1:0", |call| {
-        let takes = if call.statement == b"long" { FOREVER } else { Duration::from_millis(600) };
-        EngineBehavior::Serve(takes, vec![b"ok\n".to_vec()])
+        let duration = if call.statement == b"long" { FOREVER } else { Duration::from_millis(600) };
+        EngineBehavior::Serve(duration, vec![b"ok\n".to_vec()])
     })
     .unwrap();
     let mut gateway = Gateway::start(Some(slow.address));
     let mut client = gateway.client();
-    let held = client.send("once", &fields("aaaaaaaaaaaaaaaa", "25000"), "").unwrap();
-    let mut waiting = gateway.client();
-    let long = waiting.send("once", &fields("bbbbbbbbbbbbbbbb", "25000"), "long").unwrap();
+    let in_flight = client.send("once", &fields("aaaaaaaaaaaaaaaa", "25000"), "").unwrap();
+    let mut long_client = gateway.client();
+    let long = long_client.send("once", &fields("bbbbbbbbbbbbbbbb", "25000"), "long").unwrap();
     wait_until_seen(&slow, "both to start", |s| s.started.len() == 2);
     gateway.signal("-TERM");
     gateway.log.wait_for("shutdown requested");
-    let mut late = gateway.client();
-    let after = late.send("once", &fields("cccccccccccccccc", "25000"), "").unwrap();
-    assert_eq!(late.answer().unwrap(), (after, rows("ok\n")), "came after the signal");
-    assert_eq!(client.answer().unwrap(), (held, rows("ok\n")), "was in flight");
-    assert_eq!(waiting.answer().unwrap(), (long, Answer::Error("Errored".into(), None)), "outlasts the end");
+    let mut late_client = gateway.client();
+    let after = late_client.send("once", &fields("cccccccccccccccc", "25000"), "").unwrap();
+    assert_eq!(late_client.answer().unwrap(), (after, rows("ok\n")), "a request sent after the signal");
+    assert_eq!(client.answer().unwrap(), (in_flight, rows("ok\n")), "a request in flight at the signal");
+    assert_eq!(
+        long_client.answer().unwrap(),
+        (long, Answer::Error("Errored".into(), None)),
+        "a request that outlasts the shutdown"
+    );
     assert!(gateway.wait_for_exit().success());
     gateway.log.wait_for("reason: stopped");
     let line = gateway.log.wait_for("class: once, admitted");
     assert!(line.contains("admitted: 3, returned: 2, rejected: 0, errored: 1,"), "{line}");
 }
 
-/// Guards against an end by the clock alone: a gateway that was stalled has not read its sockets yet.
+/// Guards against a shutdown decided by time alone: a gateway that was stalled has not read its sockets yet.
 #[test]
-fn requests_that_arrive_while_a_stopping_gateway_stalls_are_answered() {
+fn requests_that_arrive_during_a_stall_in_the_shutdown_are_answered() {
     let slow = engine(EngineBehavior::Serve(Duration::from_millis(400), pages(&["ok\n"])));
     for _ in 0..4 {
         let mut gateway = Gateway::start(Some(slow.address));
@@ -89,7 +96,7 @@
         for (n, client) in clients.iter_mut().enumerate() {
             client.send("look", &fields(&format!("{:016x}", n + 1), "20000"), "").unwrap();
         }
-        wait_for("the last to have come", || {
+        wait_for("the requests to arrive", || {
             (requested.elapsed() > Duration::from_millis(900)).then_some(())
         });
         gateway.resume();
--- a/crates/gateway/tests/gateway/state.rs
+++ b/crates/gateway/tests/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the gateway keeps in memory, part by part, without the program.
+//! Tests of the gateway's in-memory state, one module at a time, without the program.
 
 use crate::in_process::{at_ms, in_coroutine};
 use larchfall_gateway::codec::discovery::{EndpointEntry, WatchEvent};
@@ -15,83 +15,103 @@
 use std::net::{SocketAddrV4, TcpListener};
 
 #[test]
-fn what_is_read_after_a_stall_may_be_as_old_as_the_stall() {
+fn a_message_read_after_a_stall_may_have_been_sent_at_its_beginning() {
     struct Case {
-        what: &'static str,
+        description: &'static str,
         slept_since: u64,
         read_time: u64,
         expected: u64,
     }
-    let case = |what, slept_since, read_time, expected| Case { what, slept_since, read_time, expected };
-    // The timer last came by at 100, and comes next with the read.
+    let case = |description, slept_since, read_time, expected| Case {
+        description,
+        slept_since,
+        read_time,
+        expected,
+    };
+    // The timer ran last at 100 ms and runs next at the time of the read.
     let cases = [
-        case("asleep all through it", 50, 2100, 100),
-        case("a short one", 50, 140, 100),
-        case("a late timer", 50, 135, 135),
-        case("since within it", 120, 2100, 120),
+        case("the reader waited before and throughout the stall", 50, 2100, 100),
+        case("a short stall", 50, 140, 100),
+        case("a timer that runs late, without a stall", 50, 135, 135),
+        case("the reader began to wait during the stall", 120, 2100, 120),
         case("a new connection", 0, 2100, 100),
     ];
-    for Case { what, slept_since, read_time, expected } in cases {
+    for Case { description, slept_since, read_time, expected } in cases {
         let detector = StallDetector::start(at_ms(100));
         assert_eq!(
             detector.earliest_send_time(at_ms(slept_since), at_ms(read_time)),
             at_ms(expected),
-            "{what}"
+            "{description}"
         );
     }
     let detector = StallDetector::start(at_ms(100));
     [600, 700, 720].iter().for_each(|now| _ = detector.record_timer_run(at_ms(*now)));
-    assert_eq!(detector.earliest_send_time(at_ms(50), at_ms(730)), at_ms(100), "one stall after the other");
+    assert_eq!(detector.earliest_send_time(at_ms(50), at_ms(730)), at_ms(100), "consecutive stalls");
     let detector = StallDetector::start(at_ms(0));
-    assert!(detector.record_timer_run(at_ms(2000)), "a long one");
-    assert_eq!(detector.earliest_send_time(at_ms(10), at_ms(2020)), at_ms(10), "woken by the stall's end");
-    assert_eq!(detector.earliest_send_time(at_ms(2030), at_ms(2040)), at_ms(2040), "went to sleep after it");
+    assert!(detector.record_timer_run(at_ms(2000)), "a long stall was not reported");
+    assert_eq!(
+        detector.earliest_send_time(at_ms(10), at_ms(2020)),
+        at_ms(10),
+        "the reader waited throughout the stall"
+    );
+    assert_eq!(
+        detector.earliest_send_time(at_ms(2030), at_ms(2040)),
+        at_ms(2040),
+        "the reader began to wait after the stall"
+    );
     for now in (2040..2400).step_by(20) {
         detector.record_timer_run(at_ms(now));
     }
-    assert_eq!(detector.earliest_send_time(at_ms(10), at_ms(2400)), at_ms(2400), "long after it");
+    assert_eq!(
+        detector.earliest_send_time(at_ms(10), at_ms(2400)),
+        at_ms(2400),
+        "a read long after the stall"
+    );
 }
 
 #[test]
-fn after_a_long_stall_the_discovery_service_is_read_first() {
+fn after_a_long_stall_requests_wait_for_the_discovery_service_to_be_read() {
     struct Case {
-        what: &'static str,
+        description: &'static str,
         stalled_until: u64,
         now: u64,
         discovery_heard: u64,
         expected: u64,
     }
-    let case = |what, stalled_until, now, discovery_heard, expected| Case {
-        what,
+    let case = |description, stalled_until, now, discovery_heard, expected| Case {
+        description,
         stalled_until,
         now,
         discovery_heard,
         expected,
     };
     let cases = [
-        case("none", 130, 140, 0, 0),
-        case("a short one", 900, 910, 0, 0),
-        case("not heard since", 2000, 2010, 100, 990),
-        case("heard in the stall's first moment", 2000, 2010, 2000, 990),
-        case("heard since", 2000, 2010, 2005, 50),
-        case("heard since, and all was read", 2000, 2060, 2005, 0),
-        case("a discovery service that is not there", 2000, 3000, 100, 0),
+        case("no stall", 130, 140, 0, 0),
+        case("a short stall", 900, 910, 0, 0),
+        case("no message from discovery since the stall", 2000, 2010, 100, 990),
+        case("a message from discovery at the end of the stall", 2000, 2010, 2000, 990),
+        case("a message from discovery after the stall", 2000, 2010, 2005, 50),
+        case("a message from discovery, and the time to read further ones has passed", 2000, 2060, 2005, 0),
+        case("an unreachable discovery service", 2000, 3000, 100, 0),
     ];
-    for Case { what, stalled_until, now, discovery_heard, expected } in cases {
+    for Case { description, stalled_until, now, discovery_heard, expected } in cases {
         let detector = StallDetector::start(at_ms(100));
         detector.record_timer_run(at_ms(stalled_until));
         (stalled_until..now).step_by(20).for_each(|now| _ = detector.record_timer_run(at_ms(now)));
         let catch_up = detector.discovery_catch_up(at_ms(now), at_ms(discovery_heard));
-        assert_eq!(catch_up, Duration::from_millis(expected), "{what}");
+        assert_eq!(catch_up, Duration::from_millis(expected), "{description}");
     }
 }
 
 #[test]
-fn limits_follow_the_machine_and_leave_descriptors_over() {
+fn limits_scale_with_memory_and_descriptors_and_leave_a_reserve() {
     for (memory, sockets) in [(192, 1024), (2048, 4096), (64, 128), (16, 30)] {
         let limits = Limits::new(memory, sockets).unwrap();
         assert!(limits.client_connections + limits.engine_connections + 16 <= sockets, "{limits:?}");
-        assert!(limits.client_connections * 3 >= (sockets - 24), "clients hold a third at most: {limits:?}");
+        assert!(
+            limits.client_connections * 3 >= (sockets - 24),
+            "clients get at least a third of the descriptors: {limits:?}"
+        );
         assert!(limits.unsent_bytes <= memory << 18, "{limits:?}");
     }
     for (memory, sockets) in [(192, 0), (192, 24), (0, 1024)] {
@@ -105,7 +125,7 @@
 }
 
 #[test]
-fn engines_are_distinguished_by_id_and_each_event_is_applied_once() {
+fn engines_are_identified_by_id_and_each_event_is_applied_once() {
     use EngineState::{Gone, Ready};
     struct Step<'a> {
         event: WatchEvent,
@@ -142,22 +162,22 @@
     let port = |engine| engines.instance(engine).map(|instance| instance.address.port());
     assert_eq!((engines.revision(), port(2), port(1)), (5, Some(4), Some(2)));
     assert_eq!(engines.gone(), [0, 1]);
-    // What is removed leaves its index to another, even at the same address, and is told apart from it.
+    // A later engine may take the index of a removed one. Its instance differs even if the address is the same.
     let before = engines.instance(1);
     engines.remove(1);
     assert_eq!((engines.instance(1), engines.gone()), (None, vec![0]));
-    let (back, never_listed) = (entry(8, 2, Ready), entry(11, 3, Gone));
+    let (relisted, never_listed) = (entry(8, 2, Ready), entry(11, 3, Gone));
     assert_eq!(
-        engines.apply(&event(6, false, &[back, never_listed])).updated.len(),
+        engines.apply(&event(6, false, &[relisted, never_listed])).updated.len(),
         1,
-        "gone before it was heard of"
+        "an engine that is first listed as gone is not added"
     );
     assert_eq!(engines.instance(1).map(|instance| instance.address), before.map(|instance| instance.address));
     assert_ne!(engines.instance(1), before);
 }
 
 #[test]
-fn a_request_has_one_answer_and_an_id_one_request() {
+fn each_request_gets_one_response_and_each_message_id_one_request() {
     in_coroutine(|| {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = may::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -170,31 +190,31 @@
         );
         writer.open_request(3, 30);
         assert!(writer.respond(3, &Response::Returned(b"rows")));
-        assert!(!writer.respond(3, &Response::Errored("again")), "one answer and no more");
+        assert!(!writer.respond(3, &Response::Errored("again")), "a second response was written");
         assert_eq!(writer.register_message_id(4), MessageIdCheck::Accepted);
         writer.open_request(4, 40);
         assert_eq!((writer.cancel(4), writer.cancel(4)), (Some(40), None));
-        assert!(!writer.respond(4, &Response::Pong), "nobody waits for it");
+        assert!(!writer.respond(4, &Response::Pong), "a response to a cancelled request was written");
         let mut written = Vec::new();
-        let take = |max: usize, written: &mut Vec<u8>| {
+        let write_up_to = |max: usize, written: &mut Vec<u8>| {
             writer.write(|bytes| {
                 let taken = max.min(bytes.len());
                 written.extend_from_slice(&bytes[..taken]);
                 Ok::<_, ()>(taken)
             })
         };
-        assert_eq!(take(2, &mut written), Ok(2));
+        assert_eq!(write_up_to(2, &mut written), Ok(2));
         assert!(!writer.is_idle() && !connections.all_idle());
-        take(100, &mut written).unwrap();
-        let mut complete = Vec::new();
-        message_pack::encode(&mut complete, 3, &Response::Returned(b"rows"));
-        assert_eq!(written, complete);
+        write_up_to(100, &mut written).unwrap();
+        let mut expected = Vec::new();
+        message_pack::encode(&mut expected, 3, &Response::Returned(b"rows"));
+        assert_eq!(written, expected);
         assert!(writer.is_idle() && connections.all_idle());
-        // What nobody reads is bounded: past that, answers shrink to an error.
+        // Unsent bytes of a connection are bounded: beyond the bound, a response is replaced by a short error.
         writer.send(5, &Response::Returned(&[0; 200]));
         let mut written = Vec::new();
         writer.send(6, &Response::Returned(&[0; 200]));
-        take(1000, &mut written).unwrap();
+        write_up_to(1000, &mut written).unwrap();
         assert!(written.len() < 300, "{} bytes", written.len());
         for id in 0..MAX_OPEN_REQUESTS as u32 {
             assert_eq!(writer.register_message_id(100 + id), MessageIdCheck::Accepted);
@@ -208,7 +228,7 @@
 }
 
 #[test]
-fn counters_tell_classes_and_outcomes_apart() {
+fn counters_are_kept_per_class_and_outcome() {
     let counters = Counters::new(2);
     counters.update_class(0, |class| class.admitted += 2);
     counters.record_outcome(1, Outcome::Reset);
--- a/crates/gateway/tests/gateway/timers.rs
+++ b/crates/gateway/tests/gateway/timers.rs
@@ -1,4 +1,4 @@
-//! Deadlines and waits: whoever waits is woken in time, at the worker.
+//! Deadline queue and timers: waiting coroutines are woken in time and continue on the worker thread.
 
 use crate::common;
 use crate::in_process::{at_ms, timers};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn deadlines_come_due_in_order_and_once() {
+fn deadlines_are_due_in_order_and_only_once() {
     let mut queue = DeadlineQueue::default();
     assert!(queue.insert(at_ms(20), 1));
     assert!(!queue.insert(at_ms(30), 2));
@@ -31,52 +31,52 @@
     assert_eq!((queue.take_due(at_ms(50)), queue.earliest()), (vec![1], None));
 }
 
-/// Guards against sockets that are waited on beside the worker: what the coroutine crate's own timer wakes runs on that
-/// timer's thread.
+/// Guards against coroutines that wait on sockets outside the worker thread: a coroutine that the coroutine crate's own
+/// timer wakes runs on that timer's thread.
 #[test]
-fn after_a_sleep_and_a_park_a_coroutine_goes_on_at_the_worker() {
+fn a_coroutine_continues_on_the_worker_after_a_sleep_and_a_park() {
     may::config().set_workers(1);
     let timers = timers();
     let this_thread = || thread::current().id();
     let handle = may::go!(move || {
-        let before = this_thread();
+        let thread_before = this_thread();
         timers.sleep(Duration::from_millis(3));
-        let slept = this_thread();
+        let thread_after_sleep = this_thread();
         let deadline = timers.clock().now() + Duration::from_millis(3);
         timers.park_until(&Blocker::current(), deadline);
-        (before, slept, this_thread(), timers.waiting())
+        (thread_before, thread_after_sleep, this_thread(), timers.waiting())
     });
-    let (before, slept, parked, waiting) = handle.join().unwrap();
-    assert_eq!((before, before, 0), (slept, parked, waiting));
+    let (thread_before, thread_after_sleep, thread_after_park, waiting) = handle.join().unwrap();
+    assert_eq!((thread_before, thread_before, 0), (thread_after_sleep, thread_after_park, waiting));
 }
 
-/// Guards against a wait that never ends: the crate's own park sets its time before it has put the coroutine where that
-/// time looks for it, and a worker that loses its core in between for so long leaves it there.
+/// Guards against a wait that never ends: the coroutine crate's own park starts its timeout before it registers the
+/// coroutine to wake. If the worker loses its core in between for longer than the timeout, the coroutine is never woken.
 #[test]
-fn every_wait_ends_however_busy_the_machine() {
+fn every_wait_ends_on_an_overloaded_machine() {
     may::config().set_workers(1);
     let timers = timers();
-    let (over, ended) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let busy = thread::available_parallelism().map_or(4, |n| n.get() * 4);
-    let busy: Vec<_> = (0..busy)
+    let (stopped, ended_sleeps) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let busy_thread_count = thread::available_parallelism().map_or(4, |n| n.get() * 4);
+    let busy_threads: Vec<_> = (0..busy_thread_count)
         .map(|_| {
-            let over = over.clone();
-            thread::spawn(move || while !over.load(Ordering::Relaxed) {})
+            let stopped = stopped.clone();
+            thread::spawn(move || while !stopped.load(Ordering::Relaxed) {})
         })
         .collect();
-    let (sleepers, sleeps) = (40, 25);
+    let (sleepers, sleeps_each) = (40, 25);
     for _ in 0..sleepers {
-        let (timers, ended) = (timers.clone(), ended.clone());
+        let (timers, ended_sleeps) = (timers.clone(), ended_sleeps.clone());
         may::go!(move || {
-            for _ in 0..sleeps {
+            for _ in 0..sleeps_each {
                 timers.sleep(Duration::from_millis(1));
-                ended.fetch_add(1, Ordering::Relaxed);
+                ended_sleeps.fetch_add(1, Ordering::Relaxed);
             }
         });
     }
     common::wait_for("all waits to end", || {
-        (ended.load(Ordering::Relaxed) == sleepers * sleeps).then_some(())
+        (ended_sleeps.load(Ordering::Relaxed) == sleepers * sleeps_each).then_some(())
     });
-    over.store(true, Ordering::Relaxed);
-    busy.into_iter().for_each(|thread| thread.join().unwrap());
+    stopped.store(true, Ordering::Relaxed);
+    busy_threads.into_iter().for_each(|thread| thread.join().unwrap());
 }
