--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -5,9 +5,9 @@
 
 pub(super) fn run(paths: FilePaths) -> Result<(), FilesError> {
     let files = paths.load()?;
-    println!("{}: valid", files.config_path);
+    println!("{}: sound", files.config_path);
     if let Some(file) = files.operator_config {
-        println!("{}: valid", file.path);
+        println!("{}: sound", file.path);
     }
     Ok(())
 }
--- a/crates/leases/src/voter_record.rs
+++ b/crates/leases/src/voter_record.rs
@@ -35,13 +35,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// The body is shorter or longer than the length in the file header, or exceeds the maximum length.
-    #[error("length of the record differs from its file header or exceeds {MAX_RECORD_BYTES} bytes")]
+    #[error("length differs from the frame's")]
     Length,
     /// The file has the format version of another release.
-    #[error("format version {0} is not supported, expected {FORMAT_VERSION}")]
+    #[error("format version {0}, not {FORMAT_VERSION}")]
     Version(u8),
     /// The checksum is wrong or the body can't be decoded.
-    #[error("checksum is wrong or the record can't be decoded")]
+    #[error("corrupt")]
     Corrupt,
 }
 
