--- a/crates/paged-rest/tests/codecs.rs
+++ b/crates/paged-rest/tests/codecs.rs
@@ -8,6 +8,12 @@
 
 const MAX_BODY_BYTES: usize = 64;
 
+// Error texts that several cases expect.
+const INVALID_CHUNK: &str = "a chunk of the body has an invalid size line or no line end";
+const INVALID_CONTENT_LENGTH: &str = "Content-Length is not a valid decimal number";
+const DUPLICATE_BODY_LENGTH: &str = "more than one Content-Length or Transfer-Encoding header";
+const HEAD_TOO_LONG: &str = "request line and headers exceed 16384 bytes or 64 headers";
+
 /// Encoded calls with the expected decoded calls.
 fn encoded_calls() -> Vec<(Vec<u8>, Call)> {
     let call = |method, path: &str, headers: &[(&str, &str)], body: &[u8], closes_connection| Call {
@@ -70,38 +76,26 @@
     let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     let cases = [
         ("SSH-2.0-x\r\n\r\n".to_owned(), 400, "request line or headers are not valid HTTP/1.x"),
-        (with_header_value_of(17_000), 431, "request line and headers exceed 16384 bytes or 64 headers"),
-        (
-            with_header_value_of(17_000)[..17_000].to_owned(),
-            431,
-            "request line and headers exceed 16384 bytes or 64 headers",
-        ),
-        (too_many_headers, 431, "request line and headers exceed 16384 bytes or 64 headers"),
+        (with_header_value_of(17_000), 431, HEAD_TOO_LONG),
+        (with_header_value_of(17_000)[..17_000].to_owned(), 431, HEAD_TOO_LONG),
+        (too_many_headers, 431, HEAD_TOO_LONG),
         (with_body_of(MAX_BODY_BYTES + 1), 413, "body too long"),
         (
             "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx".to_owned(),
             400,
-            "more than one Content-Length or Transfer-Encoding header",
+            DUPLICATE_BODY_LENGTH,
         ),
         (
             "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\nx".to_owned(),
             400,
-            "more than one Content-Length or Transfer-Encoding header",
-        ),
-        (
-            "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n".to_owned(),
-            400,
-            "Content-Length is not a valid decimal number",
-        ),
-        (
-            "POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\nx".to_owned(),
-            400,
-            "Content-Length is not a valid decimal number",
+            DUPLICATE_BODY_LENGTH,
         ),
+        ("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n".to_owned(), 400, INVALID_CONTENT_LENGTH),
+        ("POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\nx".to_owned(), 400, INVALID_CONTENT_LENGTH),
         (
             "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n".to_owned(),
             400,
-            "Content-Length is not a valid decimal number",
+            INVALID_CONTENT_LENGTH,
         ),
         (
             "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n".to_owned(),
@@ -109,10 +103,10 @@
             "unknown transfer encoding",
         ),
         ("POST / HTTP/1.1\r\nExpect: magic\r\n\r\n".to_owned(), 417, "unknown expectation"),
-        (format!("{chunked}zz\r\n"), 400, "a chunk of the body has an invalid size line or no line end"),
+        (format!("{chunked}zz\r\n"), 400, INVALID_CHUNK),
         (format!("{chunked}41\r\n"), 413, "body too long"),
         (format!("{chunked}ffffffffffffffff\r\n"), 413, "body too long"),
-        (format!("{chunked}1\r\nxy\r\n"), 400, "a chunk of the body has an invalid size line or no line end"),
+        (format!("{chunked}1\r\nxy\r\n"), 400, INVALID_CHUNK),
     ];
     for (bytes, status, reason) in cases {
         let shown = &bytes[..bytes.len().min(60)];
