--- a/crates/paged-rest/src/call.rs
+++ b/crates/paged-rest/src/call.rs
@@ -80,19 +80,20 @@
     },
 }
 
+// Clients receive these error texts, so they must not change.
 /// Why the received bytes are not a valid call. The client receives this text, and the connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[expect(missing_docs, reason = "the error text of each variant describes it")]
 pub enum CallError {
-    #[error("request line and headers exceed {} bytes or {} headers", MAX_HEAD_BYTES, MAX_HEADERS)]
+    #[error("head too long")]
     HeadTooLong,
-    #[error("request line or headers are not valid HTTP/1.x")]
+    #[error("not HTTP")]
     InvalidHead,
-    #[error("a header value is not valid UTF-8")]
+    #[error("head is no text")]
     HeaderNotUtf8,
-    #[error("Content-Length is not a valid decimal number")]
+    #[error("length is no number")]
     InvalidContentLength,
-    #[error("more than one Content-Length or Transfer-Encoding header")]
+    #[error("two lengths")]
     DuplicateBodyLength,
     #[error("unknown transfer encoding")]
     UnknownTransferEncoding,
@@ -100,9 +101,9 @@
     UnknownExpectation,
     #[error("body too long")]
     BodyTooLong,
-    #[error("a chunk of the body has an invalid size line or no line end")]
+    #[error("bad chunk")]
     InvalidChunk,
-    #[error("trailer section is longer than {} bytes", MAX_LINE_BYTES)]
+    #[error("trailer too long")]
     TrailerTooLong,
 }
 
--- a/crates/paged-rest/src/request_fields.rs
+++ b/crates/paged-rest/src/request_fields.rs
@@ -78,19 +78,20 @@
     pub timeout: Option<String>,
 }
 
+// Clients receive these error texts, so they must not change.
 /// Why the request fields of a call are invalid. Clients receive this text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[expect(missing_docs, reason = "the error text of each variant describes it")]
 pub enum FieldError {
-    #[error("call has both X-Trino and X-Presto headers; use one prefix")]
+    #[error("headers of both families, X-Trino and X-Presto")]
     MixedFamilies,
-    #[error("header {header} occurs more than once")]
+    #[error("{header} is there twice")]
     DuplicateHeader { header: String },
-    #[error("header {header}: '{part}' is not of the form name=value")]
+    #[error("{header}: '{part}' has no value")]
     PropertyWithoutValue { header: String, part: String },
-    #[error("header {header}: value of property {property} is not valid UTF-8")]
+    #[error("{header}: {property} is no text")]
     PropertyNotUtf8 { header: String, property: String },
-    #[error("header {header}: property {property} occurs more than once")]
+    #[error("{header}: {property} is there twice")]
     DuplicateProperty { header: String, property: String },
 }
 
