--- a/examples/stub-engine/src/discovery.rs
+++ b/examples/stub-engine/src/discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery service: it sends whoever connects all watch events after the revision that the client names.
+//! A stub discovery service. A client connects and sends a revision; the service sends all watch events with a later
+//! revision.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -6,37 +7,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// A client that has everything gets an empty event this often.
+/// Interval of empty watch events to a client that has already received every revision.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// One engine as the discovery service lists it.
+/// An engine in the endpoint list of the discovery service.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// Its id in the list.
+    /// Id of the engine in the endpoint list.
     pub id: u32,
-    /// Where it listens.
+    /// Address on which the engine listens; an IPv6 address is sent as 0.0.0.0.
     pub address: SocketAddr,
-    /// 0 ready, 1 draining, 2 gone.
+    /// Lifecycle state: 0 is ready, 1 is draining, 2 is gone.
     pub state: u8,
-    /// Its zone, by its place among the settings' zones.
+    /// Index of the engine's zone in the zones of the gateway settings.
     pub zone: u8,
-    /// Its machine type, by its place among the settings' types.
+    /// Index of the engine's machine type in the machine types of the gateway settings.
     pub kind: u8,
 }
 
 impl Endpoint {
-    /// One that is ready, in the first zone and of the first machine type.
+    /// Returns a ready engine in the first zone, of the first machine type.
     pub fn ready(id: u32, address: SocketAddr) -> Endpoint {
         Endpoint { id, address, state: 0, zone: 0, kind: 0 }
     }
 
-    /// One that is draining, in the first zone and of the first machine type.
+    /// Returns a draining engine in the first zone, of the first machine type.
     pub fn draining(id: u32, address: SocketAddr) -> Endpoint {
         Endpoint { state: 1, ..Endpoint::ready(id, address) }
     }
 }
 
-/// The frame of a watch event: the whole list of endpoints, or changes to it.
+/// Encodes a watch event as a length-prefixed frame. `engines` is the whole endpoint list if `whole` is true, otherwise
+/// the changed endpoints.
 pub fn frame(revision: u64, whole: bool, engines: &[Endpoint]) -> Vec<u8> {
     let mut out = Vec::new();
     out.extend((9 + 27 * engines.len() as u32).to_be_bytes());
@@ -58,11 +60,11 @@
     out
 }
 
-/// A running discovery service; it serves until the process ends.
+/// A running discovery service; its threads run until the process exits.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which the service listens, with the assigned port if port 0 was requested.
     pub address: SocketAddr,
-    events: Arc<Events>,
+    events: Arc<EventLog>,
 }
 
 #[derive(Clone)]
@@ -72,17 +74,17 @@
 }
 
 #[derive(Default)]
-struct Events {
+struct EventLog {
     frames: Mutex<Vec<Frame>>,
-    new: Condvar,
+    frame_added: Condvar,
 }
 
 impl Discovery {
-    /// Listens at an address, with nothing to send yet.
+    /// Listens on the address `listen`; the service has no watch events yet and sends heartbeats only.
     pub fn start(listen: &str) -> io::Result<Discovery> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
-        let events = Arc::new(Events::default());
+        let events = Arc::new(EventLog::default());
         let shared = events.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -93,44 +95,46 @@
         Ok(Discovery { address, events })
     }
 
-    /// A discovery service that accepts connections and never sends anything.
+    /// Starts a discovery service that accepts connections, keeps them open and never sends a byte.
     pub fn start_mute(listen: &str) -> io::Result<Discovery> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
-        let events = Arc::new(Events::default());
+        let events = Arc::new(EventLog::default());
         thread::spawn(move || listener.incoming().flatten().collect::<Vec<TcpStream>>());
         Ok(Discovery { address, events })
     }
 
-    /// Sends bytes under a revision, in place of what it had there: a frame, or whatever else a service may send.
+    /// Sends `bytes` as the event of `revision`, and replaces an earlier event with the same revision. The bytes
+    /// may be a frame or malformed data.
     pub fn say(&self, revision: u64, bytes: Vec<u8>) {
         let mut frames = self.events.frames.lock().unwrap_or_else(PoisonError::into_inner);
         frames.retain(|frame| frame.revision != revision);
         frames.push(Frame { revision, bytes });
         drop(frames);
-        self.events.new.notify_all();
+        self.events.frame_added.notify_all();
     }
 }
 
-/// `None` once the connection has ended.
-fn send_events(mut stream: TcpStream, events: &Events) -> Option<()> {
-    let mut since = [0; 8];
-    stream.read_exact(&mut since).ok()?;
-    let mut sent_until = u64::from_be_bytes(since);
+/// Sends watch events and heartbeats to a client; returns `None` when the connection has closed.
+fn send_events(mut stream: TcpStream, events: &EventLog) -> Option<()> {
+    let mut client_revision = [0; 8];
+    stream.read_exact(&mut client_revision).ok()?;
+    let mut last_sent_revision = u64::from_be_bytes(client_revision);
     loop {
         let unsent: Vec<Frame> = {
             let frames = events.frames.lock().unwrap_or_else(PoisonError::into_inner);
-            let all_sent = |frames: &mut Vec<Frame>| frames.iter().all(|frame| frame.revision <= sent_until);
-            let waited = events.new.wait_timeout_while(frames, HEARTBEAT, all_sent);
-            let (frames, _) = waited.unwrap_or_else(PoisonError::into_inner);
-            frames.iter().filter(|frame| frame.revision > sent_until).cloned().collect()
+            let all_sent =
+                |frames: &mut Vec<Frame>| frames.iter().all(|frame| frame.revision <= last_sent_revision);
+            let wait_result = events.frame_added.wait_timeout_while(frames, HEARTBEAT, all_sent);
+            let (frames, _) = wait_result.unwrap_or_else(PoisonError::into_inner);
+            frames.iter().filter(|frame| frame.revision > last_sent_revision).cloned().collect()
         };
         if unsent.is_empty() {
-            let heartbeat = [&9u32.to_be_bytes()[..], &sent_until.to_be_bytes(), &[0]].concat();
+            let heartbeat = [&9u32.to_be_bytes()[..], &last_sent_revision.to_be_bytes(), &[0]].concat();
             stream.write_all(&heartbeat).ok()?;
         }
         for frame in unsent {
-            sent_until = sent_until.max(frame.revision);
+            last_sent_revision = last_sent_revision.max(frame.revision);
             stream.write_all(&frame.bytes).ok()?;
         }
     }
--- a/examples/stub-engine/src/engine.rs
+++ b/examples/stub-engine/src/engine.rs
@@ -1,4 +1,5 @@
-//! A query engine on one address. What it does with a statement is up to whoever starts it.
+//! A stub engine that listens on one address. The caller that starts the engine supplies a function that selects the
+//! behavior for each statement.
 
 use crate::engine_api::{EngineCall, lock, long_poll};
 use crate::http::{HttpRequest, NO_CONTENT, read_request, response};
@@ -9,111 +10,114 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What becomes of a statement, or of the connection that brings it.
+/// How the engine handles a statement or the connection on which the statement arrived.
 #[derive(Clone, Debug)]
 pub enum EngineBehavior {
-    /// Ends after this long with these pages.
+    /// The query finishes after this duration and has these result pages.
     Serve(Duration, Vec<Vec<u8>>),
-    /// Never runs.
+    /// The engine declines the statement with status 503 and never runs the query.
     Decline,
-    /// Ends in an error.
+    /// The query fails: polls for the result return status 500.
     Fail,
-    /// The connection is cut once the whole call was read, and the query is unknown from then on.
+    /// The engine closes the connection after reading the whole call and does not register the query.
     Cut,
-    /// Nothing more is written to this connection; the query runs and ends at once with this page.
+    /// The engine writes nothing more to the connection; the query finishes immediately with this result page.
     Hang(Vec<u8>),
-    /// These bytes are written as they are, and the connection ends.
+    /// The engine writes these bytes unchanged in place of a response and closes the connection.
     WriteRaw(Vec<u8>),
-    /// The first page announces two; the second is lost.
+    /// The response with the first page announces two pages; a fetch of the second page fails with status 500.
     LosePage,
 }
 
-/// One statement as it was received.
+/// A statement call that the engine received.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// The id that the gateway gave it.
+    /// Id that the gateway assigned to the statement, from the header `X-Trace`.
     pub id: String,
-    /// Headers by name in lower case.
+    /// Header values by lower-case header name.
     pub head: HashMap<String, String>,
-    /// The text of the statement.
+    /// Statement text, as the bytes of the HTTP body.
     pub statement: Vec<u8>,
 }
 
-/// What an engine has received so far.
+/// Statements and calls that the engine has received since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// All statements, in order of arrival.
+    /// All received statements in order of arrival, including declined and failed statements.
     pub started: Vec<Call>,
-    /// Ids of statements that were cancelled.
+    /// Ids of cancelled statements in order of cancellation.
     pub cancelled: Vec<String>,
-    /// Number of requests for a load report.
+    /// Number of load report calls.
     pub load_requests: usize,
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub connections: usize,
-    /// Statements accepted; ones that have ended are not taken off.
+    /// Number of statements not handled as `Cut`, `Hang` or `WriteRaw`; not decremented when a statement ends.
     pub running: usize,
 }
 
 struct Query {
     behavior: EngineBehavior,
-    began: Instant,
+    started_at: Instant,
 }
 
-type Decide = Box<dyn Fn(&Call) -> EngineBehavior + Send + Sync>;
+type BehaviorFn = Box<dyn Fn(&Call) -> EngineBehavior + Send + Sync>;
 
-/// A running engine; it serves until the process ends.
+/// A running engine; its threads run until the process exits.
 pub struct Engine {
-    /// Where it listens.
+    /// Address on which the engine listens, with the assigned port if port 0 was requested.
     pub address: SocketAddr,
-    inner: Arc<Inner>,
+    state: Arc<EngineState>,
 }
 
-struct Inner {
-    decide: Decide,
+struct EngineState {
+    decide: BehaviorFn,
     queries: Mutex<HashMap<String, Query>>,
     seen: Mutex<Seen>,
 }
 
 impl Engine {
-    /// Listens at an address; `decide` says what becomes of each statement.
+    /// Listens on the address `listen`; `decide` selects the behavior for each statement.
     pub fn start(
         listen: &str,
         decide: impl Fn(&Call) -> EngineBehavior + Send + Sync + 'static,
     ) -> io::Result<Engine> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
-        let inner =
-            Arc::new(Inner { decide: Box::new(decide), queries: Mutex::default(), seen: Mutex::default() });
-        let shared = inner.clone();
+        let state = Arc::new(EngineState {
+            decide: Box::new(decide),
+            queries: Mutex::default(),
+            seen: Mutex::default(),
+        });
+        let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 lock(&shared.seen).connections += 1;
                 let shared = shared.clone();
-                thread::spawn(move || shared.serve(stream));
+                thread::spawn(move || shared.serve_connection(stream));
             }
         });
-        Ok(Engine { address, inner })
+        Ok(Engine { address, state })
     }
 
-    /// A copy of what was received so far.
+    /// Returns a copy of the record of received statements and calls.
     pub fn seen(&self) -> Seen {
-        lock(&self.inner.seen).clone()
+        lock(&self.state.seen).clone()
     }
 }
 
-impl Inner {
-    /// One call after the other until the connection ends.
-    fn serve(&self, stream: TcpStream) -> Option<()> {
+impl EngineState {
+    /// Serves the calls on a connection in order; returns `None` when the connection has ended.
+    fn serve_connection(&self, stream: TcpStream) -> Option<()> {
         let mut input = BufReader::new(stream.try_clone().ok()?);
         let mut output = stream;
         loop {
             let request = read_request(&mut input)?;
-            match EngineCall::of(&request) {
+            match EngineCall::parse(&request) {
                 EngineCall::StartStatement => self.start_statement(request, &mut input, &mut output)?,
                 EngineCall::PollResult { id } => output.write_all(&self.poll_result(id)).ok()?,
                 EngineCall::FetchPage { id, page } => {
                     let page = page.parse::<usize>().ok()?;
-                    output.write_all(&self.page(id, page)).ok()?;
+                    output.write_all(&self.fetch_page(id, page)).ok()?;
                 }
                 EngineCall::CancelStatement { id } => {
                     lock(&self.queries).remove(id);
@@ -128,7 +132,7 @@
         }
     }
 
-    /// `None` ends the connection.
+    /// Applies the selected behavior to a statement; returns `None` if the connection must be closed.
     fn start_statement(
         &self,
         request: HttpRequest,
@@ -147,9 +151,9 @@
             }
             EngineBehavior::Hang(page) => {
                 let behavior = EngineBehavior::Serve(Duration::ZERO, vec![page.clone()]);
-                lock(&self.queries).insert(id, Query { behavior, began: Instant::now() });
-                let mut rest = [0; 1024];
-                while input.read(&mut rest).ok()? > 0 {}
+                lock(&self.queries).insert(id, Query { behavior, started_at: Instant::now() });
+                let mut discarded = [0; 1024];
+                while input.read(&mut discarded).ok()? > 0 {}
                 return None;
             }
             EngineBehavior::Serve(..)
@@ -157,7 +161,7 @@
             | EngineBehavior::Fail
             | EngineBehavior::LosePage => {}
         }
-        lock(&self.queries).insert(id.clone(), Query { behavior, began: Instant::now() });
+        lock(&self.queries).insert(id.clone(), Query { behavior, started_at: Instant::now() });
         lock(&self.seen).running += 1;
         output.write_all(&self.poll_result(&id)).ok()
     }
@@ -173,9 +177,9 @@
             let queries = lock(&self.queries);
             let Some(query) = queries.get(id) else { return Some(response(500, "", b"")) };
             match &query.behavior {
-                EngineBehavior::Serve(takes, pages) if query.began.elapsed() >= *takes => {
-                    let first = pages.first().map_or(&b""[..], |page| page);
-                    Some(response(200, &format!("Page-Count: {}\r\n", pages.len().max(1)), first))
+                EngineBehavior::Serve(duration, pages) if query.started_at.elapsed() >= *duration => {
+                    let first_page = pages.first().map_or(&b""[..], |page| page);
+                    Some(response(200, &format!("Page-Count: {}\r\n", pages.len().max(1)), first_page))
                 }
                 EngineBehavior::Decline => Some(response(503, "X-Declined: 1\r\n", b"")),
                 EngineBehavior::Fail => Some(response(500, "", b"")),
@@ -188,7 +192,7 @@
         })
     }
 
-    fn page(&self, id: &str, page: usize) -> Vec<u8> {
+    fn fetch_page(&self, id: &str, page: usize) -> Vec<u8> {
         let queries = lock(&self.queries);
         match queries.get(id).map(|query| &query.behavior) {
             Some(EngineBehavior::Serve(_, pages)) if page < pages.len() => {
--- a/examples/stub-engine/src/http.rs
+++ b/examples/stub-engine/src/http.rs
@@ -1,12 +1,12 @@
-//! The part of HTTP/1.1 that engines speak: requests in, responses out.
+//! The subset of HTTP/1.1 that stub engines need: parsing of requests and encoding of responses.
 
 use std::collections::HashMap;
 use std::io::BufRead;
 
-/// Ends a call that has nothing to return.
+/// Encoded response to a successful call without a result.
 pub(crate) const NO_CONTENT: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A request as it was read; header names are in lower case.
+/// A parsed HTTP request; header names are in lower case.
 pub(crate) struct HttpRequest {
     pub(crate) method: String,
     pub(crate) path: String,
@@ -14,15 +14,16 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// The next request on a connection; `None` once the connection has ended.
+/// Reads the next request from a connection; returns `None` if the connection has ended or the request is incomplete.
+/// A missing or invalid `content-length` means an empty body.
 pub(crate) fn read_request(input: &mut impl BufRead) -> Option<HttpRequest> {
     let mut request_line = String::new();
     if input.read_line(&mut request_line).ok()? == 0 {
         return None;
     }
-    let mut words = request_line.split_whitespace();
-    let method = words.next()?.to_owned();
-    let path = words.next()?.to_owned();
+    let mut tokens = request_line.split_whitespace();
+    let method = tokens.next()?.to_owned();
+    let path = tokens.next()?.to_owned();
     let mut headers = HashMap::new();
     loop {
         let mut line = String::new();
@@ -36,7 +37,7 @@
     Some(HttpRequest { method, path, headers, body })
 }
 
-/// A response; each of the header lines ends in `\r\n`.
+/// Encodes a response; each line in `header_lines` must end in `\r\n`. Adds the `Content-Length` header.
 pub(crate) fn response(status: u16, header_lines: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status} Toy\r\n{header_lines}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
--- a/examples/stub-engine/src/lib.rs
+++ b/examples/stub-engine/src/lib.rs
@@ -1,5 +1,5 @@
-//! Counterparts with which to try and to test a gateway: query engines, a discovery service and clients. They speak the
-//! protocols and no more; the gateway's tests and `main.rs` beside this use them.
+//! Stub engines, a stub discovery service and blocking clients for trying out and testing a gateway. They implement the
+//! network protocols without executing queries; the tests of the gateway and the `larchfall-stub` program use them.
 
 #![deny(missing_docs)]
 
--- a/examples/stub-engine/src/rest.rs
+++ b/examples/stub-engine/src/rest.rs
@@ -1,72 +1,75 @@
-//! A client of the paged REST protocol: calls are sent as they are given, answers returned as they are read.
+//! A blocking client of the paged REST protocol. The client follows no page links and interprets no status or body.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longer than any test or example waits for an answer.
+/// Read timeout of the socket; longer than any test or example waits for a response.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection to a gateway.
+/// A blocking TCP connection to the paged REST port of a gateway.
 pub struct RestClient {
     stream: BufReader<TcpStream>,
     host: SocketAddr,
 }
 
-/// What a gateway answered.
+/// An HTTP response of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers by name in lower case, in order.
+    /// Header names in lower case and header values, in the order received.
     pub head: Vec<(String, String)>,
-    /// The body, as long as `content-length` says.
+    /// Body with the length given by `content-length`; empty if this header is missing or invalid.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// The first header of this name, which is in lower case.
+    /// Returns the value of the first header with the name `name`, which must be in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.head.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 }
 
 impl RestClient {
-    /// Connects to a gateway.
-    pub fn connect(to: SocketAddr) -> io::Result<RestClient> {
-        let stream = TcpStream::connect(to)?;
+    /// Connects to the gateway at `gateway` with `READ_TIMEOUT` and without Nagle delay.
+    pub fn connect(gateway: SocketAddr) -> io::Result<RestClient> {
+        let stream = TcpStream::connect(gateway)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.set_nodelay(true)?;
-        Ok(RestClient { stream: BufReader::new(stream), host: to })
+        Ok(RestClient { stream: BufReader::new(stream), host: gateway })
     }
 
-    /// Writes bytes as they are.
+    /// Writes `bytes` to the connection without encoding, e.g. a invalid_data request.
     pub fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.get_mut().write_all(bytes)
     }
 
-    /// Sends a call.
+    /// Sends an HTTP request with the given headers; `body` gets a `Content-Length` header only for a POST.
     pub fn send(&mut self, verb: &str, path: &str, head: &[(&str, &str)], body: &[u8]) -> io::Result<()> {
-        let mut call = format!("{verb} {path} HTTP/1.1\r\nHost: {}\r\n", self.host);
+        let mut request_head = format!("{verb} {path} HTTP/1.1\r\nHost: {}\r\n", self.host);
         for (name, value) in head {
-            call += &format!("{name}: {value}\r\n");
+            request_head += &format!("{name}: {value}\r\n");
         }
         if verb == "POST" {
-            call += &format!("Content-Length: {}\r\n", body.len());
+            request_head += &format!("Content-Length: {}\r\n", body.len());
         }
-        call += "\r\n";
-        self.raw(&[call.as_bytes(), body].concat())
+        request_head += "\r\n";
+        self.raw(&[request_head.as_bytes(), body].concat())
     }
 
-    /// The next answer; an end of the connection is an error.
+    /// Reads the next response; a closed connection is an error.
     pub fn answer(&mut self) -> io::Result<Answer> {
-        let malformed = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-        let mut line = String::new();
-        if self.stream.read_line(&mut line)? == 0 {
+        let invalid_data = |reason: &str| io::Error::new(io::ErrorKind::InvalidData, reason.to_owned());
+        let mut status_line = String::new();
+        if self.stream.read_line(&mut status_line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        let status =
-            line.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or_else(|| malformed("no status"))?;
+        let status = status_line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .ok_or_else(|| invalid_data("response status line has no valid status code"))?;
         let mut head = Vec::new();
         loop {
             let mut line = String::new();
@@ -81,15 +84,15 @@
         Ok(Answer { status, head, body })
     }
 
-    /// Sends a call and reads its answer.
+    /// Sends an HTTP request and reads the next response.
     pub fn call(&mut self, verb: &str, path: &str, head: &[(&str, &str)], body: &[u8]) -> io::Result<Answer> {
         self.send(verb, path, head, body)?;
         self.answer()
     }
 }
 
-/// The path of an address, without scheme and host.
+/// Returns the path and query of `uri` without scheme and host.
 pub fn path(uri: &str) -> &str {
-    let from = uri.find("://").map_or(0, |at| at + 3);
-    &uri[from + uri[from..].find('/').unwrap_or(0)..]
+    let authority_start = uri.find("://").map_or(0, |index| index + 3);
+    &uri[authority_start + uri[authority_start..].find('/').unwrap_or(0)..]
 }
--- a/examples/stub-engine/src/stub_engines.rs
+++ b/examples/stub-engine/src/stub_engines.rs
@@ -1,6 +1,7 @@
-//! Several stub engines that keep an audit log of what they really ran, and when. One process after the other listens at
-//! an address; a statement whose result nobody polls for is dropped after two seconds. A process that no longer listens
-//! runs what it has, polled for or not, as engines that shut down were seen to do, and has ended a while later.
+//! Stub engines that record each statement arrival and execution in an audit log. Each engine address is served by a
+//! sequence of simulated engine processes. A process drops a statement that no client has polled for two seconds. A
+//! process that is shutting down stops listening, keeps running its statements whether they are polled or not (a
+//! behavior observed in real engines during shutdown), and exits after `SHUTDOWN_TIME`.
 
 use crate::engine_api::{EngineCall, POLL_INTERVAL, lock, long_poll};
 use crate::http::{HttpRequest, NO_CONTENT, read_request, response};
@@ -12,97 +13,97 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A statement that is not polled for is dropped after this long.
+/// Time since the last poll after which a running statement is dropped.
 const UNPOLLED_LIFETIME: Duration = Duration::from_secs(2);
-/// How long a process runs once it no longer listens.
+/// Time for which a process keeps running its statements after it stops listening.
 pub const SHUTDOWN_TIME: Duration = Duration::from_millis(3500);
 
-/// What becomes of a statement that has arrived.
+/// How an engine handles a statement that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StatementOutcome {
-    /// Runs for this long and succeeds.
+    /// The statement runs for this duration and succeeds.
     Succeeds(Duration),
-    /// Runs for this long and ends in an error.
+    /// The statement runs for this duration and ends in an error.
     Fails(Duration),
-    /// Never runs.
+    /// The engine declines the statement with status 503 and never runs it.
     Declined,
-    /// The connection is cut, and the statement starts later nevertheless.
+    /// The engine closes the connection without a response and starts the statement later.
     StartsAfterCut {
-        /// From the cut to its start.
+        /// Time from closing the connection to the start of the statement.
         delay: Duration,
-        /// How long it runs.
+        /// Run time of the statement.
         takes: Duration,
     },
 }
 
-/// One statement that ran.
+/// The execution of a statement; one id may have several executions.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// The id that the gateway gave it.
+    /// Id that the gateway assigned to the statement, from the header `X-Trace`.
     pub id: String,
-    /// Its text.
+    /// Statement text, with invalid UTF-8 replaced.
     pub statement: String,
-    /// The engine's process, numbered in the order of their starts.
+    /// Number of the engine process; all processes are numbered from 0 in start order.
     pub process: usize,
-    /// When it began to run.
+    /// Start time of the execution.
     pub started: Instant,
-    /// When it ended; `None` while it runs.
+    /// Time at which the execution ended, was cancelled or was dropped; `None` while the statement is running.
     pub ended: Option<Instant>,
 }
 
-/// One statement that arrived, whether it ran or not.
+/// The arrival of a statement at an engine, whether the statement ran or not.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The id that the gateway gave it.
+    /// Id that the gateway assigned to the statement, from the header `X-Trace`.
     pub id: String,
-    /// The engine's process, numbered in the order of their starts.
+    /// Number of the engine process; all processes are numbered from 0 in start order.
     pub process: usize,
-    /// When it arrived.
+    /// Arrival time of the statement.
     pub at: Instant,
 }
 
-/// All that the engines have received and run.
+/// All statement arrivals and executions on all engines.
 #[derive(Clone, Debug, Default)]
 pub struct AuditLog {
-    /// Statements that ran.
+    /// Executions in start order.
     pub executions: Vec<Execution>,
-    /// Statements that arrived.
+    /// Arrivals in order of receipt, including declined statements.
     pub arrivals: Vec<Arrival>,
 }
 
 struct Query {
-    /// Its place among the executions of the audit log.
-    execution: usize,
-    ends: Instant,
+    /// Index in `AuditLog::executions`.
+    execution_index: usize,
+    ends_at: Instant,
     last_poll: Instant,
     fails: bool,
-    over: bool,
+    is_ended: bool,
 }
 
-/// A statement is known to the process that runs it, by its id.
+/// Process number and statement id; a statement is visible only to the process that runs it.
 type QueryKey = (usize, String);
-type Decide = Box<dyn Fn(&str, &str) -> StatementOutcome + Send + Sync>;
+type OutcomeFn = Box<dyn Fn(&str, &str) -> StatementOutcome + Send + Sync>;
 
 struct Shared {
-    decide: Decide,
+    decide: OutcomeFn,
     audit_log: Mutex<AuditLog>,
-    /// Statements that arrived and have not started yet.
+    /// Number of statements that arrived and have yet to start after `StartsAfterCut::delay`.
     not_started: AtomicUsize,
-    /// An id that arrives again runs beside the one before, and polls for it return the newer one.
+    /// Statements by key. Statements with the same key run concurrently; a poll returns the result of the newest.
     queries: Mutex<HashMap<QueryKey, Vec<Query>>>,
-    /// Processes that shut down, and when they will have ended.
+    /// Numbers of the processes that were told to shut down, with the exit time of each process.
     shutting_down: Mutex<BTreeMap<usize, Instant>>,
 }
 
 struct EngineAddress {
     address: SocketAddr,
-    /// The process that is to listen here.
-    wanted: Mutex<Option<usize>>,
-    /// The process that does.
-    listening: Mutex<Option<usize>>,
+    /// Number of the process that should listen on `address`; `None` if the address should be closed.
+    desired_process: Mutex<Option<usize>>,
+    /// Number of the process that is listening on `address`; `None` while the address is closed.
+    listening_process: Mutex<Option<usize>>,
 }
 
-/// Engines at addresses that stay while their processes are replaced.
+/// Stub engines with fixed addresses; the process that serves an address can be replaced.
 pub struct StubEngines {
     shared: Arc<Shared>,
     addresses: Vec<Arc<EngineAddress>>,
@@ -110,7 +111,8 @@
 }
 
 impl StubEngines {
-    /// Engines at free ports of these addresses; `decide` gets a statement's id and text.
+    /// Starts an engine on each address in `listen`; port 0 selects a free port. `decide` receives the id and the text
+    /// of each statement.
     pub fn start(
         listen: &[&str],
         decide: impl Fn(&str, &str) -> StatementOutcome + Send + Sync + 'static,
@@ -127,16 +129,16 @@
             let listener = TcpListener::bind(listen)?;
             let address = Arc::new(EngineAddress {
                 address: listener.local_addr()?,
-                wanted: Mutex::new(Some(process)),
-                listening: Mutex::new(None),
+                desired_process: Mutex::new(Some(process)),
+                listening_process: Mutex::new(None),
             });
             addresses.push(address.clone());
             let shared = shared.clone();
             thread::spawn(move || address.listen(&shared, listener));
         }
-        let sweeper = Arc::downgrade(&shared);
+        let weak_shared = Arc::downgrade(&shared);
         thread::spawn(move || {
-            while let Some(shared) = sweeper.upgrade() {
+            while let Some(shared) = weak_shared.upgrade() {
                 shared.end_expired(Instant::now());
                 drop(shared);
                 thread::sleep(POLL_INTERVAL);
@@ -146,68 +148,72 @@
         Ok(StubEngines { shared, addresses, processes_started })
     }
 
-    /// The address of the engine at this place.
+    /// Returns the address of the engine with index `engine` in the list of addresses passed to `start`.
     pub fn address(&self, engine: usize) -> SocketAddr {
         self.addresses[engine].address
     }
 
-    /// The process there accepts no more connections; what it has, it runs.
+    /// Shuts down the process of an engine and waits until the process no longer accepts connections. The process keeps
+    /// running its statements for `SHUTDOWN_TIME`.
     pub fn close(&self, engine: usize) {
-        if let Some(process) = lock(&self.addresses[engine].wanted).take() {
+        if let Some(process) = lock(&self.addresses[engine].desired_process).take() {
             lock(&self.shared.shutting_down).insert(process, Instant::now() + SHUTDOWN_TIME);
         }
-        while lock(&self.addresses[engine].listening).is_some() {
+        while lock(&self.addresses[engine].listening_process).is_some() {
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Another process listens there; its number.
+    /// Starts a new process on the address of an engine, waits until the process listens and returns the process
+    /// number.
     pub fn open(&mut self, engine: usize) -> usize {
         let process = self.processes_started;
         self.processes_started += 1;
-        *lock(&self.addresses[engine].wanted) = Some(process);
-        while *lock(&self.addresses[engine].listening) != Some(process) {
+        *lock(&self.addresses[engine].desired_process) = Some(process);
+        while *lock(&self.addresses[engine].listening_process) != Some(process) {
             thread::sleep(POLL_INTERVAL);
         }
         process
     }
 
-    /// A copy of the audit log.
+    /// Returns a copy of the audit log.
     pub fn audit_log(&self) -> AuditLog {
         lock(&self.shared.audit_log).clone()
     }
 
-    /// Statements that arrived and are not over.
+    /// Returns the number of statements that are running or have yet to start after a cut connection.
     pub fn running(&self) -> usize {
         let not_started = self.shared.not_started.load(Ordering::SeqCst);
-        not_started + lock(&self.shared.queries).values().flatten().filter(|query| !query.over).count()
+        not_started + lock(&self.shared.queries).values().flatten().filter(|query| !query.is_ended).count()
     }
 }
 
 impl EngineAddress {
-    fn listen(&self, shared: &Arc<Shared>, first: TcpListener) {
-        let mut listener = Some(first);
+    /// Accepts connections for `desired_process`, and closes or reopens the listener when `desired_process` changes.
+    fn listen(&self, shared: &Arc<Shared>, initial_listener: TcpListener) {
+        let mut listener = Some(initial_listener);
         loop {
-            let wanted = *lock(&self.wanted);
-            match wanted {
+            let desired_process = *lock(&self.desired_process);
+            match desired_process {
                 None => listener = None,
                 Some(_) if listener.is_none() => listener = TcpListener::bind(self.address).ok(),
                 Some(_) => {}
             }
-            *lock(&self.listening) = wanted.filter(|_| listener.is_some());
-            let Some((open, process)) = listener.as_ref().zip(wanted) else {
+            *lock(&self.listening_process) = desired_process.filter(|_| listener.is_some());
+            let Some((open_listener, process)) = listener.as_ref().zip(desired_process) else {
                 thread::sleep(POLL_INTERVAL);
                 continue;
             };
-            if open.set_nonblocking(true).is_err() {
+            if open_listener.set_nonblocking(true).is_err() {
                 return;
             }
-            match open.accept() {
+            match open_listener.accept() {
                 Ok((stream, _)) => {
                     let shared = shared.clone();
-                    thread::spawn(move || shared.serve(stream, process));
+                    thread::spawn(move || shared.serve_connection(stream, process));
                 }
-                // None waits, or one was gone before it was accepted, or there is no descriptor left just now.
+                // No connection is pending, the client closed a pending connection, or no file descriptor is
+                // available; retry.
                 Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
@@ -215,23 +221,25 @@
 }
 
 impl Shared {
-    /// Ends what has run its time, and what nobody polled for.
+    /// Ends statements that have reached their end time, were not polled for `UNPOLLED_LIFETIME`, or whose process
+    /// exited. The lifetime limit does not apply to a process that is shutting down.
     fn end_expired(&self, now: Instant) {
         let mut queries = lock(&self.queries);
         let shutting_down = lock(&self.shutting_down);
-        for ((process, _), same_id) in queries.iter_mut() {
-            for query in same_id.iter_mut().filter(|query| !query.over) {
-                let dropped = query.last_poll + UNPOLLED_LIFETIME;
-                let ended = query.ends.min(*shutting_down.get(process).unwrap_or(&dropped));
-                if ended <= now {
-                    query.over = true;
-                    lock(&self.audit_log).executions[query.execution].ended = Some(ended);
+        for ((process, _), same_id_queries) in queries.iter_mut() {
+            for query in same_id_queries.iter_mut().filter(|query| !query.is_ended) {
+                let dropped_at = query.last_poll + UNPOLLED_LIFETIME;
+                let ended_at = query.ends_at.min(*shutting_down.get(process).unwrap_or(&dropped_at));
+                if ended_at <= now {
+                    query.is_ended = true;
+                    lock(&self.audit_log).executions[query.execution_index].ended = Some(ended_at);
                 }
             }
         }
     }
 
-    fn begin(&self, process: usize, id: &str, statement: &str, takes: Duration, fails: bool) {
+    /// Records the start of a statement in the audit log and registers the statement for polling.
+    fn start_execution(&self, process: usize, id: &str, statement: &str, run_time: Duration, fails: bool) {
         let now = Instant::now();
         let execution = Execution {
             id: id.to_owned(),
@@ -240,22 +248,24 @@
             started: now,
             ended: None,
         };
-        let execution = {
+        let execution_index = {
             let executions = &mut lock(&self.audit_log).executions;
             executions.push(execution);
             executions.len() - 1
         };
-        let query = Query { execution, ends: now + takes, last_poll: now, fails, over: false };
+        let query =
+            Query { execution_index, ends_at: now + run_time, last_poll: now, fails, is_ended: false };
         lock(&self.queries).entry((process, id.to_owned())).or_default().push(query);
     }
 
-    fn serve(&self, stream: TcpStream, process: usize) -> Option<()> {
+    /// Serves the calls on a connection in order; returns `None` when the connection has ended.
+    fn serve_connection(&self, stream: TcpStream, process: usize) -> Option<()> {
         stream.set_nonblocking(false).ok()?;
         let mut input = BufReader::new(stream.try_clone().ok()?);
         let mut output = stream;
         loop {
             let request = read_request(&mut input)?;
-            match EngineCall::of(&request) {
+            match EngineCall::parse(&request) {
                 EngineCall::StartStatement => self.start_statement(process, &request, &mut output)?,
                 EngineCall::PollResult { id } => output.write_all(&self.poll_result(process, id)).ok()?,
                 EngineCall::CancelStatement { id } => {
@@ -271,23 +281,27 @@
         }
     }
 
-    /// `None` ends the connection.
+    /// Applies the selected outcome to a statement; returns `None` if the connection must be closed.
     fn start_statement(&self, process: usize, request: &HttpRequest, output: &mut TcpStream) -> Option<()> {
         let id = request.headers.get("x-trace")?;
         let statement = String::from_utf8_lossy(&request.body);
         let arrival = Arrival { id: id.clone(), process, at: Instant::now() };
         lock(&self.audit_log).arrivals.push(arrival);
         match (self.decide)(id, &statement) {
-            StatementOutcome::Succeeds(takes) => self.begin(process, id, &statement, takes, false),
-            StatementOutcome::Fails(takes) => self.begin(process, id, &statement, takes, true),
+            StatementOutcome::Succeeds(run_time) => {
+                self.start_execution(process, id, &statement, run_time, false);
+            }
+            StatementOutcome::Fails(run_time) => {
+                self.start_execution(process, id, &statement, run_time, true);
+            }
             StatementOutcome::Declined => {
                 return output.write_all(&response(503, "X-Declined: 1\r\n", b"")).ok();
             }
-            StatementOutcome::StartsAfterCut { delay, takes } => {
+            StatementOutcome::StartsAfterCut { delay, takes: run_time } => {
                 self.not_started.fetch_add(1, Ordering::SeqCst);
                 let _ = output.shutdown(Shutdown::Both);
                 thread::sleep(delay);
-                self.begin(process, id, &statement, takes, false);
+                self.start_execution(process, id, &statement, run_time, false);
                 self.not_started.fetch_sub(1, Ordering::SeqCst);
                 return None;
             }
@@ -297,10 +311,10 @@
 
     fn cancel(&self, process: usize, id: &str) {
         let mut queries = lock(&self.queries);
-        let same_id = queries.get_mut(&(process, id.to_owned()));
-        for query in same_id.into_iter().flatten().filter(|query| !query.over) {
-            query.over = true;
-            lock(&self.audit_log).executions[query.execution].ended = Some(Instant::now());
+        let same_id_queries = queries.get_mut(&(process, id.to_owned()));
+        for query in same_id_queries.into_iter().flatten().filter(|query| !query.is_ended) {
+            query.is_ended = true;
+            lock(&self.audit_log).executions[query.execution_index].ended = Some(Instant::now());
         }
     }
 
@@ -308,15 +322,17 @@
         long_poll(|| {
             self.end_expired(Instant::now());
             let mut queries = lock(&self.queries);
-            let same_id = queries.get_mut(&(process, id.to_owned()));
-            let Some((newest, earlier)) = same_id.and_then(|same_id| same_id.split_last_mut()) else {
+            let same_id_queries = queries.get_mut(&(process, id.to_owned()));
+            let Some((newest, earlier)) =
+                same_id_queries.and_then(|same_id_queries| same_id_queries.split_last_mut())
+            else {
                 return Some(response(500, "", b""));
             };
             let now = Instant::now();
             earlier.iter_mut().for_each(|query| query.last_poll = now);
             newest.last_poll = now;
-            let cancelled = newest.ends > Instant::now();
-            match (newest.over, newest.fails || cancelled) {
+            let cancelled = newest.ends_at > Instant::now();
+            match (newest.is_ended, newest.fails || cancelled) {
                 (true, true) => Some(response(500, "", b"")),
                 (true, false) => Some(response(200, "Page-Count: 1\r\n", b"ok\n")),
                 (false, _) => None,
