--- a/crates/gateway/tests/gateway/combined_faults.rs
+++ b/crates/gateway/tests/gateway/combined_faults.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Draws what a stub engine does with a statement.
+/// Draws the outcome of a statement at a stub engine.
 fn draw_statement_outcome(rng: &Mutex<WyRand>, statement: &str) -> StatementOutcome {
     let mut rng = rng.lock().unwrap();
     let ms = |rng: &mut WyRand, from, to| Duration::from_millis(rng.generate_range(from..to));
--- a/crates/gateway/tests/gateway/common.rs
+++ b/crates/gateway/tests/gateway/common.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Waits until what the engine has recorded meets the condition.
+/// Waits until the calls recorded by the engine meet the condition.
 pub(crate) fn wait_until_seen(
     engine: &Engine,
     description: &str,
--- a/crates/gateway/tests/gateway/sockets/malformed.rs
+++ b/crates/gateway/tests/gateway/sockets/malformed.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Guards against sending a request to an engine that no engine can process: the engine would reply with an error, which
+/// Guards against sending an engine a request that no engine can process: the engine would reply with an error, which
 /// would count against the engine.
 #[test]
 fn an_invalid_request_is_answered_with_an_error_and_sent_to_no_engine() {
